--- /dev/null
+++ b/tests/golden_stored_test.cpp
@@ -0,0 +1,331 @@
+// Stored data of today: a recording, an operator's file and a start file that the program wrote or read
+// before a large renaming. Each is read with the program's code and compared with a golden, or with figures
+// written here.
+//
+//   tests/data/recording/           two lives; it must replay to the same orders, and be recorded again alike
+//   tests/data/recording-spoilt/    the first life with one order another, and a segment that was cut: both
+//   are told tests/data/operator.txtpb       read, and written to the bytes of
+//   tests/data/golden/operator.txtpb tests/data/start.json           read; its values are written here
+//
+// MICAROAD_WRITE_GOLDENS=1 writes the recording and the golden anew, and the test then fails, so that no run
+// passes by writing. Renew them only with a change of behaviour that is intended and that its commit states:
+// a recording or a file in use must stay readable. What a renewed recording replaces must be read by a test
+// of its own from then on.
+//
+// The packed bytes of a recording are not compared with new ones: they depend on the version of zstd. The
+// records in them are, byte for byte.
+#include <unistd.h>
+
+#include <algorithm>
+#include <catch2/catch.hpp>
+#include <cstdlib>
+#include <filesystem>
+#include <fstream>
+#include <map>
+#include <random>
+#include <set>
+#include <sstream>
+
+#include "daemon/start_file.hpp"
+#include "helpers.hpp"
+#include "operators/file.hpp"
+#include "record/convert.hpp"
+#include "record/recorder.hpp"
+#include "record/replay.hpp"
+
+using namespace micaroad;
+namespace fs = std::filesystem;
+
+namespace {
+
+const fs::path kData = TEST_DATA;
+
+bool writing() { return std::getenv("MICAROAD_WRITE_GOLDENS") != nullptr; }
+
+std::string bytes_of(const fs::path& path) {
+    std::ifstream file(path, std::ios::binary);
+    REQUIRE(file);
+    std::ostringstream text;
+    text << file.rdbuf();
+    return text.str();
+}
+
+// One life of a planner that is recorded: it is fed events of every kind on a clock moved by hand, and its
+// timers and marks come back to it.
+class Life {
+ public:
+    Life(record::Disk& disk, const Terms& terms, std::uint64_t seed, std::int64_t begins_after)
+        : recorder_(disk, {},
+                    record::head_of(terms, test::names(), seed, "planner-0", "golden", begin(begins_after)),
+                    nullptr),
+          planner_(terms, seed),
+          chance_(seed) {
+        clock_.tenths += begins_after;
+    }
+
+    void run(int tenths_of_seconds) {
+        hear(list(event::List::Form::restored, Phase::ready));
+        hear(list(event::List::Form::complete, Phase::ready));
+        for (int proxy = 0; proxy < 4; ++proxy) {
+            hear(event::ProxyJoined{{proxy}, {proxy % 2}, 50.0 + proxy, proxy == 3});
+        }
+        decide();
+        for (int step = 0; step < tenths_of_seconds; ++step) {
+            clock_.tenths += 1'000;
+            if (step % 5 == 0) report();
+            if (step == 60) hear(event::List{event::List::Form::changes, {server(1, Phase::draining)}});
+            if (step == 90) hear(event::ProxyLeft{{2}});
+            if (step == 100) hear(event::ProxyJoined{{2}, {0}, 7, false});
+            if (step == 110) hear(event::List{event::List::Form::unavailable, {}});
+            if (step == 130) hear(list(event::List::Form::complete, Phase::gone));
+            if (step == 150) hear(event::PeerSaid{{1}, "a word of a peer"});
+            hear_due_timers();
+            decide();
+        }
+        recorder_.close();
+    }
+
+ private:
+    static Instant begin(std::int64_t begins_after) { return test::HandClock().now() + Span{begins_after}; }
+
+    static ListedServer server(int number, Phase phase) {
+        return {{"s-" + std::to_string(number)},
+                {number % 2},
+                {number % 2},
+                {number},
+                phase,
+                1.0 + 0.25 * number,
+                std::nullopt};
+    }
+
+    // All five servers; the last one has that phase.
+    static event::List list(event::List::Form form, Phase last) {
+        event::List list{form, {}};
+        for (int number = 1; number <= 5; ++number) {
+            list.servers.push_back(server(number, number == 5 ? last : Phase::ready));
+        }
+        return list;
+    }
+
+    double random_below(std::uint64_t bound) { return static_cast<double>(chance_() % bound); }
+
+    void report() {
+        for (int number = 1; number <= 5; ++number) {
+            const ServerId server{"s-" + std::to_string(number)};
+            const double tries = 20.0 + random_below(9);
+            const double bad = random_below(3);
+            const Span mean{500 + static_cast<Span::rep>(chance_() % 20'000)};
+            hear(event::Outcomes{server, {number % 2}, tries, bad, mean, Span{5'000}});
+        }
+        const int method = static_cast<int>(chance_() % 2);
+        hear(
+            event::Arrivals{{static_cast<int>(chance_() % 4)}, {method}, 10.5, random_below(2), Span{5'000}});
+        hear(event::SliceArrivals{{3}, {method}, 4, 1, Span{5'000}});
+        hear(event::SliceGiven{{3}, true});
+        hear(event::SliceOwner{{3}, {"s-2"}, 0.1 + 0.2});
+        hear(event::Probed{{"s-4"}, chance_() % 4 != 0, Span{30}});
+    }
+
+    void hear_due_timers() {
+        while (!timers_.empty() && timers_.begin()->first <= clock_.now()) {
+            const TimerId timer = timers_.begin()->second;
+            timers_.erase(timers_.begin());
+            hear(event::TimerDue{timer});
+        }
+    }
+
+    void hear(const Event& event) {
+        recorder_.heard(event);
+        planner_.hear(event);
+    }
+
+    void decide() {
+        const std::vector<Order> orders = planner_.decide(clock_.now());
+        recorder_.decided(clock_.now(), orders);
+        for (const Order& order : orders) {
+            if (const auto* timer = std::get_if<order::StartTimer>(&order)) {
+                timers_.emplace(clock_.now() + timer->after, timer->timer);
+            }
+            if (const auto* mark = std::get_if<order::Mark>(&order)) {
+                for (int proxy = 0; proxy < 4; ++proxy) hear(event::MarkApplied{{proxy}, mark->mark});
+            }
+        }
+        while (recorder_.work().more) {}
+    }
+
+    test::HandClock clock_;
+    record::Recorder recorder_;
+    Planner planner_;
+    std::mt19937_64 chance_;
+    std::multimap<Instant, TimerId> timers_;
+};
+
+// A life with a shared table and one with slices and a rate, in segments of their own.
+void record_two_lives(const fs::path& folder) {
+    const auto disk = record::folder(folder.string());
+    Life(*disk, test::terms(), 5, 0).run(200);
+    Terms other = test::terms();
+    other.levels = LevelKind::rate;
+    other.slices = 8;
+    other.must_subscribe = true;
+    other.methods[1].own_zone_only = true;
+    Life(*disk, other, 0x8c1f30d27a5be964, 1'000'000).run(200);
+}
+
+std::vector<std::string> records_of(const fs::path& folder) {
+    std::vector<std::string> records;
+    const auto disk = record::folder(folder.string());
+    record::read_all(
+        *disk, [&records](const records::Record& record) { records.push_back(record.SerializeAsString()); });
+    return records;
+}
+
+// The first life of a recording with one weight another, then the first half of its second segment.
+void spoil(const fs::path& recording, const fs::path& spoilt) {
+    fs::remove_all(spoilt);
+    fs::create_directories(spoilt);
+    std::vector<std::string> records;
+    bool changed = false;
+    int heads = 0;
+    const auto disk = record::folder(recording.string());
+    record::read_all(*disk, [&](const records::Record& record) {
+        heads += record.has_head() ? 1 : 0;
+        if (heads > 1) return;
+        records::Record copy = record;
+        for (int i = 0; !changed && records.size() > 20 && i < record.turn().order_size(); ++i) {
+            if (record.turn().order(i).kind() != records::Order::SET_LINE) continue;
+            copy.mutable_turn()->mutable_order(i)->set_figure(0.25);
+            changed = true;
+        }
+        records.push_back(copy.SerializeAsString());
+    });
+    REQUIRE(changed);
+    std::ofstream(spoilt / record::Recorder::name_of(0), std::ios::binary) << record::block_of(records, 0);
+    const std::string second = disk->list().at(1).name;
+    const std::string bytes = bytes_of(recording / second);
+    std::ofstream(spoilt / second, std::ios::binary) << bytes.substr(0, bytes.size() / 2);
+}
+
+}  // namespace
+
+TEST_CASE("golden: the stored recording replays to the same orders, and is recorded again alike") {
+    const fs::path stored = kData / "recording";
+    if (writing()) {
+        fs::remove_all(stored);
+        record_two_lives(stored);
+        spoil(stored, kData / "recording-spoilt");
+        FAIL("written, not compared: " << stored);
+    }
+    REQUIRE(fs::is_directory(stored));
+    const auto disk = record::folder(stored.string());
+    const record::Verdict verdict = record::replay(*disk);
+    INFO(verdict.why);
+    CHECK(verdict.same);
+    CHECK(verdict.skipped == 0);
+    CHECK(verdict.replayed == 402);
+    CHECK(verdict.read.turns == 402);
+    CHECK(verdict.read.heads == 2);
+    CHECK(verdict.read.missing == 0);
+    CHECK(verdict.read.troubles.empty());
+
+    // Every kind of event is in it, and these kinds of orders.
+    std::set<int> events;
+    std::set<int> orders;
+    record::read_all(*disk, [&events, &orders](const records::Record& record) {
+        for (const auto& event : record.turn().event()) events.insert(event.kind());
+        for (const auto& order : record.turn().order()) orders.insert(order.kind());
+    });
+    CHECK(events.size() == std::variant_size_v<Event>);
+    CHECK(orders == std::set<int>{records::Order::SET_LINE, records::Order::BIND, records::Order::SET_LEVEL,
+                                  records::Order::WITHDRAW, records::Order::MARK, records::Order::START_TIMER,
+                                  records::Order::SUBSCRIBE});
+
+    const fs::path again = fs::temp_directory_path() / ("micaroad-golden-" + std::to_string(::getpid()));
+    record_two_lives(again);
+    const std::vector<std::string> records = records_of(again);
+    const std::vector<std::string> expected = records_of(stored);
+    fs::remove_all(again);
+    REQUIRE(records.size() == expected.size());
+    const auto differs = std::mismatch(records.begin(), records.end(), expected.begin()).first;
+    INFO("the first record that differs: " << differs - records.begin());
+    CHECK(differs == records.end());
+}
+
+TEST_CASE("golden: the stored recording that is spoilt tells its first order that differs, and its cut") {
+    const auto disk = record::folder((kData / "recording-spoilt").string());
+    const record::Verdict verdict = record::replay(*disk);
+    CHECK(!verdict.same);
+    CHECK(verdict.replayed == 82);
+    CHECK(verdict.why == "order 4: recorded SET_LINE table 1 s-1 0.25, now SET_LINE table 1 s-1 0");
+    REQUIRE(verdict.read.troubles.size() == 1);
+    CHECK(verdict.read.troubles[0].what == "a block that was cut");
+}
+
+TEST_CASE("golden: the stored operator's file is written back to the same bytes") {
+    const operators::Reading reading = operators::read_file((kData / "operator.txtpb").string());
+    for (const auto& fault : reading.faults) UNSCOPED_INFO(fault.text());
+    REQUIRE(reading.faults.empty());
+    const std::string text =
+        operators::write_text(reading.plan, "Written back by tests/golden_stored_test.cpp.");
+    const fs::path golden = kData / "golden" / "operator.txtpb";
+    if (writing()) {
+        std::ofstream(golden, std::ios::binary) << text;
+        FAIL("written, not compared: " << golden);
+    }
+    CHECK(text == bytes_of(golden));
+    const operators::Reading back = operators::read_file(golden.string());
+    CHECK(back.faults.empty());
+    CHECK(back.plan == reading.plan);
+}
+
+TEST_CASE("golden: the stored start file is read") {
+    const auto no_variable = [](const char*) -> const char* { return nullptr; };
+    const StartFile start = read_start_text(bytes_of(kData / "start.json"), no_variable);
+    CHECK(start.name == "planner-3");
+    CHECK(start.listen == "127.0.0.1:3003");
+    CHECK(start.discovery == "127.0.0.1:8503");
+    CHECK(start.seed == 0x8c1f30d27a5be964);
+    CHECK(start.memory_mb == 160);
+    CHECK(start.sockets == 768);
+    CHECK(start.names.methods == std::vector<std::string>{"lookup", "order"});
+    CHECK(start.names.zones == std::vector<std::string>{"a", "b"});
+    CHECK(start.names.kinds == std::vector<std::string>{"m1", "m2"});
+
+    CHECK(start.known.version == 12);
+    CHECK(start.known.list.form == event::List::Form::complete);
+    CHECK(start.known.addresses.size() == 3);
+    CHECK(start.known.addresses.at({"s-2"}) == "127.0.0.1:4002");
+    CHECK(start.known.dropped.empty());
+    REQUIRE(start.known.list.servers.size() == 3);
+    const ListedServer& second = start.known.list.servers[1];
+    CHECK(second.server == ServerId{"s-2"});
+    CHECK(second.zone == ZoneId{1});
+    CHECK(second.kind == KindId{1});
+    CHECK(second.cell == CellId{1});
+    CHECK(second.phase == Phase::draining);
+    CHECK(second.size == 1.5);
+
+    const Terms& terms = start.terms;
+    REQUIRE(terms.methods.size() == 2);
+    CHECK(terms.methods[0].soft_deadline == Span{15'000});
+    CHECK(terms.methods[1].criticality == 9);
+    CHECK(!terms.methods[0].own_zone_only);
+    CHECK(terms.methods[1].own_zone_only);
+    CHECK(terms.zones == 2);
+    CHECK(terms.proxies == 9);
+    CHECK(terms.lines_per_second == 1600);
+    CHECK(terms.lines_per_message == 3);
+    CHECK(terms.lines_waiting_most == 1600);
+    CHECK(terms.report_every == Span{5'000});
+    CHECK(terms.message_longest == Span{4'425});
+    CHECK(terms.drain_grace == Span{20'000});
+    CHECK(terms.warm_after == Span{180'000});
+    CHECK(terms.cold_capacity == 0.17);
+    CHECK(terms.fall_multiple == 3);
+    CHECK(terms.fall_span == Span{15'000});
+    CHECK(terms.levels == LevelKind::share);
+    CHECK(terms.further_tries == FurtherTry::once_if_never_ran);
+    CHECK(start.bounds.proxies == 9);
+    CHECK(start.bounds.longest_window == Span{600'000});
+    CHECK(start.bounds.longest_mean == Span{80'000});
+}
