--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 # What staff do most. START_FILE is what LB_CONFIG is to name, as README.md shows one.
 START_FILE ?= docs/example-start.json
-FORMATTED := $(shell git ls-files src/daemon src/log src/net src/outbox src/planner src/protocol src/terms \
+FORMATTED := $(shell git ls-files src/daemon src/log src/net src/updates src/planner src/protocol src/settings \
     src/command src/haproxy src/operators src/routing src/record src/background \
     bench/scale/*.cpp bench/scale/*.hpp tests/scale_test.cpp)
 
--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -1,4 +1,4 @@
-// What a decision costs by the size of the fleet, with its letters: the core with outbox, module and push writer, no
+// What a decision costs by the size of the fleet, with its updates: the core with update_builder, module and push writer, no
 // sockets. A planner is given all proxies at once, answers every mark, hears of each server once a second, and each
 // second one server drains and a fresh one comes.
 #include <benchmark/benchmark.h>
@@ -18,25 +18,25 @@
 
 namespace {
 
-Terms fleet_terms(int proxies) {
-    Terms terms;
-    terms.methods = {Method{Span{15'000}, 3, false, {}, {}}, Method{Span{15'000}, 9, false, {}, {}}};
-    terms.zones = 3, terms.proxies = proxies, terms.planners = 1;
-    terms.lines_per_second = 4.0 * proxies, terms.lines_per_message = 3, terms.lines_waiting_most = 88.0 * proxies;
-    terms.report_every = Span{5'000}, terms.message_longest = Span{4'800};
-    terms.drain_grace = Span{224'000}, terms.warm_after = Span{180'000};
-    terms.cold_capacity = 0.17, terms.fall_multiple = 3, terms.fall_span = Span{15'000};
-    terms.levels = LevelKind::share, terms.further_tries = FurtherTry::once_if_never_ran;
-    return terms;
+DeploymentSettings fleet_terms(int proxies) {
+    DeploymentSettings settings;
+    settings.methods = {Method{Duration{15'000}, 3, false, {}, {}}, Method{Duration{15'000}, 9, false, {}, {}}};
+    settings.zone_count = 3, settings.proxy_count = proxies, settings.planner_count = 1;
+    settings.channel_lines_per_second = 4.0 * proxies, settings.overhead_lines_per_message = 3, settings.max_pending_lines = 88.0 * proxies;
+    settings.report_interval = Duration{5'000}, settings.max_message_delay = Duration{4'800};
+    settings.drain_grace = Duration{224'000}, settings.warm_up_duration = Duration{180'000};
+    settings.cold_capacity_fraction = 0.17, settings.overload_factor = 3, settings.overload_window = Duration{15'000};
+    settings.admission_kind = AdmissionKind::fraction, settings.default_retry_policy = RetryPolicy::once_if_not_executed;
+    return settings;
 }
 
-struct Counting : Outlet {
-    std::int64_t letters = 0;
-    std::map<StreamId, MarkId> marks;  // not answered yet
+struct Counting : Transport {
+    std::int64_t updates = 0;
+    std::map<StreamId, Nonce> marks;  // not answered yet
     void write(StreamId stream, std::string_view message) override {
-        ++letters;
+        ++updates;
         if (const auto at = message.find("nonce_out="); at != std::string_view::npos)
-            marks[stream] = MarkId{std::stoi(std::string(message.substr(at + 10)))};
+            marks[stream] = Nonce{std::stoi(std::string(message.substr(at + 10)))};
     }
     void close(StreamId) override {}
     void probe(const ServerId&, const std::string&) override {}
@@ -44,41 +44,41 @@
     void follow(const std::string&) override {}
 };
 
-ListedServer server(int number, std::optional<Instant> start = std::nullopt) {
-    return {{fmt::format("s-{:08x}", number * 2'654'435'761u)}, {number % 3}, {0}, {number % 30}, Phase::ready, 4, start};
+ListedEndpoint server(int number, std::optional<TimePoint> start = std::nullopt) {
+    return {{fmt::format("s-{:08x}", number * 2'654'435'761u)}, {number % 3}, {0}, {number % 30}, EndpointPhase::ready, 4, start};
 }
 
 void fleet(benchmark::State& state) {
     const int proxies = static_cast<int>(state.range(0)), servers = static_cast<int>(state.range(1));
     Log log(::open("/dev/null", O_WRONLY));
-    Counting outlet;
-    Core core(fleet_terms(proxies), Names{{"lookup", "order"}, {"a", "b", "c"}, {"m1"}}, 7, outlet, log);
-    Instant now{Span{17'000'000'000'000}};
+    Counting transport;
+    Core core(fleet_terms(proxies), SymbolTable{{"lookup", "order"}, {"a", "b", "c"}, {"m1"}}, 7, transport, log);
+    TimePoint now{Duration{17'000'000'000'000}};
     std::vector<Inbox::Item> items;
-    const auto say = [&](Arrival arrival) { items.push_back({now, std::move(arrival)}); };
-    protocol::ListSaid list{1, {event::List::Form::complete, {}}, {}, {}};
+    const auto say = [&](CoreEvent arrival) { items.push_back({now, std::move(arrival)}); };
+    protocol::EndpointListMessage list{1, {event::EndpointListUpdate::Form::complete, {}}, {}, {}};
     for (int s = 0; s < servers; ++s) list.list.servers.push_back(server(s)), list.addresses[server(s).server] = "127.0.0.1:9";
-    say(arrival::ListTold{list});
+    say(core_event::EndpointListReceived{list});
     for (int p = 0; p < proxies; ++p)
-        say(arrival::StreamBegun{StreamId{static_cast<std::uint64_t>(p) + 1}, {{p}, {p % 3}, 1.0 + p % 5, true}});
+        say(core_event::StreamOpened{StreamId{static_cast<std::uint64_t>(p) + 1}, {{p}, {p % 3}, 1.0 + p % 5, true}});
     int tick = 0, oldest = 0, newest = servers, version = 1;
     for (auto _ : state) {
         if (tick % 10 == 0) {
             for (int s = oldest; s < newest; ++s)
-                say(arrival::Reported{event::Outcomes{server(s).server, {0}, 12, 0, Span{3'000 + s % 900}, Span{10'000}}});
-            protocol::ListSaid changes{++version, {event::List::Form::changes, {}}, {}, {}};
+                say(core_event::ReportReceived{event::EndpointLoadReport{server(s).server, {0}, 12, 0, Duration{3'000 + s % 900}, Duration{10'000}}});
+            protocol::EndpointListMessage changes{++version, {event::EndpointListUpdate::Form::incremental, {}}, {}, {}};
             auto gone = server(oldest++);
-            gone.phase = Phase::gone;
+            gone.phase = EndpointPhase::gone;
             changes.list.servers = {gone, server(newest++, now)};
             changes.addresses[changes.list.servers[1].server] = "127.0.0.1:9";
-            say(arrival::ListTold{changes});
+            say(core_event::EndpointListReceived{changes});
         }
-        for (const auto& [stream, mark] : std::exchange(outlet.marks, {}))
-            say(arrival::StreamAnswered{stream, {{static_cast<int>(stream.value) - 1}, mark}});
+        for (const auto& [stream, mark] : std::exchange(transport.marks, {}))
+            say(core_event::StreamAcknowledged{stream, {{static_cast<int>(stream.value) - 1}, mark}});
         core.turn(items, now);
-        items.clear(), now += Span{1'000}, ++tick;
+        items.clear(), now += Duration{1'000}, ++tick;
     }
-    state.counters["letters"] = benchmark::Counter(static_cast<double>(outlet.letters));
+    state.counters["letters"] = benchmark::Counter(static_cast<double>(transport.updates));
 }
 
 // A fleet in services: a method for each, with a pool of its own kind of server. As above each second one server drains
@@ -87,72 +87,72 @@
  public:
     // `pace`: the channel's, lines a second; 0: four for each proxy.
     ServiceFleet(int proxies, int servers, int services, bool heard, double pace)
-        : servers_(servers), services_(services), heard_(heard), core_(terms(proxies, pace), names(), 7, outlet_, log_) {
-        protocol::ListSaid list{1, {event::List::Form::complete, {}}, {}, {}};
+        : servers_(servers), services_(services), heard_(heard), core_(terms(proxies, pace), names(), 7, transport_, log_) {
+        protocol::EndpointListMessage list{1, {event::EndpointListUpdate::Form::complete, {}}, {}, {}};
         for (int s = 0; s < servers; ++s) {
             list.list.servers.push_back(member(s));
             list.addresses[list.list.servers.back().server] = "127.0.0.1:9";
         }
-        say(arrival::ListTold{std::move(list)});
+        say(core_event::EndpointListReceived{std::move(list)});
         for (int p = 0; p < proxies; ++p)
-            say(arrival::StreamBegun{StreamId{static_cast<std::uint64_t>(p) + 1}, {{p}, {p % 3}, 1.0 + p % 5, true}});
+            say(core_event::StreamOpened{StreamId{static_cast<std::uint64_t>(p) + 1}, {{p}, {p % 3}, 1.0 + p % 5, true}});
         newest_ = servers;
     }
 
     // One turn, a tenth of a second after the last; how long the core took, seconds.
     double turn() {
         if (tick_ % 10 == 0) second_passes();
-        for (const auto& [stream, mark] : std::exchange(outlet_.marks, {}))
-            say(arrival::StreamAnswered{stream, {{static_cast<int>(stream.value) - 1}, mark}});
+        for (const auto& [stream, mark] : std::exchange(transport_.marks, {}))
+            say(core_event::StreamAcknowledged{stream, {{static_cast<int>(stream.value) - 1}, mark}});
         const auto begun = std::chrono::steady_clock::now();
         core_.turn(items_, now_);
         const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begun;
-        items_.clear(), now_ += Span{1'000}, ++tick_;
+        items_.clear(), now_ += Duration{1'000}, ++tick_;
         return took.count();
     }
     bool changed_in_last() const { return (tick_ - 1) % 10 == 0; }
-    std::int64_t letters() const { return outlet_.letters; }
+    std::int64_t updates() const { return transport_.updates; }
 
  private:
-    Terms terms(int proxies, double pace) const {
-        Terms terms = fleet_terms(proxies);
-        if (pace > 0) terms.lines_per_second = pace, terms.lines_waiting_most = 4 * pace;
-        terms.methods.clear();
-        for (int m = 0; m < services_; ++m) terms.methods.push_back({Span{15'000}, 3, false, {{m}}, {}});
-        return terms;
+    DeploymentSettings terms(int proxies, double pace) const {
+        DeploymentSettings settings = fleet_terms(proxies);
+        if (pace > 0) settings.channel_lines_per_second = pace, settings.max_pending_lines = 4 * pace;
+        settings.methods.clear();
+        for (int m = 0; m < services_; ++m) settings.methods.push_back({Duration{15'000}, 3, false, {{m}}, {}});
+        return settings;
     }
-    Names names() const {
-        Names names{{}, {"a", "b", "c"}, {}};
+    SymbolTable names() const {
+        SymbolTable names{{}, {"a", "b", "c"}, {}};
         for (int m = 0; m < services_; ++m)
             names.methods.push_back(fmt::format("r{}", m)), names.kinds.push_back(fmt::format("k{}", m));
         return names;
     }
-    void say(Arrival arrival) { items_.push_back({now_, std::move(arrival)}); }
-    ListedServer member(int number, std::optional<Instant> start = std::nullopt) const {
-        ListedServer listed = server(number, start);
+    void say(CoreEvent arrival) { items_.push_back({now_, std::move(arrival)}); }
+    ListedEndpoint member(int number, std::optional<TimePoint> start = std::nullopt) const {
+        ListedEndpoint listed = server(number, start);
         listed.kind = {number % servers_ % services_};  // a fresh one takes the place of the one that drains
         return listed;
     }
     void second_passes() {
         for (int s = oldest_; heard_ && s < newest_; ++s) {
-            say(arrival::Reported{
-                event::Outcomes{server(s).server, {0}, 12, 0, Span{3'000 + s % 900}, Span{10'000}}});
+            say(core_event::ReportReceived{
+                event::EndpointLoadReport{server(s).server, {0}, 12, 0, Duration{3'000 + s % 900}, Duration{10'000}}});
         }
         if (tick_ == 0) return;
-        protocol::ListSaid changes{++version_, {event::List::Form::changes, {}}, {}, {}};
+        protocol::EndpointListMessage changes{++version_, {event::EndpointListUpdate::Form::incremental, {}}, {}, {}};
         auto gone = member(oldest_++);
-        gone.phase = Phase::gone;
+        gone.phase = EndpointPhase::gone;
         changes.list.servers = {gone, member(newest_++, now_)};
         changes.addresses[changes.list.servers[1].server] = "127.0.0.1:9";
-        say(arrival::ListTold{changes});
+        say(core_event::EndpointListReceived{changes});
     }
 
     const int servers_, services_;
     const bool heard_;
     Log log_{::open("/dev/null", O_WRONLY)};
-    Counting outlet_;
+    Counting transport_;
     Core core_;
-    Instant now_{Span{17'000'000'000'000}};
+    TimePoint now_{Duration{17'000'000'000'000}};
     std::vector<Inbox::Item> items_;
     int tick_ = 0, oldest_ = 0, newest_ = 0, version_ = 1;
 };
@@ -189,7 +189,7 @@
     state.counters["core"] = sum / (0.1 * turns);
     state.counters["change_us"] = 1e6 * in_changes.at(in_changes.size() / 2);
     state.counters["rss_mb"] = resident_mb();
-    state.counters["letters"] = static_cast<double>(fleet.letters());
+    state.counters["letters"] = static_cast<double>(fleet.updates());
 }
 
 // 300 decisions: thirty seconds of a planner's life.
--- a/bench/scale/core_run.cpp
+++ b/bench/scale/core_run.cpp
@@ -19,8 +19,8 @@
 using nlohmann::json;
 
 constexpr int kTurnsPerSecond = 10;
-constexpr Span kTurnEvery{1'000};
-constexpr Instant kWorldStart{Span{17'000'000'000'000}};
+constexpr Duration kTurnEvery{1'000};
+constexpr TimePoint kWorldStart{Duration{17'000'000'000'000}};
 constexpr int kEventAfterSeconds = 1;     // of the measured time
 constexpr int kZoneBackAfterSeconds = 5;  // of the measured time
 constexpr int kBurstServers = 100;
@@ -42,7 +42,7 @@
 
 // The streams of all proxies: counts what is written, answers nonces, and notes when a withdrawal reaches a
 // proxy.
-class Streams : public Outlet {
+class Streams : public Transport {
  public:
     // Processor seconds spent here; no planner would have them.
     double aside = 0;
@@ -53,13 +53,13 @@
     Samples delivery_ms;  // from a withdrawal told to its line written, for each proxy that is told
     std::set<std::string> written;
 
-    void begin_turn(Instant now) {
+    void begin_turn(TimePoint now) {
         now_ = now;
         turn_began_ = processor_seconds();
         aside_before_turn_ = aside;
     }
     // Only what a table has held is withdrawn.
-    void told_gone(const std::string& server, Instant now) {
+    void told_gone(const std::string& server, TimePoint now) {
         if (in_tables_.erase(server) > 0) told_[server].at = now;
     }
     std::size_t told() const { return told_.size(); }
@@ -85,7 +85,7 @@
 
  private:
     struct Gone {
-        Instant at;
+        TimePoint at;
         std::set<StreamId> proxies;
     };
 
@@ -122,7 +122,7 @@
         delivery_ms.add(waited_ms + in_turn / kMillisecond);
     }
 
-    Instant now_{};
+    TimePoint now_{};
     double turn_began_ = 0, aside_before_turn_ = 0;
     std::unordered_map<std::string, Gone> told_;
     std::unordered_set<std::string> in_tables_;
@@ -221,7 +221,7 @@
 
     void renew_streams() {
         for (const auto& [stream, proxy] : proxy_of_)
-            items_.push_back({now_, arrival::StreamEnded{stream, "renewed"}});
+            items_.push_back({now_, core_event::StreamClosed{stream, "renewed"}});
         proxy_of_.clear();
         streams_.unanswered.clear();
         streams_.reached.clear();
@@ -265,7 +265,7 @@
         ++messages_in_;
         bytes_in_ += static_cast<std::int64_t>(text.size()) + 1;
         const Stopwatch reading(streams_.aside);
-        items_.push_back({now_, arrival::ListTold{list_reader_.read(text).value()}});
+        items_.push_back({now_, core_event::EndpointListReceived{list_reader_.read(text).value()}});
         reading_seconds_ += reading.stop();
     }
 
@@ -279,16 +279,16 @@
     void read_lines() {
         const Stopwatch reading(streams_.aside);
         for (const auto& [stream, line] : lines_) {
-            const auto verdict = protocol::read_message(line, names_, bounds_);
+            const auto verdict = protocol::parse_message(line, names_, bounds_);
             const auto& message = std::get<protocol::Message>(verdict);
             if (const auto* joined = std::get_if<event::ProxyJoined>(&message))
-                items_.push_back({now_, arrival::StreamBegun{stream, *joined}});
-            else if (const auto* applied = std::get_if<event::MarkApplied>(&message))
-                items_.push_back({now_, arrival::StreamAnswered{stream, *applied}});
-            else if (const auto* met = std::get_if<event::Outcomes>(&message))
-                items_.push_back({now_, arrival::Reported{*met}});
-            else if (const auto* came = std::get_if<event::Arrivals>(&message))
-                items_.push_back({now_, arrival::Reported{*came}});
+                items_.push_back({now_, core_event::StreamOpened{stream, *joined}});
+            else if (const auto* applied = std::get_if<event::Acknowledgement>(&message))
+                items_.push_back({now_, core_event::StreamAcknowledged{stream, *applied}});
+            else if (const auto* met = std::get_if<event::EndpointLoadReport>(&message))
+                items_.push_back({now_, core_event::ReportReceived{*met}});
+            else if (const auto* came = std::get_if<event::DemandReport>(&message))
+                items_.push_back({now_, core_event::ReportReceived{*came}});
         }
         reading_seconds_ += reading.stop();
         lines_.clear();
@@ -352,13 +352,13 @@
     const WorldSpec spec_;
     const double processor_limit_;
     World world_;
-    const Names names_;
+    const SymbolTable names_;
     const protocol::Bounds bounds_;
-    protocol::ListReader list_reader_;
+    protocol::EndpointListReader list_reader_;
     Log log_;
     Streams streams_;
     std::optional<Core> core_;
-    Instant now_ = kWorldStart;
+    TimePoint now_ = kWorldStart;
     std::vector<Inbox::Item> items_;
     std::vector<std::pair<StreamId, std::string>> lines_;
     std::map<StreamId, int> proxy_of_;
--- a/bench/scale/core_run.hpp
+++ b/bench/scale/core_run.hpp
@@ -1,4 +1,4 @@
-// One planner's core, with module, outbox and push writer, in a world by seed. No sockets; time is virtual: a
+// One planner's core, with module, update_builder and push writer, in a world by seed. No sockets; time is virtual: a
 // turn each 100 ms of world time, whatever it takes.
 #pragma once
 
--- a/bench/scale/routing_run.cpp
+++ b/bench/scale/routing_run.cpp
@@ -107,8 +107,8 @@
         for (int k = i; k < i + kLookupsPerSample; ++k) {
             Limiter& limiter = limiters[callers[static_cast<std::size_t>(k)]];
             const RpcNumber rpc{static_cast<std::uint64_t>(k)};
-            admitted += limiter.ask(rpc, "here", Instant{}).verdict == Limiter::Verdict::runs;
-            (void)limiter.done(rpc, Instant{});
+            admitted += limiter.ask(rpc, "here", TimePoint{}).verdict == Limiter::Verdict::runs;
+            (void)limiter.done(rpc, TimePoint{});
         }
         ask_us.add((processor_seconds() - before) / kLookupsPerSample / kMicrosecond);
     }
--- a/bench/scale/wire_deployment.cpp
+++ b/bench/scale/wire_deployment.cpp
@@ -99,7 +99,7 @@
 
 Deployment::Deployment(const WireOptions& options, const WireWorld& sizes)
     : sizes_(sizes), world_(sizes, options.seed), traffic_(static_cast<std::size_t>(sizes.planners())) {
-    const Instant begun = Clock::now(), limit = begun + options.start_limit;
+    const TimePoint begun = Clock::now(), limit = begun + options.start_limit;
     choose_addresses();
     start_hollow(options);
     discovery_ = std::make_unique<DiscoveryAgents>(
@@ -179,7 +179,7 @@
     run([this, paces = paces_] { return paces_ > paces; }, 4 * kPaceEvery);
 }
 
-void Deployment::await_alive(Instant limit) {
+void Deployment::await_alive(TimePoint limit) {
     std::vector<std::unique_ptr<AliveProbe>> probes;
     for (const LoopbackAddress& address : planner_addresses_) {
         probes.push_back(std::make_unique<AliveProbe>(loop_, address));
@@ -191,7 +191,7 @@
         throw PointFailed("not all planners answered 'alive' in time");
 }
 
-void Deployment::await_first_messages(Instant limit) {
+void Deployment::await_first_messages(TimePoint limit) {
     const int proxies = sizes_.planners() * sizes_.proxies;
     const auto all_ordered = [this, proxies] { return proxies_ordered() == proxies; };
     if (!run(all_ordered, std::chrono::ceil<Milliseconds>(limit - Clock::now())))
--- a/bench/scale/wire_deployment.hpp
+++ b/bench/scale/wire_deployment.hpp
@@ -76,8 +76,8 @@
     void choose_addresses();
     void start_hollow(const WireOptions& options);
     void start_real(const std::string& program);
-    void await_alive(Instant limit);
-    void await_first_messages(Instant limit);
+    void await_alive(TimePoint limit);
+    void await_first_messages(TimePoint limit);
     int proxies_ordered() const;
     void change_now_and_then();
     void note_told(int planner, std::int64_t after, std::int64_t upto);
--- a/bench/scale/wire_discovery.cpp
+++ b/bench/scale/wire_discovery.cpp
@@ -109,7 +109,7 @@
     LineSplitter lines_;
     std::string target_;
     std::int64_t version_ = -1;  // up to which the watch has been told; negative: it is none
-    Instant written_ = Clock::now();
+    TimePoint written_ = Clock::now();
 };
 
 DiscoveryAgents::DiscoveryAgents(Loop& loop, const World& world, std::vector<LoopbackAddress>& addresses,
--- a/bench/scale/wire_hollow.cpp
+++ b/bench/scale/wire_hollow.cpp
@@ -11,7 +11,7 @@
 #include <set>
 
 #include "protocol/http.hpp"
-#include "protocol/server_list.hpp"
+#include "protocol/endpoint_list.hpp"
 #include "wire_world.hpp"
 
 namespace micaroad::scale::wire {
@@ -21,12 +21,12 @@
 constexpr int kMostNonces = 65'536;                     // nonces are below it
 constexpr std::size_t kMostUnread = 128 * 1024;         // a stream that leaves more unread is reset
 constexpr std::size_t kLongestMessage = 256 * 1024;     // bytes
-constexpr std::size_t kLongestList = 16 * 1024 * 1024;  // bytes, as ListFeed counts them
+constexpr std::size_t kLongestList = 16 * 1024 * 1024;  // bytes, as EndpointListParser counts them
 constexpr double kMostCredit = 10'000;                  // messages that a planner may be behind
 constexpr std::string_view kAlive = "alive\r\n";
 
-Names names_of_world(const WireWorld& sizes) {
-    Names names;
+SymbolTable names_of_world(const WireWorld& sizes) {
+    SymbolTable names;
     for (int method = 0; method < sizes.methods; ++method)
         names.methods.push_back(World::method_name(method));
     for (int zone = 0; zone < sizes.zones; ++zone) names.zones.push_back(World::zone_name(zone));
@@ -48,7 +48,7 @@
     void dial() {
         drop(loop_, channel_);
         http_ = {};
-        lists_.emplace(names_, protocol::ListFraming::line, kLongestList);
+        lists_.emplace(names_, protocol::EndpointListFraming::line, kLongestList);
         Descriptor socket = begin_connect(discovery_);
         if (!socket.open()) return dial_later();
         channel_ = std::make_unique<Channel>(loop_, Role::planner, std::move(socket), true, *this);
@@ -63,16 +63,16 @@
     }
     void received(std::string_view bytes) override {
         http_.feed(bytes, [this](std::string_view body) {
-            lists_->feed(body, [this](const std::optional<protocol::ListSaid>& said) { take(said); });
+            lists_->feed(body, [this](const std::optional<protocol::EndpointListMessage>& said) { take(said); });
         });
     }
     void ended() override { dial_later(); }
 
-    void take(const std::optional<protocol::ListSaid>& said) {
+    void take(const std::optional<protocol::EndpointListMessage>& said) {
         if (!said) return;  // an empty line: a heartbeat
-        if (said->list.form == event::List::Form::complete) listed_.clear();
-        for (const ListedServer& server : said->list.servers) {
-            if (server.phase == Phase::gone)
+        if (said->list.form == event::EndpointListUpdate::Form::complete) listed_.clear();
+        for (const ListedEndpoint& server : said->list.servers) {
+            if (server.phase == EndpointPhase::gone)
                 listed_.erase(server.server.value);
             else
                 listed_.insert(server.server.value);
@@ -82,9 +82,9 @@
 
     Loop& loop_;
     const LoopbackAddress discovery_;
-    Names names_;
+    SymbolTable names_;
     protocol::HttpReader http_;
-    std::optional<protocol::ListFeed> lists_;  // of the body of this connection
+    std::optional<protocol::EndpointListParser> lists_;  // of the body of this connection
     std::unique_ptr<Channel> channel_;
     std::int64_t version_ = 0;  // 0: the whole list is asked for
     std::set<std::string> listed_;
@@ -299,7 +299,7 @@
         planners.push_back(std::make_unique<Planner>(loop, std::move(planner), sizes));
     }
     const Control ear(loop, std::move(control), planners);
-    loop.run([&ear] { return ear.over(); }, Instant::max() - std::chrono::hours(1));
+    loop.run([&ear] { return ear.over(); }, TimePoint::max() - std::chrono::hours(1));
     return 0;
 }
 
--- a/bench/scale/wire_loop.cpp
+++ b/bench/scale/wire_loop.cpp
@@ -66,7 +66,7 @@
 
 void Loop::retire(std::unique_ptr<Handler> handler) { retired_.push_back(std::move(handler)); }
 
-void Loop::at(Instant when, Role role, std::function<void()> task) {
+void Loop::at(TimePoint when, Role role, std::function<void()> task) {
     timers_.emplace(when, Timer{role, std::move(task)});
 }
 
@@ -78,7 +78,7 @@
     });
 }
 
-bool Loop::run(const std::function<bool()>& done, Instant limit) {
+bool Loop::run(const std::function<bool()>& done, TimePoint limit) {
     for (;;) {
         if (done()) return true;
         const auto left = std::chrono::ceil<Milliseconds>(limit - Clock::now());
@@ -117,7 +117,7 @@
 }
 
 void Loop::fire_timers() {
-    const Instant now = Clock::now();
+    const TimePoint now = Clock::now();
     while (!timers_.empty() && timers_.begin()->first <= now) {
         const Timer timer = std::move(timers_.begin()->second);
         timers_.erase(timers_.begin());
--- a/bench/scale/wire_loop.hpp
+++ b/bench/scale/wire_loop.hpp
@@ -14,7 +14,7 @@
 namespace micaroad::scale::wire {
 
 using Clock = std::chrono::steady_clock;
-using Instant = Clock::time_point;
+using TimePoint = Clock::time_point;
 using Milliseconds = std::chrono::milliseconds;
 
 // For whom the loop works: its time is charged to that role.
@@ -51,11 +51,11 @@
     // Destroyed once no event of the present turn can reach it any more.
     void retire(std::unique_ptr<Handler> handler);
 
-    void at(Instant when, Role role, std::function<void()> task);
+    void at(TimePoint when, Role role, std::function<void()> task);
     void every(Milliseconds period, Role role, std::function<void()> task);
 
     // Until done() holds or the limit is reached. True if done() holds.
-    bool run(const std::function<bool()>& done, Instant limit);
+    bool run(const std::function<bool()>& done, TimePoint limit);
     void run_for(Milliseconds time);
 
     std::chrono::nanoseconds processor_time(Role role) const { return time_[static_cast<std::size_t>(role)]; }
@@ -77,7 +77,7 @@
     Token next_ = 1;
     std::unordered_map<Token, Handler*> handlers_;
     std::vector<std::unique_ptr<Handler>> retired_;
-    std::multimap<Instant, Timer> timers_;
+    std::multimap<TimePoint, Timer> timers_;
     std::array<std::chrono::nanoseconds, kRoles> time_{};
 };
 
--- a/bench/scale/wire_point.cpp
+++ b/bench/scale/wire_point.cpp
@@ -17,7 +17,7 @@
 
 // All that is counted and only grows.
 struct Snapshot {
-    Instant when;
+    TimePoint when;
     std::vector<TrafficByRole> traffic;
     std::vector<ProcessUsage> real, hollow;
     ProcessUsage stand_ins;
--- a/bench/scale/wire_proxies.cpp
+++ b/bench/scale/wire_proxies.cpp
@@ -90,7 +90,7 @@
     }
 
     void apply() {
-        const Instant now = Clock::now();
+        const TimePoint now = Clock::now();
         if (first_message_ <= dialled_) first_message_ = now;
         ever_ordered_ = true;
         ++traffic().messages_out;
@@ -108,7 +108,7 @@
             1);
     }
 
-    void note_in_force(Instant now) {
+    void note_in_force(TimePoint now) {
         const auto* awaited = fleet_.in_force_.awaited(identity_.number);
         if (awaited == nullptr) return;
         std::vector<std::size_t> closed;
@@ -142,7 +142,7 @@
     LineSplitter lines_;
     std::vector<PushPart> parts_;
     ProxyTable table_;
-    Instant dialled_{}, first_message_{};
+    TimePoint dialled_{}, first_message_{};
     bool ever_ordered_ = false;
     Milliseconds wait_ = kFirstRedial;
 };
@@ -181,7 +181,7 @@
         proxies_[i]->report();
 }
 
-void ProxyFleet::told(int planner, const std::vector<std::size_t>& ended, Instant now) {
+void ProxyFleet::told(int planner, const std::vector<std::size_t>& ended, TimePoint now) {
     each_of(planner, [&](const Proxy& proxy) {
         for (const std::size_t server : ended) {
             in_force_.told(proxy.identity().number, server, now, proxy.table().in_use(server));
--- a/bench/scale/wire_proxies.hpp
+++ b/bench/scale/wire_proxies.hpp
@@ -27,7 +27,7 @@
     // milliseconds.
     std::vector<double> first_message_times(int planner) const;
 
-    void told(int planner, const std::vector<std::size_t>& ended, Instant now);
+    void told(int planner, const std::vector<std::size_t>& ended, TimePoint now);
 
     int joined(int planner) const;                           // streams that stand
     int ordered(int planner) const;                          // among them: those that have got a message
--- a/bench/scale/wire_traffic.cpp
+++ b/bench/scale/wire_traffic.cpp
@@ -25,7 +25,7 @@
     return difference;
 }
 
-void InForce::told(int proxy, std::size_t server, Instant now, bool in_use) {
+void InForce::told(int proxy, std::size_t server, TimePoint now, bool in_use) {
     if (!in_use) {
         ++result_.not_holding;
         return;
@@ -33,7 +33,7 @@
     if (awaited_[proxy].try_emplace(server, now).second) ++pending_;
 }
 
-void InForce::closed(int proxy, std::size_t server, Instant now) {
+void InForce::closed(int proxy, std::size_t server, TimePoint now) {
     const auto servers = awaited_.find(proxy);
     if (servers == awaited_.end()) return;
     const auto found = servers->second.find(server);
@@ -52,7 +52,7 @@
     }
 }
 
-const std::map<std::size_t, Instant>* InForce::awaited(int proxy) const {
+const std::map<std::size_t, TimePoint>* InForce::awaited(int proxy) const {
     const auto found = awaited_.find(proxy);
     return found == awaited_.end() || found->second.empty() ? nullptr : &found->second;
 }
--- a/bench/scale/wire_traffic.hpp
+++ b/bench/scale/wire_traffic.hpp
@@ -35,16 +35,16 @@
         std::int64_t overtaken = 0;        // the server came back before
     };
 
-    void told(int proxy, std::size_t server, Instant now, bool in_use);
-    void closed(int proxy, std::size_t server, Instant now);
+    void told(int proxy, std::size_t server, TimePoint now, bool in_use);
+    void closed(int proxy, std::size_t server, TimePoint now);
     void came_back(std::size_t server);
     // Servers that a proxy is yet to stop using; absent: none.
-    const std::map<std::size_t, Instant>* awaited(int proxy) const;
+    const std::map<std::size_t, TimePoint>* awaited(int proxy) const;
     std::int64_t pending() const { return pending_; }
     Result take();  // and begins anew; what is pending stays so
 
  private:
-    std::map<int, std::map<std::size_t, Instant>> awaited_;
+    std::map<int, std::map<std::size_t, TimePoint>> awaited_;
     std::int64_t pending_ = 0;
     Result result_;
 };
--- a/bench/scale/world.cpp
+++ b/bench/scale/world.cpp
@@ -82,33 +82,33 @@
     std::shuffle(servers_.begin(), servers_.end(), random_);
 }
 
-// The terms of bench/fleet_bench.cpp, but for the methods and the channel's pace.
-Terms World::terms() const {
-    Terms terms;
+// The settings of bench/fleet_bench.cpp, but for the methods and the channel's pace.
+DeploymentSettings World::terms() const {
+    DeploymentSettings settings;
     for (int service = 0; service < spec_.services; ++service) {
         const KindId kind{service % pools_of(spec_)};
-        terms.methods.push_back(Method{Span{15'000}, 3, false, {kind}, {}});
+        settings.methods.push_back(Method{Duration{15'000}, 3, false, {kind}, {}});
     }
-    terms.zones = spec_.zones;
-    terms.proxies = spec_.proxies * spec_.planners;
-    terms.planners = spec_.planners;
-    terms.lines_per_second = spec_.lines_per_second;
-    terms.lines_per_message = 3;
-    terms.lines_waiting_most = kSecondsWaitingMost * spec_.lines_per_second;
-    terms.report_every = Span{5'000};
-    terms.message_longest = Span{4'800};
-    terms.drain_grace = Span{224'000};
-    terms.warm_after = Span{180'000};
-    terms.cold_capacity = 0.17;
-    terms.fall_multiple = 3;
-    terms.fall_span = Span{15'000};
-    terms.levels = LevelKind::share;
-    terms.further_tries = FurtherTry::once_if_never_ran;
-    return terms;
+    settings.zone_count = spec_.zones;
+    settings.proxy_count = spec_.proxies * spec_.planners;
+    settings.planner_count = spec_.planners;
+    settings.channel_lines_per_second = spec_.lines_per_second;
+    settings.overhead_lines_per_message = 3;
+    settings.max_pending_lines = kSecondsWaitingMost * spec_.lines_per_second;
+    settings.report_interval = Duration{5'000};
+    settings.max_message_delay = Duration{4'800};
+    settings.drain_grace = Duration{224'000};
+    settings.warm_up_duration = Duration{180'000};
+    settings.cold_capacity_fraction = 0.17;
+    settings.overload_factor = 3;
+    settings.overload_window = Duration{15'000};
+    settings.admission_kind = AdmissionKind::fraction;
+    settings.default_retry_policy = RetryPolicy::once_if_not_executed;
+    return settings;
 }
 
-Names World::names() const {
-    Names names;
+SymbolTable World::names() const {
+    SymbolTable names;
     for (int service = 0; service < spec_.services; ++service)
         names.methods.push_back(fmt::format("m{}", service));
     for (int zone = 0; zone < spec_.zones; ++zone) names.zones.push_back(fmt::format("z{}", zone));
@@ -116,15 +116,15 @@
     return names;
 }
 
-World::Server World::fresh(int zone, int kind, std::optional<Instant> started) {
+World::Server World::fresh(int zone, int kind, std::optional<TimePoint> started) {
     const int number = made_++;
     const std::string id = fmt::format("s-{:08x}", static_cast<std::uint32_t>(number) * 2'654'435'761U);
-    return {id, zone, kind, number / kServersPerCell, Phase::ready, started};
+    return {id, zone, kind, number / kServersPerCell, EndpointPhase::ready, started};
 }
 
 std::string World::entry(const Server& server) const {
-    const char* const state = server.phase == Phase::ready      ? "up"
-                              : server.phase == Phase::draining ? "draining"
+    const char* const state = server.phase == EndpointPhase::ready      ? "up"
+                              : server.phase == EndpointPhase::draining ? "draining"
                                                                 : "removed";
     std::string text = fmt::format(
         R"({{"id":"{}","addr":"127.0.0.1:9","zone":"z{}","kind":"k{}","cell":{},"weight":{},"state":"{}")",
@@ -159,7 +159,7 @@
     const double window = spec_.reports_per_second > 0 ? seconds_between_reports(spec_) : 0;
     for (std::size_t looked = 0; std::ssize(lines) < number && looked < servers_.size(); ++looked) {
         const Server& server = servers_[next_reported_++ % servers_.size()];
-        if (server.phase != Phase::ready) continue;
+        if (server.phase != EndpointPhase::ready) continue;
         const unsigned mean_ms = 300 + random_() % 90;
         const unsigned from = random_() % static_cast<unsigned>(spec_.zones);
         lines.push_back(fmt::format("outcomes host={} az=z{} n={:.3f} bad=0 avg={} window={:.1f}", server.id,
@@ -185,18 +185,18 @@
 // Guards against a world without ready servers: then any is taken.
 std::size_t World::any_ready() {
     std::size_t at = random_() % servers_.size();
-    for (std::size_t tries = 0; tries < servers_.size() && servers_[at].phase != Phase::ready; ++tries)
+    for (std::size_t tries = 0; tries < servers_.size() && servers_[at].phase != EndpointPhase::ready; ++tries)
         at = (at + 1) % servers_.size();
     return at;
 }
 
-World::Change World::replace(int number, Instant now) {
+World::Change World::replace(int number, TimePoint now) {
     Change change;
     std::vector<Server> changed;
     for (int i = 0; i < number; ++i) {
         Server& server = servers_[any_ready()];
         Server gone = server;
-        gone.phase = Phase::gone;
+        gone.phase = EndpointPhase::gone;
         change.gone.push_back(gone.id);
         server = fresh(gone.zone, gone.kind, now);
         changed.push_back(std::move(gone));
@@ -211,8 +211,8 @@
     std::vector<Server> changed;
     for (int i = 0; i < number; ++i) {
         Server& server = servers_[any_ready()];
-        if (server.phase != Phase::ready) break;
-        server.phase = Phase::draining;
+        if (server.phase != EndpointPhase::ready) break;
+        server.phase = EndpointPhase::draining;
         change.gone.push_back(server.id);
         changed.push_back(server);
     }
@@ -220,13 +220,13 @@
     return change;
 }
 
-World::Change World::replace_draining(Instant now) {
+World::Change World::replace_draining(TimePoint now) {
     Change change;
     std::vector<Server> changed;
     for (Server& server : servers_) {
-        if (server.phase != Phase::draining) continue;
+        if (server.phase != EndpointPhase::draining) continue;
         Server gone = server;
-        gone.phase = Phase::gone;
+        gone.phase = EndpointPhase::gone;
         server = fresh(gone.zone, gone.kind, now);
         changed.push_back(std::move(gone));
         changed.push_back(server);
@@ -243,7 +243,7 @@
     lost_.assign(first_lost, servers_.end());
     servers_.erase(first_lost, servers_.end());
     for (Server server : lost_) {
-        server.phase = Phase::gone;
+        server.phase = EndpointPhase::gone;
         change.gone.push_back(server.id);
         changed.push_back(std::move(server));
     }
@@ -251,7 +251,7 @@
     return change;
 }
 
-World::Change World::restore_zone(Instant now) {
+World::Change World::restore_zone(TimePoint now) {
     std::vector<Server> changed;
     for (const Server& server : lost_) changed.push_back(fresh(server.zone, server.kind, now));
     servers_.insert(servers_.end(), changed.begin(), changed.end());
--- a/bench/scale/world.hpp
+++ b/bench/scale/world.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "micaroad/planner.hpp"
-#include "terms/terms.hpp"
+#include "settings/deployment_settings.hpp"
 
 namespace micaroad::scale {
 
@@ -21,7 +21,7 @@
 };
 
 enum class Workload {
-    core,    // one planner's core with its module, outbox and push writer
+    core,    // one planner's core with its module, update_builder and push writer
     routing  // a route index and one limiter a tenant
 };
 enum class Scenario {
@@ -90,8 +90,8 @@
 
     explicit World(const WorldSpec& spec);  // throws BadWorld
 
-    Terms terms() const;
-    Names names() const;
+    DeploymentSettings terms() const;
+    SymbolTable names() const;
     std::string whole_list();
     std::string join_line(int proxy) const;
     static std::string answer_line(int proxy, int nonce);
@@ -100,21 +100,21 @@
     // What came in a second for one service, told by one proxy; services and proxies in turn.
     std::vector<std::string> demand_lines(int number);
 
-    Change replace(int number, Instant now);
+    Change replace(int number, TimePoint now);
     Change drain(int number);  // those that drain leave with replace_draining()
-    Change replace_draining(Instant now);
+    Change replace_draining(TimePoint now);
     Change lose_zone(int zone);
-    Change restore_zone(Instant now);
+    Change restore_zone(TimePoint now);
 
  private:
     struct Server {
         std::string id;
         int zone = 0, kind = 0, cell = 0;
-        Phase phase = Phase::ready;
-        std::optional<Instant> started;
+        EndpointPhase phase = EndpointPhase::ready;
+        std::optional<TimePoint> started;
     };
 
-    Server fresh(int zone, int kind, std::optional<Instant> started);
+    Server fresh(int zone, int kind, std::optional<TimePoint> started);
     std::string entry(const Server& server) const;
     std::string list_of(const std::vector<Server>& changed, bool complete);
     std::size_t any_ready();
--- a/src/background/turns.hpp
+++ b/src/background/turns.hpp
@@ -29,11 +29,11 @@
 
 class Turns {
  public:
-    static constexpr Span kLongestWait = std::chrono::seconds(30);
+    static constexpr Duration kLongestWait = std::chrono::seconds(30);
     // What may be spent at once after a pause, in seconds of the budget.
     static constexpr double kBurst = 2;
 
-    Turns(Budget budget, Instant now) : budget_(budget), since_(now) {}
+    Turns(Budget budget, TimePoint now) : budget_(budget), since_(now) {}
 
     JobId add(int priority) {  // larger goes first
         const JobId job{next_++};
@@ -41,12 +41,12 @@
         return job;
     }
     // It has work.
-    void wake(JobId job, Instant now) {
+    void wake(JobId job, TimePoint now) {
         const auto at = jobs_.find(job);
         if (at != jobs_.end() && !at->second.waits_since) at->second.waits_since = now;
     }
     // Who works now; absent: nobody may, or nobody has work.
-    std::optional<JobId> next(Instant now) {
+    std::optional<JobId> next(TimePoint now) {
         refill(now);
         if (bytes_ < 0 || seconds_ < 0) return std::nullopt;
         std::optional<JobId> best;
@@ -57,7 +57,7 @@
         }
         return best;
     }
-    void spent(JobId job, const Spent& what, Instant now) {
+    void spent(JobId job, const Spent& what, TimePoint now) {
         refill(now);
         bytes_ -= what.bytes, seconds_ -= what.processor_seconds;
         const auto at = jobs_.find(job);
@@ -65,18 +65,18 @@
         at->second.waits_since = what.more ? std::optional(now) : std::nullopt;
     }
     // When the budget allows anything again; `now` where it does already.
-    Instant free_at(Instant now) const {
+    TimePoint free_at(TimePoint now) const {
         const double wait =
             std::max({0.0, -bytes_ / budget_.bytes_per_second, -seconds_ / budget_.processor_share});
-        return now + std::chrono::ceil<Span>(std::chrono::duration<double>(wait));
+        return now + std::chrono::ceil<Duration>(std::chrono::duration<double>(wait));
     }
 
  private:
     struct Job {
         int priority = 0;
-        std::optional<Instant> waits_since;
+        std::optional<TimePoint> waits_since;
     };
-    void refill(Instant now) {
+    void refill(TimePoint now) {
         const double passed = std::max(0.0, std::chrono::duration<double>(now - since_).count());
         since_ = std::max(since_, now);
         bytes_ = std::min(bytes_ + passed * budget_.bytes_per_second, kBurst * budget_.bytes_per_second);
@@ -84,7 +84,7 @@
     }
 
     const Budget budget_;
-    Instant since_;
+    TimePoint since_;
     double bytes_ = 0, seconds_ = 0;
     int next_ = 0;
     std::map<JobId, Job> jobs_;
--- a/src/background/worker.cpp
+++ b/src/background/worker.cpp
@@ -61,11 +61,11 @@
     (void)setpriority(PRIO_PROCESS, static_cast<id_t>(syscall(SYS_gettid)), kNiceness);
     std::unique_lock lock(mutex_);
     while (!stopping_) {
-        const Instant now = clock_();
+        const TimePoint now = clock_();
         const auto job = turns_.next(now);
         if (!job) {
-            const Instant free = turns_.free_at(now);
-            wake_.wait_for(lock, free > now ? free - now : Span{5'000});
+            const TimePoint free = turns_.free_at(now);
+            wake_.wait_for(lock, free > now ? free - now : Duration{5'000});
             continue;
         }
         lock.unlock();
--- a/src/command/command.cpp
+++ b/src/command/command.cpp
@@ -56,7 +56,7 @@
     }
     if (!wish.out.empty()) {
         std::string why;
-        if (!write_whole(wish.out, text, why)) {
+        if (!write_atomically(wish.out, text, why)) {
             fmt::print(err, "{}\n", why);
             return kUnusable;
         }
@@ -173,7 +173,7 @@
         }
     }
     routing::View view;
-    view.now = Instant{Span{10'000'000}};
+    view.now = TimePoint{Duration{10'000'000}};
     std::vector<std::string> down, draining;
     if (!name_servers(wish.down, plan, down, err) || !name_servers(wish.draining, plan, draining, err))
         return kWrongUsage;
--- a/src/command/command.hpp
+++ b/src/command/command.hpp
@@ -20,6 +20,6 @@
 
 // Writes beside `path` and renames, so that nobody ever reads half a file. False: `why` says it, and `path`
 // is as it was.
-bool write_whole(const std::string& path, const std::string& text, std::string& why);
+bool write_atomically(const std::string& path, const std::string& text, std::string& why);
 
 }  // namespace micaroad::command
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -21,18 +21,18 @@
 namespace {
 
 // The list at the start has no version yet that the keeper's could be older than.
-StartFile start_of(const routing::Plan& plan, Instant now) {
+StartConfiguration start_of(const routing::Plan& plan, TimePoint now) {
     const routing::Roster roster(plan);
-    Terms base;
-    base.levels = LevelKind::share, base.further_tries = FurtherTry::once_if_never_ran;
-    StartFile start;
+    DeploymentSettings base;
+    base.admission_kind = AdmissionKind::fraction, base.default_retry_policy = RetryPolicy::once_if_not_executed;
+    StartConfiguration start;
     start.name = plan.service.name, start.listen = plan.service.listen;
     start.seed = std::random_device{}();
     start.sockets = static_cast<std::size_t>(plan.service.sockets),
     start.memory_mb = static_cast<std::size_t>(plan.service.memory_mb);
-    start.terms = roster.terms(base), start.names = roster.names();
-    start.bounds.proxies = start.terms.proxies;
-    start.bounds.longest_window = std::max(120 * start.terms.report_every, Span{10'000});
+    start.settings = roster.terms(base), start.names = roster.names();
+    start.bounds.proxies = start.settings.proxy_count;
+    start.bounds.longest_window = std::max(120 * start.settings.report_interval, Duration{10'000});
     routing::View view;
     view.now = now;
     start.known.list = roster.list(view), start.known.addresses = roster.addresses();
@@ -48,7 +48,7 @@
     std::unique_ptr<record::Recorder> recorder;
 
     static constexpr int kPriority = 1;
-    Kept(const routing::Recording& wish, const StartFile& start, const Clock& clock)
+    Kept(const routing::Recording& wish, const StartConfiguration& start, const Clock& clock)
         : disk(record::folder(wish.path)),
           worker({1'024.0 * wish.kib_per_second, wish.processor_percent / 100.0}, clock) {
         record::Keeping keeping;
@@ -56,7 +56,7 @@
         keeping.all_bytes = static_cast<std::uint64_t>(wish.all_mb) << 20, keeping.all_age = wish.keep;
         recorder = std::make_unique<record::Recorder>(
             *disk, keeping,
-            record::head_of(start.terms, start.names, start.seed, start.name, kVersion, clock()),
+            record::head_of(start.settings, start.names, start.seed, start.name, kVersion, clock()),
             [this] { worker.wake(job); });
         job = worker.add(kPriority, [this] { return recorder->work(); });
     }
@@ -65,19 +65,19 @@
 Served::Served(const routing::Plan& plan, Clock clock, Log& log)
     : Served(plan, start_of(plan, clock()), clock, log) {}
 
-Served::Served(const routing::Plan& plan, StartFile start, Clock clock, Log& log)
+Served::Served(const routing::Plan& plan, StartConfiguration start, Clock clock, Log& log)
     : log_(log),
       kept_(plan.recording.path.empty() ? nullptr : std::make_unique<Kept>(plan.recording, start, clock)),
       program_(start, clock, log, kept_ ? kept_->recorder.get() : nullptr),
       health_(
           plan, clock,
-          [this](event::List list, std::map<ServerId, std::string> addresses) {
+          [this](event::EndpointListUpdate list, std::map<ServerId, std::string> addresses) {
               tell(std::move(list), std::move(addresses));
           },
           log) {}
 
-void Served::tell(event::List list, std::map<ServerId, std::string> addresses) {
-    program_.hear({++version_, std::move(list), std::move(addresses), {}});
+void Served::tell(event::EndpointListUpdate list, std::map<ServerId, std::string> addresses) {
+    program_.handle({++version_, std::move(list), std::move(addresses), {}});
 }
 
 Served::~Served() = default;
--- a/src/command/serve.hpp
+++ b/src/command/serve.hpp
@@ -5,7 +5,7 @@
 #include <memory>
 #include <string>
 
-#include "daemon/program.hpp"
+#include "daemon/planner_process.hpp"
 #include "net/health_prober.hpp"
 #include "routing/plan.hpp"
 
@@ -13,7 +13,7 @@
 
 class Served {
  public:
-    // Throws BadStart where the plan's service can't be used.
+    // Throws ConfigurationError where the plan's service can't be used.
     Served(const routing::Plan& plan, Clock clock, Log& log);
     ~Served();
 
@@ -25,14 +25,14 @@
     Stage stage() const { return program_.stage(); }
 
  private:
-    Served(const routing::Plan& plan, StartFile start, Clock clock, Log& log);
-    void tell(event::List list, std::map<ServerId, std::string> addresses);
+    Served(const routing::Plan& plan, StartConfiguration start, Clock clock, Log& log);
+    void tell(event::EndpointListUpdate list, std::map<ServerId, std::string> addresses);
 
     struct Kept;  // what records, where the plan asks for it
     Log& log_;
     std::int64_t version_ = 0;
     std::unique_ptr<Kept> kept_;
-    Program program_;
+    PlannerProcess program_;
     net::HealthProber health_;
 };
 
--- a/src/command/write_whole.cpp
+++ b/src/command/write_atomically.cpp
@@ -11,7 +11,7 @@
 
 namespace micaroad::command {
 
-bool write_whole(const std::string& path, const std::string& text, std::string& why) {
+bool write_atomically(const std::string& path, const std::string& text, std::string& why) {
     const std::string beside = fmt::format("{}.{}.part", path, ::getpid());
     const auto failed = [&](const char* what) {
         why = fmt::format("{}: {}: {}", path, what, std::strerror(errno));
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -11,7 +11,7 @@
 #include <thread>
 
 #include "daemon/clock.hpp"
-#include "daemon/program.hpp"
+#include "daemon/planner_process.hpp"
 
 namespace {
 
@@ -48,7 +48,7 @@
     pthread_sigmask(SIG_BLOCK, &heard, nullptr);
     micaroad::Log log(STDERR_FILENO);
     try {
-        micaroad::Program program(micaroad::read_start_file(std::getenv), micaroad::clock_from_now(), log);
+        micaroad::PlannerProcess program(micaroad::load_start_configuration(std::getenv), micaroad::clock_from_now(), log);
         std::thread ear([&heard, &program] {
             int signal = 0;
             while (sigwait(&heard, &signal) == 0 && signal == SIGHUP) program.reload(std::getenv);
@@ -60,7 +60,7 @@
             pthread_kill(ear.native_handle(), SIGTERM);  // NOLINT(bugprone-bad-signal-to-kill-thread)
         ear.join();
         return code;
-    } catch (const micaroad::BadStart& bad) {
+    } catch (const micaroad::ConfigurationError& bad) {
         std::fprintf(stderr, "micaroad: %s\n", bad.what());
         return 2;
     }
--- a/src/daemon/program.cpp
+++ b/src/daemon/planner_process.cpp
@@ -1,4 +1,4 @@
-#include "daemon/program.hpp"
+#include "daemon/planner_process.hpp"
 
 #include <algorithm>
 
@@ -26,19 +26,19 @@
 
 net::Address address_or_throw(const std::string& text, const char* key) {
     const auto address = net::address_of(text);
-    if (!address) throw BadStart(std::string("'") + key + "' is no address and port: " + text);
+    if (!address) throw ConfigurationError(std::string("'") + key + "' is no address and port: " + text);
     return *address;
 }
 
 }  // namespace
 
-Program::Program(StartFile start, Clock clock, Log& log, Witness* witness, SyncPoints* sync,
+PlannerProcess::PlannerProcess(StartConfiguration start, Clock clock, Log& log, Observer* observer, SyncPoints* sync,
                  net::WatchPatience patience)
     : start_(std::move(start)),
       clock_(std::move(clock)),
       log_(log),
       listen_(address_or_throw(start_.listen, "listen")),
-      limits_(Limits::of(start_.memory_mb, start_.sockets, static_cast<std::size_t>(start_.terms.proxies),
+      limits_(Limits::of(start_.memory_mb, start_.sockets, static_cast<std::size_t>(start_.settings.proxy_count),
                          start_.names.zones.size())),
       reading_(kReaders),
       lines_(limits_.line_buffers),
@@ -50,38 +50,38 @@
       watch_(start_.discovery,
              start_.discovery.empty() ? net::Address{} : address_or_throw(start_.discovery, "discovery"),
              start_.names, start_.known.version, limits_.list_bytes, reading_, inbox_, log_, patience, sync),
-      core_(start_.terms, start_.names, start_.seed, *this, log_, witness),
+      core_(start_.settings, start_.names, start_.seed, *this, log_, observer),
       sync_(sync) {}
 
-void Program::enter(Stage stage) {
+void PlannerProcess::enter(Stage stage) {
     stage_ = stage;
     log_.info("planner {}: {}", start_.name, name_of(stage));
 }
 
-void Program::stop() { inbox_.put(arrival::Stop{}); }
+void PlannerProcess::stop() { inbox_.put(core_event::StopRequested{}); }
 
-void Program::reload(const Environment& environment) try {
-    Reread reread = reread_start_file(environment, start_);
+void PlannerProcess::reload(const Environment& environment) try {
+    ReloadedConfiguration reread = reload_configuration(environment, start_);
     (void)address_or_throw(reread.discovery, "discovery");
-    inbox_.put(arrival::Reloaded{std::move(reread)});
+    inbox_.put(core_event::ConfigurationReloaded{std::move(reread)});
 } catch (const std::exception& bad) { log_.error("reload: nothing is changed: {}", bad.what()); }
 
-void Program::follow(const std::string& discovery) {
+void PlannerProcess::follow(const std::string& discovery) {
     watch_.follow(discovery, address_or_throw(discovery, "discovery"));
 }
 
 // Nobody is told `alive` before the module has heard the list it is to begin with.
-bool Program::begin_serving(std::string& why) {
+bool PlannerProcess::begin_serving(std::string& why) {
     enter(Stage::hearing_known);
     log_.info("room for {} connections, {} unidentified peers among them", limits_.connections,
               limits_.unidentified);
     if (!limits_.enough)
         log_.warn("'limits' don't suffice for {} proxies at once: who comes last is turned away",
-                  start_.terms.proxies);
+                  start_.settings.proxy_count);
     {
         std::vector<Inbox::Item> known;
         known.push_back(
-            {clock_(), arrival::ListTold{std::move(start_.known)}});  // it may be large: no copy stays
+            {clock_(), core_event::EndpointListReceived{std::move(start_.known)}});  // it may be large: no copy stays
         core_.turn(known, clock_());
     }
     if (!start_.discovery.empty() && !watch_.start()) {
@@ -91,7 +91,7 @@
     return acceptor_.open(listen_, why);
 }
 
-int Program::run() {
+int PlannerProcess::run() {
     if (std::string why; !begin_serving(why)) {
         log_.error("{}: {}", start_.listen, why);
         enter(Stage::failed);
@@ -109,7 +109,7 @@
     return broken_ ? 1 : 0;
 }
 
-void Program::decide_on() try {
+void PlannerProcess::decide_on() try {
     while (!core_.stopping()) {
         auto items = inbox_.wait(core_.next_due());
         core_.turn(items, clock_());
--- a/src/daemon/program.hpp
+++ b/src/daemon/planner_process.hpp
@@ -4,7 +4,7 @@
 #include <atomic>
 
 #include "daemon/limits.hpp"
-#include "daemon/start_file.hpp"
+#include "daemon/start_configuration.hpp"
 #include "log/log.hpp"
 #include "net/acceptor.hpp"
 #include "net/discovery_watch.hpp"
@@ -17,16 +17,16 @@
 enum class Stage { made, hearing_known, serving, ending, ended, failed };
 const char* name_of(Stage stage);
 
-class Program : private Outlet {
+class PlannerProcess : private Transport {
  public:
-    Program(StartFile start, Clock clock, Log& log, Witness* witness = nullptr, SyncPoints* sync = nullptr,
+    PlannerProcess(StartConfiguration start, Clock clock, Log& log, Observer* observer = nullptr, SyncPoints* sync = nullptr,
             net::WatchPatience patience = {});
 
     // Serves until stop() is called, by any thread. The program's exit code.
     int run();
     void stop();
     // A list from elsewhere than discovery, which `start.discovery` leaves empty then. Any thread.
-    void hear(protocol::ListSaid said) { inbox_.put(arrival::ListTold{std::move(said)}); }
+    void handle(protocol::EndpointListMessage said) { inbox_.put(core_event::EndpointListReceived{std::move(said)}); }
     // Reads the start file again, on the caller's thread. One that can't be used changes nothing.
     void reload(const Environment& environment);
     Stage stage() const { return stage_; }
@@ -45,13 +45,13 @@
     bool begin_serving(std::string& why);
     void decide_on();
 
-    StartFile start_;
+    StartConfiguration start_;
     const Clock clock_;
     Log& log_;
     const net::Address listen_;
     std::atomic<Stage> stage_{Stage::made};
     const Limits limits_;
-    protocol::Pool reading_, lines_, writing_;
+    protocol::BufferPool reading_, lines_, writing_;
     Inbox inbox_;
     net::Acceptor acceptor_;
     net::Prober prober_;
--- a/src/daemon/start_file.cpp
+++ b/src/daemon/start_configuration.cpp
@@ -1,4 +1,4 @@
-#include "daemon/start_file.hpp"
+#include "daemon/start_configuration.hpp"
 
 #include <algorithm>
 #include <fstream>
@@ -6,7 +6,7 @@
 #include <sstream>
 
 #include "protocol/json_cursor.hpp"
-#include "protocol/whole_number.hpp"
+#include "protocol/parse_integer.hpp"
 
 namespace micaroad {
 namespace {
@@ -16,7 +16,7 @@
 const json& member(const json& object, const char* key) {
     const auto found = object.find(key);
     if (found == object.end() || found->is_null())
-        throw BadStart(std::string("the start file lacks '") + key + "'");
+        throw ConfigurationError(std::string("the start file lacks '") + key + "'");
     return *found;
 }
 
@@ -25,7 +25,7 @@
                       const char* key) {
     if (const char* value = environment(variable); value && *value) return value;
     const json& found = member(file, key);
-    if (!found.is_string()) throw BadStart(std::string("'") + key + "' is no text");
+    if (!found.is_string()) throw ConfigurationError(std::string("'") + key + "' is no text");
     return found.get<std::string>();
 }
 
@@ -34,27 +34,27 @@
     if (seed.is_number_unsigned()) return seed.get<std::uint64_t>();
     const std::string text = seed.is_string() ? seed.get<std::string>() : "";
     std::uint64_t value = 0;
-    if (!protocol::read_whole(text, value, 16)) throw BadStart("'seed' is no hexadecimal number");
+    if (!protocol::parse_integer(text, value, 16)) throw ConfigurationError("'seed' is no hexadecimal number");
     return value;
 }
 
 // A report is at most as long as a hundred and twenty usual ones (a break may lie within), and a try ends
 // with its RPC's deadline, where the settings tell one.
-protocol::Bounds bounds_of(const json& profile, const Terms& terms) {
+protocol::Bounds bounds_of(const json& profile, const DeploymentSettings& settings) {
     protocol::Bounds bounds;
-    bounds.proxies = terms.proxies;
-    bounds.longest_window = std::max(120 * terms.report_every, Span{10'000});
-    Span deadline{};
+    bounds.proxies = settings.proxy_count;
+    bounds.longest_window = std::max(120 * settings.report_interval, Duration{10'000});
+    Duration deadline{};
     for (const json& method : profile.value("classes", json::array()))
-        deadline = std::max(deadline, span_of(method.value("deadline_us", std::int64_t{0})));
-    if (deadline > Span{}) bounds.longest_mean = 2 * deadline;
+        deadline = std::max(deadline, duration_of_micros(method.value("deadline_us", std::int64_t{0})));
+    if (deadline > Duration{}) bounds.longest_mean = 2 * deadline;
     return bounds;
 }
 
 std::size_t limit_from(const json& file, const char* key) {
     const json& limit = member(member(file, "limits"), key);
     if (!limit.is_number() || !(limit.get<double>() >= 0 && limit.get<double>() < 1e9))
-        throw BadStart(std::string("'limits.") + key + "' can't be used");
+        throw ConfigurationError(std::string("'limits.") + key + "' can't be used");
     return limit.get<std::size_t>();
 }
 
@@ -91,26 +91,26 @@
     });
     cursor.end();
     parted.file = json::parse(without(text, parted.known), nullptr, false);
-    if (!parted.file.is_object()) throw BadStart(kNoObject);
+    if (!parted.file.is_object()) throw ConfigurationError(kNoObject);
     return parted;
-} catch (const protocol::JsonFault&) { throw BadStart(kNoObject); }
+} catch (const protocol::JsonFault&) { throw ConfigurationError(kNoObject); }
 
 std::string text_of_file(const Environment& environment) {
     const char* path = environment("LB_CONFIG");
-    if (!path || !*path) throw BadStart("LB_CONFIG is not set");
+    if (!path || !*path) throw ConfigurationError("LB_CONFIG is not set");
     const std::ifstream file(path);
     std::ostringstream read;
     read << file.rdbuf();
     std::string text = std::move(read).str();
-    if (!file || text.empty()) throw BadStart(std::string("LB_CONFIG: ") + path + " can't be read");
+    if (!file || text.empty()) throw ConfigurationError(std::string("LB_CONFIG: ") + path + " can't be read");
     return text;
 }
 
 }  // namespace
 
-StartFile read_start_text(const std::string& text, const Environment& environment) {
+StartConfiguration parse_start_configuration(const std::string& text, const Environment& environment) {
     const auto [file, known] = part(text);
-    StartFile start;
+    StartConfiguration start;
     start.rest = rest_of(file);
     start.name = text_from(environment, "LB_NAME", file, "name");
     start.listen = text_from(environment, "LB_LISTEN", file, "listen");
@@ -118,27 +118,27 @@
     start.seed = seed_from(file);
     const json& profile = member(file, "settings");
     try {
-        start.terms = terms_of(profile);
-        start.names = names_of(profile);
+        start.settings = parse_deployment_settings(profile);
+        start.names = parse_symbol_table(profile);
     } catch (const json::exception& bad) {
-        throw BadStart(std::string("'settings' can't be used: ") + bad.what());
+        throw ConfigurationError(std::string("'settings' can't be used: ") + bad.what());
     }
-    if (start.terms.methods.empty()) throw BadStart("'settings' names no method");
-    if (start.names.zones.empty()) throw BadStart("'settings' names no zone");
-    if (start.terms.proxies < 1) throw BadStart("'settings' allows no proxy");
-    start.bounds = bounds_of(profile, start.terms);
+    if (start.settings.methods.empty()) throw ConfigurationError("'settings' names no method");
+    if (start.names.zones.empty()) throw ConfigurationError("'settings' names no zone");
+    if (start.settings.proxy_count < 1) throw ConfigurationError("'settings' allows no proxy");
+    start.bounds = bounds_of(profile, start.settings);
     start.sockets = limit_from(file, "sockets");
     start.memory_mb = limit_from(file, "memory_mb");
-    if (known.empty() || known == "null") throw BadStart("the start file lacks 'known'");
-    auto list = protocol::ListReader(start.names).read(known);
-    if (!list) throw BadStart("'known' is no list of servers");
+    if (known.empty() || known == "null") throw ConfigurationError("the start file lacks 'known'");
+    auto list = protocol::EndpointListReader(start.names).read(known);
+    if (!list) throw ConfigurationError("'known' is no list of servers");
     start.known = std::move(*list);
-    start.known.list.form = event::List::Form::complete;
+    start.known.list.form = event::EndpointListUpdate::Form::complete;
     return start;
 }
 
-StartFile read_start_file(const Environment& environment) {
-    return read_start_text(text_of_file(environment), environment);
+StartConfiguration load_start_configuration(const Environment& environment) {
+    return parse_start_configuration(text_of_file(environment), environment);
 }
 
 namespace {
@@ -150,34 +150,34 @@
 }
 
 // Guards against another deployment's file in this one's place: not even its discovery is followed.
-void expect_ours(const json& file, const StartFile& start) {
+void expect_ours(const json& file, const StartConfiguration& start) {
     const auto settings = file.find("settings");
     if (settings == file.end()) return;
     try {
-        const Names names = names_of(*settings);
+        const SymbolTable names = parse_symbol_table(*settings);
         if (any_of(names.methods, start.names.methods) && any_of(names.zones, start.names.zones)) return;
     } catch (const json::exception& bad) {
-        throw BadStart(std::string("'settings' can't be used: ") + bad.what());
+        throw ConfigurationError(std::string("'settings' can't be used: ") + bad.what());
     }
-    throw BadStart("'settings' names none of our methods, or none of our zones: another deployment's file");
+    throw ConfigurationError("'settings' names none of our methods, or none of our zones: another deployment's file");
 }
 
 }  // namespace
 
-Reread reread_start_text(const std::string& text, const StartFile& start) {
+ReloadedConfiguration parse_reloaded_configuration(const std::string& text, const StartConfiguration& start) {
     const json file = part(text).file;
     expect_ours(file, start);
     const auto no_variable = [](const char*) -> const char* { return nullptr; };
-    Reread reread{text_from(no_variable, "", file, "discovery"), {}};
+    ReloadedConfiguration reread{text_from(no_variable, "", file, "discovery"), {}};
     for (const auto& [key, told] : rest_of(file)) {
         const auto old = start.rest.find(key);
-        if (old == start.rest.end() || old->second != told) reread.unheeded.push_back(key);
+        if (old == start.rest.end() || old->second != told) reread.restart_required_keys.push_back(key);
     }
     return reread;
 }
 
-Reread reread_start_file(const Environment& environment, const StartFile& start) {
-    return reread_start_text(text_of_file(environment), start);
+ReloadedConfiguration reload_configuration(const Environment& environment, const StartConfiguration& start) {
+    return parse_reloaded_configuration(text_of_file(environment), start);
 }
 
 }  // namespace micaroad
--- a/src/memberships.hpp
+++ b/src/decision/pool_membership.hpp
@@ -11,12 +11,12 @@
 #include <utility>
 #include <vector>
 
-#include "figures.hpp"
-#include "notes.hpp"
+#include "decision/numeric.hpp"
+#include "decision/messages.hpp"
 
-namespace micaroad {
+namespace micaroad::decision {
 
-struct Member;
+struct PoolMember;
 
 // Orders servers by their names, without a copy of these.
 struct ByServer {
@@ -25,18 +25,18 @@
 
 // A server in one pool. The place stays while the server is open, also where a new kind or zone took the
 // server out of the pool: its size counts as 0 there.
-struct Place {
-    Member* member = nullptr;
+struct PoolPlace {
+    PoolMember* member = nullptr;
     double weight = 0;  // of the softmax, a logarithm
     double share = 0;   // of the pool, as published
 };
 
 // A server that is listed, or was until a moment ago.
-struct Member {
+struct PoolMember {
     const ServerId* id = nullptr;
-    Standing seen{};
+    EndpointStatus seen{};
     double entering = 0;  // its weight in every pool in which it has no place
-    std::vector<std::pair<std::size_t, Place*>> places{};  // by pool, in their order
+    std::vector<std::pair<std::size_t, PoolPlace*>> places{};  // by pool, in their order
     bool trusted = false, doubted = false;
     bool cold = false;                     // as published
     bool warming = false, queued = false;  // in the lists of these
@@ -44,60 +44,60 @@
 };
 
 struct WeighedPool {
-    Binding binding;
+    PoolBinding binding;
     Method like;
     double part = 1;  // of the traffic
-    std::map<const ServerId*, Place, ByServer> places{};
+    std::map<const ServerId*, PoolPlace, ByServer> places{};
 };
 
 // The open servers of a pool in the order of their names, with a figure of each in every row.
 struct PoolRows {
     std::size_t pool = 0;
-    std::vector<Place*> places{};
+    std::vector<PoolPlace*> places{};
     std::vector<std::size_t> index{};  // among the servers of a step
     // Share: as published, as a part of the sum of these; size: 0 where the pool is not open to the server.
-    Row weight{}, share{}, size{};
-    Row most{};        // the ceiling of its share
+    RealVector weight{}, share{}, size{};
+    RealVector most{};        // the ceiling of its share
     double sizes = 0;  // the sum of `size`
 };
 
 // Adds to the rate of each open server what comes more where a pool's shares move on from the published ones.
 // `rate`: of the pool's RPCs, a second.
-inline void add_moves(const PoolRows& pool, const Row& shares, double rate, Row& to) {
+inline void add_moves(const PoolRows& pool, const RealVector& shares, double rate, RealVector& to) {
     for (std::size_t i = 0; i < shares.size(); ++i) to[pool.index[i]] += rate * (shares[i] - pool.share[i]);
 }
 
 // The square of the distance between two rows.
-inline double moved(const Row& from, const Row& to) {
+inline double moved(const RealVector& from, const RealVector& to) {
     return to.size() > 0 ? std::pow(to - from, 2.0).sum() : 0;
 }
 
 // Shares by softmax over the weights, none of a server of size 0. What is over a ceiling is dealt among those
 // that have none, by their shares; where all have one, no ceiling holds.
-inline Row capped_softmax(const PoolRows& pool, const Row& weight) {
-    if (pool.sizes == 0) return Row(pool.places.size());
-    Row share = std::exp(weight - Row(weight[pool.size > 0.0]).max());
+inline RealVector capped_softmax(const PoolRows& pool, const RealVector& weight) {
+    if (pool.sizes == 0) return RealVector(pool.places.size());
+    RealVector share = std::exp(weight - RealVector(weight[pool.size > 0.0]).max());
     share[pool.size == 0.0] = 0;
     share /= share.sum();
-    Row eased = share, free = share;
+    RealVector eased = share, free = share;
     for (std::size_t i = 0; i < share.size(); ++i) {
         (pool.most[i] < 1 ? free : eased)[i] = 0;
         eased[i] = std::min(eased[i], pool.most[i]);
     }
-    return free.sum() > 0 ? Row(eased + free * (1 - eased.sum()) / free.sum()) : share;
+    return free.sum() > 0 ? RealVector(eased + free * (1 - eased.sum()) / free.sum()) : share;
 }
 
-class Memberships {
+class PoolMemberships {
  public:
     std::vector<WeighedPool> pools;
 
     // Methods that are open alike share a pool; one that keeps to its own zone has a pool for each.
-    explicit Memberships(const Terms& terms) {
+    explicit PoolMemberships(const DeploymentSettings& settings) {
         using Openness = std::tuple<std::vector<KindId>, std::vector<ZoneId>, std::optional<ZoneId>>;
         std::map<Openness, std::size_t> known;
-        for (int m = 0; m < std::ssize(terms.methods) && terms.slices == 0; ++m) {
-            const Method& method = terms.methods[m];
-            for (int zone = 0; zone < (method.own_zone_only ? terms.zones : 1); ++zone) {
+        for (int m = 0; m < std::ssize(settings.methods) && settings.slice_count == 0; ++m) {
+            const Method& method = settings.methods[m];
+            for (int zone = 0; zone < (method.own_zone_only ? settings.zone_count : 1); ++zone) {
                 const auto home = method.own_zone_only ? std::optional{ZoneId{zone}} : std::nullopt;
                 const Openness openness{method.only_kinds, method.only_zones, home};
                 const auto [at, added] = known.try_emplace(openness, pools.size());
@@ -108,28 +108,28 @@
     }
 
     bool empty() const { return members_.empty(); }
-    std::pair<Member&, bool> member(const ServerId& server) {  // true: it was not held
+    std::pair<PoolMember&, bool> member(const ServerId& server) {  // true: it was not held
         const auto [at, added] = members_.try_emplace(server);
         if (added) at->second.id = &at->first;
         return {at->second, added};
     }
     // Open servers in the order of their names.
-    std::vector<Member*> open() {
-        std::vector<Member*> open;
+    std::vector<PoolMember*> open() {
+        std::vector<PoolMember*> open;
         for (auto& [id, member] : members_) {
             if (member.seen.open) open.push_back(&member);
         }
         return open;
     }
     // Numbers the servers of a step, which are some of the open ones.
-    static void number(const std::vector<Member*>& open, const std::vector<Member*>& of_step) {
-        for (Member* const member : open) member->index.reset();
+    static void number(const std::vector<PoolMember*>& open, const std::vector<PoolMember*>& of_step) {
+        for (PoolMember* const member : open) member->index.reset();
         for (std::size_t i = 0; i < of_step.size(); ++i) of_step[i]->index = i;
     }
 
     // Takes over what a server says of itself. `entering`: its weight where it opens now.
-    void update(Member& member, const Standing& now, bool doubted, double entering) {
-        const Standing& was = member.seen;
+    void update(PoolMember& member, const EndpointStatus& now, bool doubted, double entering) {
+        const EndpointStatus& was = member.seen;
         const bool opens = now.open && !was.open, closes = was.open && !now.open;
         const bool moves = now.entry.kind != was.entry.kind || now.entry.zone != was.entry.zone;
         const bool same = !opens && !closes && !moves && doubted == member.doubted &&
@@ -146,15 +146,15 @@
     }
     // Takes so much of `downhill` off the weights, where they stay above a member's `least`.
     template <class Least>
-    void move(const std::vector<Member*>& open, const std::vector<PoolRows>& rows, double part,
-              const std::vector<Row>& downhill, Least least) {
+    void move(const std::vector<PoolMember*>& open, const std::vector<PoolRows>& rows, double part,
+              const std::vector<RealVector>& downhill, Least least) {
         for (std::size_t k = 0; k < rows.size(); ++k) {
             for (std::size_t i = 0; i < rows[k].places.size(); ++i) {
-                Place& place = *rows[k].places[i];
+                PoolPlace& place = *rows[k].places[i];
                 place.weight = std::max(place.weight - part * downhill[k][i], least(*place.member));
             }
         }
-        for (Member* const member : open) member->entering = std::max(member->entering, least(*member));
+        for (PoolMember* const member : open) member->entering = std::max(member->entering, least(*member));
         touch_all();
     }
 
@@ -163,7 +163,7 @@
     template <class Warmth>
     bool age(Warmth warmth) {
         bool any_cold = false;
-        std::erase_if(warming_, [&](Member* member) {
+        std::erase_if(warming_, [&](PoolMember* member) {
             const double its = warmth(*member);
             any_cold |= its < 1 && member->seen.open;
             if ((its < 1) != member->cold) queue(*member);
@@ -175,15 +175,15 @@
     }
 
     // Its figures are to be published again.
-    void queue(Member& member) {
+    void queue(PoolMember& member) {
         if (!std::exchange(member.queued, true)) queued_.push_back(&member);
     }
-    std::vector<Member*> take_queued() {
-        for (Member* const member : queued_) member->queued = false;
+    std::vector<PoolMember*> take_queued() {
+        for (PoolMember* const member : queued_) member->queued = false;
         return std::exchange(queued_, {});
     }
     // The shares of its pools, or of all, are to be worked out again.
-    void touch(const Member& member) {
+    void touch(const PoolMember& member) {
         for (const auto& [pool, place] : member.places) touched_.insert(pool);
     }
     void touch_all() {
@@ -191,18 +191,18 @@
     }
     std::set<std::size_t> take_touched() { return std::exchange(touched_, {}); }
 
-    void publish(const PoolRows& rows, const Row& shares) {
+    void publish(const PoolRows& rows, const RealVector& shares) {
         for (std::size_t i = 0; i < rows.places.size(); ++i) {
-            Place& place = *rows.places[i];
+            PoolPlace& place = *rows.places[i];
             if (std::exchange(place.share, shares[i]) != shares[i]) queue(*place.member);
         }
     }
     // What there is to tell of one whose figures changed. One that has closed leaves its pools; one that is
     // gone is forgotten.
-    Wish take_wish(Member& member) {
-        const Standing& seen = member.seen;
+    DesiredWeights take_wish(PoolMember& member) {
+        const EndpointStatus& seen = member.seen;
         if (!seen.open) leave_pools(member);
-        Wish wish{seen.entry.server, seen.entry.zone, {}, seen.steady, member.cold, seen.gone()};
+        DesiredWeights wish{seen.entry.server, seen.entry.zone, {}, seen.steady, member.cold, seen.gone()};
         for (const auto& [pool, place] : member.places) {
             if (place->share != 0) wish.shares.emplace_back(pool, place->share);
         }
@@ -228,15 +228,15 @@
             if (place.member->seen.open && (!numbered || place.member->index)) rows.places.push_back(&place);
         }
         rows.index.reserve(rows.places.size());
-        for (const Place* const place : rows.places) rows.index.push_back(place->member->index.value_or(0));
-        rows.weight = row_of(rows.places, [](const Place& place) { return place.weight; });
-        rows.share = parts_of(rows.places, [](const Place& place) { return place.share; });
-        rows.size = row_of(rows.places, [&pool](const Place& place) {
-            const ListedServer& entry = place.member->seen.entry;
+        for (const PoolPlace* const place : rows.places) rows.index.push_back(place->member->index.value_or(0));
+        rows.weight = row_of(rows.places, [](const PoolPlace& place) { return place.weight; });
+        rows.share = parts_of(rows.places, [](const PoolPlace& place) { return place.share; });
+        rows.size = row_of(rows.places, [&pool](const PoolPlace& place) {
+            const ListedEndpoint& entry = place.member->seen.entry;
             return open_to(pool.like, pool.binding.zone, entry) ? entry.size : 0;
         });
         rows.sizes = rows.places.empty() ? 0 : rows.size.sum();
-        rows.most = Row(rows.places.size());
+        rows.most = RealVector(rows.places.size());
         for (std::size_t i = 0; i < rows.places.size(); ++i) {
             rows.most[i] = ceiling(*rows.places[i]->member, rows.size[i] / rows.sizes);
         }
@@ -254,37 +254,37 @@
         for (const KindId kind : std::set(like.only_kinds.begin(), like.only_kinds.end()))
             by_kind_[kind].push_back(number);
     }
-    void enter(Member& member, double weight) {
+    void enter(PoolMember& member, double weight) {
         member.entering = weight;
         for (const auto& [pool, place] : member.places) place->weight = weight;
     }
-    void join_pools(Member& member) {
+    void join_pools(PoolMember& member) {
         std::vector<std::size_t> candidates = open_to_any_kind_;
         if (const auto at = by_kind_.find(member.seen.entry.kind); at != by_kind_.end())
             candidates.insert(candidates.end(), at->second.begin(), at->second.end());
         for (const std::size_t k : candidates) {
             WeighedPool& pool = pools[k];
             if (!open_to(pool.like, pool.binding.zone, member.seen.entry)) continue;
-            const auto [at, added] = pool.places.try_emplace(member.id, Place{&member, member.entering, 0});
+            const auto [at, added] = pool.places.try_emplace(member.id, PoolPlace{&member, member.entering, 0});
             if (added) member.places.emplace_back(k, &at->second);
         }
         std::sort(member.places.begin(), member.places.end());
     }
 
-    void leave_pools(Member& member) {
+    void leave_pools(PoolMember& member) {
         for (const auto& [pool, place] : member.places) pools[pool].places.erase(member.id);
         member.places.clear();
     }
-    void erase(Member& member) {
+    void erase(PoolMember& member) {
         if (member.warming) std::erase(warming_, &member);
         members_.erase(members_.find(*member.id));
     }
 
-    std::map<ServerId, Member> members_;
+    std::map<ServerId, PoolMember> members_;
     std::map<KindId, std::vector<std::size_t>> by_kind_;
     std::vector<std::size_t> open_to_any_kind_;
     std::set<std::size_t> touched_;
-    std::vector<Member*> warming_, queued_;
+    std::vector<PoolMember*> warming_, queued_;
 };
 
-}  // namespace micaroad
+}  // namespace micaroad::decision
--- a/src/ledger.hpp
+++ b/src/decision/send_window.hpp
@@ -14,9 +14,9 @@
 
 #include "micaroad/types.hpp"
 
-namespace micaroad {
+namespace micaroad::decision {
 
-class Ledger {
+class SendWindow {
  public:
     double waiting() const { return std::max(ordered_ - passed_, at_pace_); }
 
@@ -25,15 +25,15 @@
         open_.charged[proxy] += lines, ordered_ += lines, at_pace_ += lines;
     }
     // The mark of all that was charged since the last; absent: nothing was.
-    std::optional<MarkId> mark() {
+    std::optional<Nonce> mark() {
         while (!marks_.empty() && end_of(marks_.begin()->second) <= passed_) marks_.erase(marks_.begin());
         if (open_.charged.empty()) return std::nullopt;
-        const MarkId mark{next_ % kNumbers};
+        const Nonce mark{next_ % kNumbers};
         marks_[next_++] = std::exchange(open_, {ordered_, {}, 0});
         marks_.erase(next_ - kNumbers);
         return mark;
     }
-    bool answered(ProxyId proxy, MarkId mark) {
+    bool answered(ProxyId proxy, Nonce mark) {
         const int newer = (next_ - 1 - mark.value % kNumbers + kNumbers) % kNumbers;
         const auto at = marks_.find(next_ - 1 - newer);
         if (at == marks_.end()) return false;
@@ -78,4 +78,4 @@
     int next_ = 0;
 };
 
-}  // namespace micaroad
+}  // namespace micaroad::decision
--- a/src/haproxy/pools.cpp
+++ b/src/haproxy/pools.cpp
@@ -49,20 +49,20 @@
     routing::Pool pool;
     pool.name = section.name;
     say(header, Verdict::translated, fmt::format("pool {}", pool.name));
-    const auto timeout = [&](const char* name) -> std::optional<Span> {
+    const auto timeout = [&](const char* name) -> std::optional<Duration> {
         const auto at = settings.timeouts.find(name);
         return at == settings.timeouts.end() ? std::nullopt : std::optional(at->second.get(findings_));
     };
     const auto connect = timeout("connect"), answer = timeout("server"), queue = timeout("queue"),
                check = timeout("check");
-    const auto unlimited = [](std::optional<Span> time) { return !time || *time == Span{}; };
+    const auto unlimited = [](std::optional<Duration> time) { return !time || *time == Duration{}; };
     if (unlimited(connect) || unlimited(answer))
         say(header, Verdict::changed,
             "without `timeout connect` or `timeout server` the original waits without end; here 5 s and 30 "
             "s");
     if (!unlimited(connect)) pool.connect_within = *connect, pool.queue_patience = *connect;
     if (!unlimited(answer)) pool.answer_within = *answer;
-    if (queue && *queue == Span{})
+    if (queue && *queue == Duration{})
         say(settings.timeouts.at("queue").line(), Verdict::changed,
             "nobody waits without end: as long as for a connection");
     else if (queue)
@@ -243,8 +243,8 @@
     const routing::HealthRule usual;
     const bool first = health_by_.try_emplace(pool.name, at.statement->word(1)).second;
     rule.every = words.inter.value_or(usual.every);
-    rule.every_in_doubt = words.fast_inter.value_or(Span{}),
-    rule.every_while_down = words.down_inter.value_or(Span{});
+    rule.every_in_doubt = words.fast_inter.value_or(Duration{}),
+    rule.every_while_down = words.down_inter.value_or(Duration{});
     rule.rise = words.rise.value_or(usual.rise), rule.fall = words.fall.value_or(usual.fall);
     rule.errors_most = words.observes ? words.error_limit.value_or(kErrorLimit) : 0;
     if (first)
--- a/src/haproxy/section.hpp
+++ b/src/haproxy/section.hpp
@@ -62,7 +62,7 @@
     Setting<Cookie> cookie;
     Setting<Check> check;
     Setting<std::string> stick_table;
-    std::map<std::string, Setting<Span>> timeouts;
+    std::map<std::string, Setting<Duration>> timeouts;
     Setting<std::string> default_backend;
     ServerWords default_server;
     std::vector<std::size_t> default_server_lines;
--- a/src/haproxy/server_line.cpp
+++ b/src/haproxy/server_line.cpp
@@ -115,10 +115,10 @@
         if (!value) return leave_out(fmt::format("{} {}", word, value.wrong)), std::nullopt;
         return static_cast<int>(*value);
     };
-    const auto time = [&](const char* word, bool zero_may = false) -> std::optional<Span> {
+    const auto time = [&](const char* word, bool zero_may = false) -> std::optional<Duration> {
         const auto value = time_of(statement.word(++at));
         if (!value) return leave_out(fmt::format("{} {}", word, value.wrong)), std::nullopt;
-        if (*value == Span{} && !zero_may)
+        if (*value == Duration{} && !zero_may)
             return leave_out(fmt::format("{} is no time at all", word)), std::nullopt;
         return *value;
     };
@@ -159,7 +159,7 @@
             words.fall = in_a_row("fall");
         else if (word == "slowstart") {
             // The original counts it in whole seconds, rounded up.
-            const Span given = time("slowstart", true).value_or(Span{});
+            const Duration given = time("slowstart", true).value_or(Duration{});
             words.slow_start = std::chrono::ceil<std::chrono::seconds>(given);
         } else if (word == "maxconn")
             words.max_conn = number("maxconn", 0, kInt).value_or(0);
--- a/src/haproxy/server_line.hpp
+++ b/src/haproxy/server_line.hpp
@@ -15,11 +15,11 @@
 struct ServerWords {
     int weight = 1;
     bool backup = false, disabled = false, check = false;
-    std::optional<Span> inter, fast_inter, down_inter;
+    std::optional<Duration> inter, fast_inter, down_inter;
     std::optional<int> rise, fall, error_limit;
     bool observes = false;
     std::string on_error;
-    Span slow_start{};
+    Duration slow_start{};
     int max_conn = 0, min_conn = 0, max_queue = 0;
     std::string track, cookie;
     bool left_out = false;  // a value that the original itself refuses: no server comes of this line
--- a/src/haproxy/units.cpp
+++ b/src/haproxy/units.cpp
@@ -20,7 +20,7 @@
     return {number, ""};
 }
 
-Or<Span> time_of(std::string_view text) {
+Or<Duration> time_of(std::string_view text) {
     std::int64_t number = 0;
     const auto [end, wrong] = std::from_chars(text.data(), text.data() + text.size(), number);
     if (wrong == std::errc::result_out_of_range)
@@ -38,7 +38,7 @@
     constexpr std::int64_t kLongest = 2'147'483'647LL * 1'000;  // microseconds
     if (number > kLongest / micros)
         return {std::nullopt, fmt::format("'{}' is longer than a timer holds (2147483647 ms)", text)};
-    return {Span{(number * micros + 99) / 100}, ""};
+    return {Duration{(number * micros + 99) / 100}, ""};
 }
 
 std::string Endpoint::text() const {
--- a/src/haproxy/units.hpp
+++ b/src/haproxy/units.hpp
@@ -26,7 +26,7 @@
 
 // us, ms, s, m, h, d; milliseconds where no unit stands. At most 2,147,483,647 ms, as in the original;
 // rounded up to a tenth of a millisecond.
-Or<Span> time_of(std::string_view text);
+Or<Duration> time_of(std::string_view text);
 
 struct Endpoint {
     enum class Kind { literal, any_host, needs_look_up, unix_path, other } kind = Kind::literal;
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -41,7 +41,7 @@
     close();
     poller_->leave(socket_);
     if (role_ == Role::stream)
-        context_.inbox.put(arrival::StreamEnded{id_, why});
+        context_.inbox.put(core_event::StreamClosed{id_, why});
     else if (role_ == Role::collector)
         context_.log.info("collector {}: ended, {}", peer_, why);
     else
@@ -49,7 +49,7 @@
 }
 
 // What has come is read before its date is looked at.
-std::optional<std::string> Connection::hear(char* into, std::size_t most) {
+std::optional<std::string> Connection::handle(char* into, std::size_t most) {
     {
         const std::lock_guard lock(mutex_);
         hearing_ = true;
@@ -115,10 +115,10 @@
 
 // What a joined peer says amiss costs it that line; an unidentified peer has nothing to lose.
 std::string Connection::take(std::string_view line) {
-    const auto verdict = protocol::read_message(line, context_.names, context_.bounds);
-    if (const auto* unreadable = std::get_if<protocol::Unreadable>(&verdict)) return unreadable->why;
+    const auto verdict = protocol::parse_message(line, context_.names, context_.bounds);
+    if (const auto* unreadable = std::get_if<protocol::Unparseable>(&verdict)) return unreadable->why;
     std::string why;
-    if (const auto* spoilt = std::get_if<protocol::Spoilt>(&verdict)) {
+    if (const auto* spoilt = std::get_if<protocol::Malformed>(&verdict)) {
         why = spoilt->why;
     } else {
         heard_ = steady_clock::now();
@@ -138,13 +138,13 @@
     return true;
 }
 
-std::string Connection::take(const protocol::AliveAsked&) {
+std::string Connection::take(const protocol::LivenessQuery&) {
     const bool sent =
         role_ == Role::stream ? post(protocol::kAlive) == Posted::yes : socket_.send_now(protocol::kAlive);
     return sent ? "" : "it does not read";
 }
 
-std::string Connection::take(const protocol::CollectorNamed& named) {
+std::string Connection::take(const protocol::CollectorIdentified& named) {
     if (role_ != Role::unidentified) return kSecondRole;
     if (!become(Role::collector)) return kShed;
     context_.log.info("collector {} speaks for {}", peer_, context_.names.zone(named.zone));
@@ -155,27 +155,27 @@
     if (role_ != Role::unidentified) return kSecondRole;
     if (!become(Role::stream)) return kShed;
     proxy_ = joined.proxy;
-    context_.inbox.put(arrival::StreamBegun{id_, joined});
+    context_.inbox.put(core_event::StreamOpened{id_, joined});
     return {};
 }
 
-std::string Connection::take(const event::MarkApplied& applied) {
+std::string Connection::take(const event::Acknowledgement& applied) {
     if (role_ != Role::stream || applied.proxy != proxy_) return "an answer that is not this proxy's";
-    if (!context_.inbox.put_of(id_, kMostAnswers, arrival::StreamAnswered{id_, applied})) count_dropped();
+    if (!context_.inbox.put_bounded(id_, kMostAnswers, core_event::StreamAcknowledged{id_, applied})) count_dropped();
     return {};
 }
 
-std::string Connection::take(const event::Outcomes& met) {
+std::string Connection::take(const event::EndpointLoadReport& met) {
     if (role_ != Role::collector) return "outcomes from what is no collector";
-    if (!context_.inbox.put_of(id_, Inbox::kMostReportsOfOne, arrival::Reported{met})) count_dropped();
+    if (!context_.inbox.put_bounded(id_, Inbox::kMostReportsOfOne, core_event::ReportReceived{met})) count_dropped();
     return {};
 }
 
-std::string Connection::take(const event::Arrivals& came) {
+std::string Connection::take(const event::DemandReport& came) {
     if (role_ == Role::unidentified || (role_ == Role::stream && came.proxy != proxy_))
         return "usage from what is neither a collector nor that proxy";
     const std::size_t most = role_ == Role::stream ? kMostAnswers : Inbox::kMostReportsOfOne;
-    if (!context_.inbox.put_of(id_, most, arrival::Reported{came})) count_dropped();
+    if (!context_.inbox.put_bounded(id_, most, core_event::ReportReceived{came})) count_dropped();
     return {};
 }
 
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -24,12 +24,12 @@
 
 // What every connection shares.
 struct ConnectionContext {
-    const Names& names;
+    const SymbolTable& names;
     const protocol::Bounds& bounds;
     // Three, so that neither lines without end nor unread orders keep others from being heard.
-    protocol::Pool& reading;  // one for each thread that reads
-    protocol::Pool& lines;    // what is held of unfinished ones
-    protocol::Pool& writing;
+    protocol::BufferPool& reading;  // one for each thread that reads
+    protocol::BufferPool& lines;    // what is held of unfinished ones
+    protocol::BufferPool& writing;
     Inbox& inbox;
     Log& log;
     SyncPoints* sync = nullptr;
@@ -65,7 +65,7 @@
     bool watch();                                                 // false: the poller has no room
 
     // For the event loop's thread.
-    std::optional<std::string> hear(char* into, std::size_t most);  // what has come; why it ends now
+    std::optional<std::string> handle(char* into, std::size_t most);  // what has come; why it ends now
     void ended(const std::string& why);
     std::optional<std::chrono::steady_clock::time_point> due() const;  // by when it has to do something
     void flush();                                                      // what its peer has room for
@@ -88,12 +88,12 @@
     // Why it ends the connection; empty: it doesn't.
     std::string take(std::string_view line);
     // Why it can't be used; empty: it was taken.
-    std::string take(const protocol::AliveAsked&);
-    std::string take(const protocol::CollectorNamed& named);
+    std::string take(const protocol::LivenessQuery&);
+    std::string take(const protocol::CollectorIdentified& named);
     std::string take(const event::ProxyJoined& joined);
-    std::string take(const event::MarkApplied& applied);
-    std::string take(const event::Outcomes& met);
-    std::string take(const event::Arrivals& came);
+    std::string take(const event::Acknowledgement& applied);
+    std::string take(const event::EndpointLoadReport& met);
+    std::string take(const event::DemandReport& came);
     void count_dropped();
     void send_on();  // under the mutex
 
@@ -116,8 +116,8 @@
     std::optional<Refused> refused_;  // it got `error`: what it still says is read and dropped
 
     std::mutex mutex_;
-    protocol::Chain unread_;
-    std::optional<protocol::Chain::Piece> first_;  // of what is unread, where a part of it went out
+    protocol::BufferChain unread_;
+    std::optional<protocol::BufferChain::Piece> first_;  // of what is unread, where a part of it went out
     std::size_t sent_ = 0;                         // of that
     bool closing_ = false, waits_for_room_ = false;
     // Bytes are out of the kernel and not taken; some wait for more; it got `error`, what it says counts no
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -11,8 +11,8 @@
 
 using std::chrono::steady_clock;
 
-DiscoveryWatch::DiscoveryWatch(std::string host, Address address, Names names, std::int64_t version,
-                               std::size_t list_bytes, protocol::Pool& pool, Inbox& inbox, Log& log,
+DiscoveryWatch::DiscoveryWatch(std::string host, Address address, SymbolTable names, std::int64_t version,
+                               std::size_t list_bytes, protocol::BufferPool& pool, Inbox& inbox, Log& log,
                                Patience patience, SyncPoints* sync)
     : patience_(patience),
       list_bytes_(list_bytes),
@@ -109,7 +109,7 @@
     const std::lock_guard lock(mutex_);
     const bool holds = source.turn == spoken_;
     log_.warn("discovery: {}: {}; the {} stands", source.host, why, holds ? "list" : "old address");
-    if (holds) inbox_.put(arrival::WatchLost{});
+    if (holds) inbox_.put(core_event::WatchLost{});
 }
 
 void DiscoveryWatch::watch_on(Source source) {
@@ -168,16 +168,16 @@
 
 DiscoveryWatch::Ended DiscoveryWatch::read_lists(const Source& source, const Asked& asked,
                                                  const Socket& socket) {
-    using protocol::ListFault;
+    using protocol::EndpointListError;
     protocol::HttpReader http;
-    const auto framing = asked.whole ? protocol::ListFraming::document : protocol::ListFraming::line;
-    protocol::ListFeed lists(names_, framing, list_bytes_);
-    const protocol::Pool::Lease buffer = pool_.take();
+    const auto framing = asked.whole ? protocol::EndpointListFraming::document : protocol::EndpointListFraming::line;
+    protocol::EndpointListParser lists(names_, framing, list_bytes_);
+    const protocol::BufferPool::Lease buffer = pool_.take();
     if (!buffer) return {"no buffer left"};
     auto last_line = steady_clock::now();
     bool heard = false, wanted = true, line = false;
     // Under the mutex, so no clock is read here.
-    const auto take_one = [&](std::optional<protocol::ListSaid> said) {
+    const auto take_one = [&](std::optional<protocol::EndpointListMessage> said) {
         line = true;
         wanted = wanted && take(source, std::move(said));
         heard |= wanted;
@@ -187,9 +187,9 @@
         if (got == -2) return {"silence", heard};
         if (got < 0) return {"reset", heard};
         if (got == 0 && !http.end()) return {"its end", heard};
-        ListFault fault = ListFault::none;
+        EndpointListError fault = EndpointListError::none;
         const auto feed = [&](std::string_view body) {
-            if (http.status() != 200 || fault != ListFault::none) return;
+            if (http.status() != 200 || fault != EndpointListError::none) return;
             // The names are shared. And held for the inbox too: a left source says nothing behind a later
             // one.
             const std::lock_guard lock(mutex_);
@@ -198,14 +198,14 @@
         const bool sound = http.feed({buffer->data(), static_cast<std::size_t>(got)}, feed);
         if (http.in_body() && http.status() != 200) return {fmt::format("status {}", http.status()), heard};
         if (!sound) return {"an answer that can't be read", heard};
-        if (http.done() && fault == ListFault::none) {
+        if (http.done() && fault == EndpointListError::none) {
             const std::lock_guard lock(mutex_);
             fault = lists.finish(take_one);
         }
-        if (fault == ListFault::too_long)
+        if (fault == EndpointListError::too_long)
             return {fmt::format("a list over {} bytes, which the memory limit allows", list_bytes_), heard,
                     true};
-        if (fault == ListFault::unreadable || !wanted) return {"a list that can't be read", heard};
+        if (fault == EndpointListError::malformed || !wanted) return {"a list that can't be read", heard};
         if (http.done()) return {"the answer's end", heard};
         const auto now = steady_clock::now();
         if (std::exchange(line, false)) last_line = now;
@@ -217,13 +217,13 @@
     return patience_.whole_line + std::chrono::milliseconds{1'000 * list_size / Patience::kSlowestList};
 }
 
-bool DiscoveryWatch::take(const Source& source, std::optional<protocol::ListSaid> said) {
+bool DiscoveryWatch::take(const Source& source, std::optional<protocol::EndpointListMessage> said) {
     if (!speaks(source)) return false;
     if (!said) return true;
-    const bool whole = said->list.form == event::List::Form::complete;
+    const bool whole = said->list.form == event::EndpointListUpdate::Form::complete;
     if (whole) fetch_ = false;  // not before it has come: an answer that breaks off is asked for again
     if (whole || said->version > version_) version_ = said->version;
-    inbox_.put(arrival::ListTold{std::move(*said)});
+    inbox_.put(core_event::EndpointListReceived{std::move(*said)});
     return true;
 }
 
--- a/src/net/discovery_watch.hpp
+++ b/src/net/discovery_watch.hpp
@@ -15,8 +15,8 @@
 #include "net/thread_group.hpp"
 #include "planner/inbox.hpp"
 #include "planner/sync_points.hpp"
-#include "protocol/pool.hpp"
-#include "protocol/server_list.hpp"
+#include "protocol/buffer_pool.hpp"
+#include "protocol/endpoint_list.hpp"
 
 namespace micaroad::net {
 
@@ -35,9 +35,9 @@
 class DiscoveryWatch {
  public:
     using Patience = WatchPatience;
-    // A list over `list_bytes`, as protocol::ListFeed counts them, is refused, and what is held stands.
-    DiscoveryWatch(std::string host, Address address, Names names, std::int64_t version,
-                   std::size_t list_bytes, protocol::Pool& pool, Inbox& inbox, Log& log,
+    // A list over `list_bytes`, as protocol::EndpointListParser counts them, is refused, and what is held stands.
+    DiscoveryWatch(std::string host, Address address, SymbolTable names, std::int64_t version,
+                   std::size_t list_bytes, protocol::BufferPool& pool, Inbox& inbox, Log& log,
                    Patience patience = {}, SyncPoints* sync = nullptr);
     ~DiscoveryWatch();
 
@@ -84,17 +84,17 @@
         std::size_t list_size) const;   // to come whole, of as many bytes so far
     bool speaks(const Source& source);  // under the mutex; false: a later one has, so this one counts no more
     // Under the mutex. Without a list: an empty line, a sign of life as good as any. False: as speaks().
-    bool take(const Source& source, std::optional<protocol::ListSaid> said);
+    bool take(const Source& source, std::optional<protocol::EndpointListMessage> said);
     bool pause(int turn, std::chrono::milliseconds time);  // false: it is to end
 
     const Patience patience_;
     const std::size_t list_bytes_;
-    protocol::Pool& pool_;
+    protocol::BufferPool& pool_;
     Inbox& inbox_;
     Log& log_;
     std::mutex mutex_;
     std::condition_variable wake_;
-    Names names_;  // those the deployment told, and those that lists have added
+    SymbolTable names_;  // those the deployment told, and those that lists have added
     Source newest_;
     int spoken_ = 0;  // the latest turn that has
     std::int64_t version_;
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -28,7 +28,7 @@
 }
 
 void EventLoop::work() {
-    const protocol::Pool::Lease buffer = context_.reading.take();
+    const protocol::BufferPool::Lease buffer = context_.reading.take();
     if (!buffer) return context_.log.error("no buffer to read into: nobody is heard");
     Poller::Ready ready[Poller::kMostAtOnce];
     while (!stopping_) {
@@ -52,7 +52,7 @@
     if (events & Poller::kWritable) connection->flush();
     if (!(events & Poller::kReadable)) return;
     const auto before = connection->due();
-    if (const auto why = connection->hear(into, most)) return end(connection, *why);
+    if (const auto why = connection->handle(into, most)) return end(connection, *why);
     // Only who was refused just now is due sooner than before.
     if (const auto due = connection->due(); due && before && *due < *before) await(connection->id(), *due);
 }
@@ -69,7 +69,7 @@
 // Who has spoken meanwhile, or has become what need not speak, gets another date or none. Who has spoken and
 // was not heard, as this process had no time, is heard now.
 void EventLoop::end_overdue(char* into, std::size_t most) {
-    const Instant now = steady_clock::now();
+    const TimePoint now = steady_clock::now();
     for (;;) {
         std::shared_ptr<Connection> connection;
         {
@@ -82,7 +82,7 @@
         }
         auto due = connection->due();
         if (due && *due <= now) {
-            if (const auto why = connection->hear(into, most)) {
+            if (const auto why = connection->handle(into, most)) {
                 end(connection, *why);
                 continue;
             }
@@ -92,7 +92,7 @@
     }
 }
 
-void EventLoop::await(StreamId id, Instant due) {
+void EventLoop::await(StreamId id, TimePoint due) {
     const std::lock_guard lock(mutex_);
     due_.emplace(due, id);
 }
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -19,7 +19,7 @@
 
 class EventLoop {
  public:
-    using Instant = std::chrono::steady_clock::time_point;
+    using TimePoint = std::chrono::steady_clock::time_point;
     // `gone` is told of each connection that ended, by the event loop's thread.
     EventLoop(ConnectionContext& context, std::function<void(StreamId)> gone);
     EventLoop(const EventLoop&) = delete;
@@ -38,7 +38,7 @@
     void serve(const std::shared_ptr<Connection>& connection, unsigned events, char* into, std::size_t most);
     void end(const std::shared_ptr<Connection>& connection, const std::string& why);
     void end_overdue(char* into, std::size_t most);
-    void await(StreamId id, Instant due);
+    void await(StreamId id, TimePoint due);
     int wait_ms();
 
     ConnectionContext& context_;
@@ -47,7 +47,7 @@
     std::atomic<bool> stopping_{false};
     std::mutex mutex_;
     std::map<StreamId, std::shared_ptr<Connection>> connections_;
-    std::multimap<Instant, StreamId> due_;  // when to look at who may be overdue by then
+    std::multimap<TimePoint, StreamId> due_;  // when to look at who may be overdue by then
 };
 
 }  // namespace micaroad::net
--- a/src/net/health_prober.cpp
+++ b/src/net/health_prober.cpp
@@ -7,10 +7,10 @@
 namespace micaroad::net {
 namespace {
 
-constexpr Span kLongestSleep = std::chrono::seconds(1);  // slow starts move by steps meanwhile
+constexpr Duration kLongestSleep = std::chrono::seconds(1);  // slow starts move by steps meanwhile
 constexpr std::size_t kAnswer = 2'048;                   // of which the first line is all that counts
 
-std::chrono::milliseconds ms(Span span) {
+std::chrono::milliseconds ms(Duration span) {
     return std::chrono::duration_cast<std::chrono::milliseconds>(span) + std::chrono::milliseconds(1);
 }
 
@@ -47,7 +47,7 @@
 void HealthProber::keep() {
     std::unique_lock lock(mutex_);
     while (!stopping_) {
-        const Instant now = clock_();
+        const TimePoint now = clock_();
         for (const auto& [server, ok] : std::exchange(answers_, {})) {
             const std::string what = keeper_.probed(server, ok, now);
             if (!what.empty()) log_.info("health: {}", what);
@@ -56,8 +56,8 @@
         if (auto list = keeper_.changed(now)) tell_(std::move(*list), keeper_.addresses());
         for (auto& probe : keeper_.take_due(now))
             threads_.start([this, probe = std::move(probe)] { ask(probe); });
-        const Instant due = std::min(keeper_.next_due().value_or(now + kLongestSleep), now + kLongestSleep);
-        wake_.wait_for(lock, std::max(due - clock_(), Span{1}),
+        const TimePoint due = std::min(keeper_.next_due().value_or(now + kLongestSleep), now + kLongestSleep);
+        wake_.wait_for(lock, std::max(due - clock_(), Duration{1}),
                        [this] { return stopping_ || replaced_ || !answers_.empty(); });
     }
 }
@@ -90,7 +90,7 @@
         live_.insert(&socket);
     }
     const Live live{*this, socket};
-    const Span patience = probe.rule.patience > Span{} ? probe.rule.patience : probe.rule.every;
+    const Duration patience = probe.rule.patience > Duration{} ? probe.rule.patience : probe.rule.every;
     const auto until = std::chrono::steady_clock::now() + ms(patience);
     if (!socket.connect(*address, ms(patience))) return false;
     {
--- a/src/net/health_prober.hpp
+++ b/src/net/health_prober.hpp
@@ -20,7 +20,7 @@
 class HealthProber {
  public:
     static constexpr std::size_t kMost = 16;  // probes at a time; one more waits for its next turn
-    using Tell = std::function<void(event::List, std::map<ServerId, std::string>)>;
+    using Tell = std::function<void(event::EndpointListUpdate, std::map<ServerId, std::string>)>;
 
     HealthProber(routing::Plan plan, Clock clock, Tell tell, Log& log);
     ~HealthProber() { stop(); }
--- a/src/net/prober.cpp
+++ b/src/net/prober.cpp
@@ -5,9 +5,9 @@
 namespace micaroad::net {
 
 void Prober::ask(const ServerId& server, const std::string& address) {
-    const Instant begun = clock_();
+    const TimePoint begun = clock_();
     const auto end = [this, server, begun](bool ok) {
-        inbox_.put(arrival::ProbeEnded{{server, ok, clock_() - begun}});
+        inbox_.put(core_event::HealthCheckCompleted{{server, ok, clock_() - begun}});
     };
     const auto where = address_of(address);
     if (!where || !threads_.start([this, end, where, address] { end(answers(*where, address)); })) end(false);
@@ -47,7 +47,7 @@
         if (!socket.send_all(protocol::http_get(host, "/ping"))) return false;
         const auto until = std::chrono::steady_clock::now() + kPatience;
         protocol::HttpReader http;
-        const protocol::Pool::Lease buffer = pool_.take();
+        const protocol::BufferPool::Lease buffer = pool_.take();
         if (!buffer) return false;
         while (!http.in_body() && std::chrono::steady_clock::now() < until) {
             const ssize_t got = socket.receive(buffer->data(), buffer->size());
--- a/src/net/prober.hpp
+++ b/src/net/prober.hpp
@@ -10,7 +10,7 @@
 #include "net/thread_group.hpp"
 #include "planner/inbox.hpp"
 #include "planner/sync_points.hpp"
-#include "protocol/pool.hpp"
+#include "protocol/buffer_pool.hpp"
 
 namespace micaroad::net {
 
@@ -19,7 +19,7 @@
     static constexpr std::size_t kMost = 16;  // at a time; one more counts as not answered
     static constexpr std::chrono::milliseconds kPatience{1'000};  // for the connection, then for the answer
 
-    Prober(protocol::Pool& pool, Inbox& inbox, Clock clock, SyncPoints* sync = nullptr)
+    Prober(protocol::BufferPool& pool, Inbox& inbox, Clock clock, SyncPoints* sync = nullptr)
         : pool_(pool), inbox_(inbox), clock_(std::move(clock)), sync_(sync) {}
     ~Prober() { stop(); }
 
@@ -31,7 +31,7 @@
     bool answers(const Address& address, const std::string& host);
     bool stopping();
 
-    protocol::Pool& pool_;
+    protocol::BufferPool& pool_;
     Inbox& inbox_;
     const Clock clock_;
     SyncPoints* const sync_;
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -10,7 +10,7 @@
 #include <cerrno>
 #include <cstring>
 
-#include "protocol/whole_number.hpp"
+#include "protocol/parse_integer.hpp"
 
 namespace micaroad::net {
 
@@ -27,7 +27,7 @@
     if (colon == std::string::npos) return std::nullopt;
     std::string host = text.substr(0, colon);
     unsigned port = 0;
-    if (!protocol::read_whole(std::string_view(text).substr(colon + 1), port) || port > 65535)
+    if (!protocol::parse_integer(std::string_view(text).substr(colon + 1), port) || port > 65535)
         return std::nullopt;
     Address address;
     if (host.size() > 2 && host.front() == '[' && host.back() == ']') {
--- a/src/operators/duration.cpp
+++ b/src/operators/duration.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-std::optional<Span> duration_of(std::string_view text) {
+std::optional<Duration> duration_of(std::string_view text) {
     std::int64_t number = 0;
     const auto [end, wrong] = std::from_chars(text.data(), text.data() + text.size(), number);
     if (wrong != std::errc{} || number < 0) return std::nullopt;
@@ -28,13 +28,13 @@
         if (unit != name) continue;
         std::int64_t sum = 0;
         if (__builtin_mul_overflow(number, micros, &sum) || sum > INT64_MAX - 99) return std::nullopt;
-        const Span span{(sum + 99) / 100};
+        const Duration span{(sum + 99) / 100};
         return span <= kLongestDuration ? std::optional{span} : std::nullopt;
     }
     return std::nullopt;
 }
 
-std::string text_of(Span duration) {
+std::string text_of(Duration duration) {
     const std::int64_t micros = duration.count() * 100;
     for (const auto& [name, unit] : kUnits) {
         if (micros % unit == 0 && micros != 0) return fmt::format("{}{}", micros / unit, name);
--- a/src/operators/file.cpp
+++ b/src/operators/file.cpp
@@ -64,11 +64,11 @@
         if (!sound) fault(field, value, "no name", kNameAllowed);
         return value;
     }
-    Span duration(const char* field, const std::string& value, bool zero_may = false) const {
+    Duration duration(const char* field, const std::string& value, bool zero_may = false) const {
         const auto span = duration_of(value);
         if (!span) fault(field, value, "no duration", kDurationAllowed);
-        if (span && *span == Span{} && !zero_may) fault(field, value, "no time at all", "more than 0");
-        return span.value_or(Span{});
+        if (span && *span == Duration{} && !zero_may) fault(field, value, "no time at all", "more than 0");
+        return span.value_or(Duration{});
     }
     int number(const char* field, std::uint32_t value, std::uint32_t least, std::uint32_t most) const {
         if (value >= least && value <= most) return static_cast<int>(value);
--- a/src/operators/write.cpp
+++ b/src/operators/write.cpp
@@ -99,7 +99,7 @@
                                                               : MAINTENANCE);
     if (from.connections_most > 0) to.set_connections_most(u(from.connections_most));
     if (from.queue_most > 0) to.set_queue_most(u(from.queue_most));
-    if (from.slow_start > Span{}) to.set_slow_start(text_of(from.slow_start));
+    if (from.slow_start > Duration{}) to.set_slow_start(text_of(from.slow_start));
     if (!from.health_of.empty()) to.set_health_of(from.health_of);
     if (!from.mark.empty()) to.set_mark(from.mark);
     if (from.checked) to.set_checked(true);
@@ -108,9 +108,9 @@
 void fill(HealthRule& to, const routing::HealthRule& from) {
     const routing::HealthRule usual;
     if (from.every != usual.every) to.set_every(text_of(from.every));
-    if (from.every_in_doubt > Span{}) to.set_every_in_doubt(text_of(from.every_in_doubt));
-    if (from.every_while_down > Span{}) to.set_every_while_down(text_of(from.every_while_down));
-    if (from.patience > Span{}) to.set_patience(text_of(from.patience));
+    if (from.every_in_doubt > Duration{}) to.set_every_in_doubt(text_of(from.every_in_doubt));
+    if (from.every_while_down > Duration{}) to.set_every_while_down(text_of(from.every_while_down));
+    if (from.patience > Duration{}) to.set_patience(text_of(from.patience));
     if (from.rise != usual.rise) to.set_rise(u(from.rise));
     if (from.fall != usual.fall) to.set_fall(u(from.fall));
     if (from.errors_most != usual.errors_most) to.set_errors_most(u(from.errors_most));
--- a/src/planner/core.hpp
+++ b/src/planner/core.hpp
@@ -1,4 +1,4 @@
-// Owns the module: arrivals to events, one decide(), orders to letters. Touches no socket and reads no clock.
+// Owns the module: arrivals to events, one decide(), orders to updates. Touches no socket and reads no clock.
 #pragma once
 
 #include <map>
@@ -8,7 +8,7 @@
 
 #include "log/log.hpp"
 #include "micaroad/planner.hpp"
-#include "outbox/outbox.hpp"
+#include "updates/update_builder.hpp"
 #include "planner/inbox.hpp"
 #include "planner/ports.hpp"
 
@@ -16,63 +16,63 @@
 
 class Core {
  public:
-    Core(const Terms& terms, Names names, std::uint64_t seed, Outlet& outlet, Log& log,
-         Witness* witness = nullptr);
+    Core(const DeploymentSettings& settings, SymbolTable names, std::uint64_t seed, Transport& transport, Log& log,
+         Observer* observer = nullptr);
 
     // Hears all of them and the timers that are due, decides once, and sends what was ordered.
-    void turn(std::vector<Inbox::Item>& items, Instant now);
+    void turn(std::vector<Inbox::Item>& items, TimePoint now);
     // Sums up now and then how long arrivals took to become orders.
-    void note_lag(const std::vector<Inbox::Item>& items, Instant done);
-    std::optional<Instant> next_due() const;
+    void note_lag(const std::vector<Inbox::Item>& items, TimePoint done);
+    std::optional<TimePoint> next_due() const;
     bool stopping() const { return stopping_; }
 
  private:
     struct Held {
-        ListedServer entry;
+        ListedEndpoint entry;
         std::string address;
     };
-    void hear(arrival::StreamBegun& begun);
-    void hear(arrival::StreamAnswered& answered);
-    void hear(arrival::StreamEnded& ended);
-    void hear(arrival::Reported& reported);
-    void hear(arrival::ListTold& told);
-    bool foreign(const event::List& list) const;
-    void drop_removed(event::List& list);
+    void handle(core_event::StreamOpened& begun);
+    void handle(core_event::StreamAcknowledged& answered);
+    void handle(core_event::StreamClosed& ended);
+    void handle(core_event::ReportReceived& reported);
+    void handle(core_event::EndpointListReceived& told);
+    bool foreign(const event::EndpointListUpdate& list) const;
+    void drop_removed(event::EndpointListUpdate& list);
     void forget_removed();
-    std::vector<ServerId> missing_in(const event::List& list) const;
-    void hear(arrival::WatchLost&);
-    void hear(arrival::ProbeEnded& ended);
-    void hear(arrival::Reloaded& reloaded);
-    void hear(arrival::Stop&) { stopping_ = true; }
+    std::vector<ServerId> missing_in(const event::EndpointListUpdate& list) const;
+    void handle(core_event::WatchLost&);
+    void handle(core_event::HealthCheckCompleted& ended);
+    void handle(core_event::ConfigurationReloaded& reloaded);
+    void handle(core_event::StopRequested&) { stopping_ = true; }
     void leave(ProxyId proxy, StreamId stream);
     void tell_module(Event event);
-    void carry_out(const Order& order, Instant now);
+    void carry_out(const Order& order, TimePoint now);
 
     // A list of an older version that names a server removed so lately is out of date; the removal stands.
     // After that, nothing is kept of the server.
-    static constexpr Span kRemovedStands = std::chrono::seconds(60);
-    const Names names_;
+    static constexpr Duration kRemovedStands = std::chrono::seconds(60);
+    const SymbolTable names_;
     const bool subscribed_;
-    Outlet& outlet_;
+    Transport& transport_;
     Log& log_;
-    Witness* const witness_;  // absent: nobody is told
+    Observer* const observer_;  // absent: nobody is told
     Planner planner_;
-    Outbox outbox_;
+    UpdateBuilder update_builder_;
     std::map<ProxyId, StreamId> streams_;
     std::map<StreamId, ProxyId> proxies_;
     std::map<ServerId, Held> held_;  // the list, without what is gone
     std::set<ServerId> probed_;      // an answer is awaited
     std::int64_t version_ = -1;
-    std::map<ServerId, Instant> removed_;  // not long ago
-    std::multimap<Instant, TimerId> timers_;
+    std::map<ServerId, TimePoint> removed_;  // not long ago
+    std::multimap<TimePoint, TimerId> timers_;
     std::map<MethodId, double> levels_;  // as last ordered, for the log
     std::set<std::size_t> unserved_;     // kinds of order that were logged as such
     bool stopping_ = false;
-    Instant now_{};
+    TimePoint now_{};
     struct {
-        Instant since{};
-        Span longest{}, sum{};
-        std::int64_t number = 0, letters = 0, lines = 0;
+        TimePoint since{};
+        Duration longest{}, sum{};
+        std::int64_t number = 0, updates = 0, lines = 0;
     } lag_;
 };
 
--- a/src/planner/inbox.hpp
+++ b/src/planner/inbox.hpp
@@ -13,7 +13,7 @@
 
 namespace micaroad {
 
-using Clock = std::function<Instant()>;
+using Clock = std::function<TimePoint()>;
 
 class Inbox {
  public:
@@ -22,13 +22,13 @@
     // bounded by the number of streams.
     static constexpr std::size_t kMostReports = 20'000, kMostReportsOfOne = kMostReports / 2;
     struct Item {
-        Instant at;
-        Arrival arrival;
+        TimePoint at;
+        CoreEvent arrival;
     };
 
     explicit Inbox(Clock clock) : clock_(std::move(clock)) {}
 
-    void put(Arrival arrival) {
+    void put(CoreEvent arrival) {
         {
             const std::lock_guard lock(mutex_);
             items_.push_back({clock_(), std::move(arrival)});
@@ -37,11 +37,11 @@
     }
     // What one peer says and may say often: `most` of it until the core takes all. False: it is dropped, as
     // that peer floods.
-    bool put_of(StreamId peer, std::size_t most, Arrival arrival) {
+    bool put_bounded(StreamId peer, std::size_t most, CoreEvent arrival) {
         {
             const std::lock_guard lock(mutex_);
             if (++of_one_[peer] > most) return false;
-            if (std::holds_alternative<arrival::Reported>(arrival) && ++reports_ > kMostReports)
+            if (std::holds_alternative<core_event::ReportReceived>(arrival) && ++reports_ > kMostReports)
                 return ++dropped_, true;
             items_.push_back({clock_(), std::move(arrival)});
         }
@@ -50,7 +50,7 @@
     }
 
     // All that has come, as soon as there is anything or the time is there; absent: no such time.
-    std::vector<Item> wait(std::optional<Instant> until) {
+    std::vector<Item> wait(std::optional<TimePoint> until) {
         std::unique_lock lock(mutex_);
         const auto any = [this] { return !items_.empty(); };
         if (until)
--- a/src/planner/ports.hpp
+++ b/src/planner/ports.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "micaroad/planner.hpp"
-#include "protocol/server_list.hpp"
+#include "protocol/endpoint_list.hpp"
 
 namespace micaroad {
 
@@ -15,48 +15,65 @@
 using StreamId = Id<struct StreamTag, std::uint64_t>;
 
 // What a new reading of the start file says. The rest of it counts at the next start.
-struct Reread {
+struct ReloadedConfiguration {
     std::string discovery;
-    std::vector<std::string> unheeded;  // keys that differ from the start's
+    std::vector<std::string> restart_required_keys;  // keys that differ from the start's
 };
 
-namespace arrival {
-struct StreamBegun {
+/// Everything that reaches the core, in the order in which the drivers enqueue it.
+namespace core_event {
+
+/// A proxy has joined on a stream.
+struct StreamOpened {
     StreamId stream;
     event::ProxyJoined joined;
 };
-struct StreamAnswered {
+
+/// A proxy has acknowledged an update.
+struct StreamAcknowledged {
     StreamId stream;
-    event::MarkApplied applied;
+    event::Acknowledgement acknowledgement;
 };
-struct StreamEnded {
+
+struct StreamClosed {
     StreamId stream;
-    std::string why;
+    std::string reason;
 };
-struct Reported {
-    std::variant<event::Outcomes, event::Arrivals> report;
+
+/// A load report or a demand report, from a proxy's stream or a collector.
+struct ReportReceived {
+    std::variant<event::EndpointLoadReport, event::DemandReport> report;
 };
-struct ListTold {
-    protocol::ListSaid said;
+
+/// A list of endpoints or a change of it, from discovery or any other source.
+struct EndpointListReceived {
+    protocol::EndpointListMessage message;
 };
-struct WatchLost {};  // discovery says nothing: the list stands
-struct ProbeEnded {
-    event::Probed probed;
+
+/// Discovery's watch is lost; the list stays as it is.
+struct WatchLost {};
+
+struct HealthCheckCompleted {
+    event::HealthCheckResult result;
 };
-struct Reloaded {
-    Reread reread;
+
+/// The start configuration was read again and is valid.
+struct ConfigurationReloaded {
+    ReloadedConfiguration configuration;
 };
-struct Stop {};
-}  // namespace arrival
 
-using Arrival = std::variant<arrival::StreamBegun, arrival::StreamAnswered, arrival::StreamEnded,
-                             arrival::Reported, arrival::ListTold, arrival::WatchLost, arrival::ProbeEnded,
-                             arrival::Reloaded, arrival::Stop>;
+struct StopRequested {};
+
+}  // namespace core_event
+
+using CoreEvent = std::variant<core_event::StreamOpened, core_event::StreamAcknowledged, core_event::StreamClosed,
+                             core_event::ReportReceived, core_event::EndpointListReceived, core_event::WatchLost, core_event::HealthCheckCompleted,
+                             core_event::ConfigurationReloaded, core_event::StopRequested>;
 
 // Where the core's words go. No call waits for a peer.
-class Outlet {
+class Transport {
  public:
-    virtual ~Outlet() = default;
+    virtual ~Transport() = default;
     virtual void write(StreamId stream, std::string_view message) = 0;
     virtual void close(StreamId stream) = 0;
     virtual void probe(const ServerId& server, const std::string& address) = 0;
@@ -65,11 +82,11 @@
 };
 
 // Who is told all that the module hears and orders, in order, by the core's thread. No call waits.
-class Witness {
+class Observer {
  public:
-    virtual ~Witness() = default;
-    virtual void heard(const Event& event) = 0;
-    virtual void decided(Instant now, const std::vector<Order>& orders) = 0;
+    virtual ~Observer() = default;
+    virtual void on_event(const Event& event) = 0;
+    virtual void on_decision(TimePoint now, const std::vector<Order>& orders) = 0;
 };
 
 }  // namespace micaroad
--- a/src/planner/sync_points.hpp
+++ b/src/planner/sync_points.hpp
@@ -16,7 +16,7 @@
     watch_answered,       // an answer has ended, or broken off; nothing was made of that yet
     probe_registered,     // Prober: as for the watch
     probe_connected,
-    core_heard_stop,  // Program: the core has ended, the drivers serve on
+    core_heard_stop,  // PlannerProcess: the core has ended, the drivers serve on
 };
 
 class SyncPoints {
--- a/src/protocol/pool.hpp
+++ b/src/protocol/buffer_pool.hpp
@@ -13,19 +13,19 @@
 
 namespace micaroad::protocol {
 
-class Pool {
+class BufferPool {
  public:
     static constexpr std::size_t kBlock = 4 * 1024;
     using Block = std::array<char, kBlock>;
     struct Return {
-        Pool* pool = nullptr;
+        BufferPool* pool = nullptr;
         void operator()(Block* block) const { pool->put(block); }
     };
     using Lease = std::unique_ptr<Block, Return>;  // none outlives the pool
 
-    explicit Pool(std::size_t most) : most_(most) {}
-    Pool(const Pool&) = delete;
-    Pool& operator=(const Pool&) = delete;
+    explicit BufferPool(std::size_t most) : most_(most) {}
+    BufferPool(const BufferPool&) = delete;
+    BufferPool& operator=(const BufferPool&) = delete;
 
     // Empty when all are out.
     Lease take() {
@@ -53,25 +53,25 @@
 };
 
 // Bytes in a row of such buffers.
-class Chain {
+class BufferChain {
  public:
     struct Piece {
-        Pool::Lease block;
+        BufferPool::Lease block;
         std::size_t size = 0;
         std::string_view view() const { return {block->data(), size}; }
     };
 
     // False, with nothing appended, when the pool has too few buffers left.
-    bool append(Pool& pool, std::string_view bytes) {
-        std::vector<Pool::Lease> more;
-        const std::size_t room = pieces_.empty() ? 0 : Pool::kBlock - pieces_.back().size;
-        for (std::size_t got = room; got < bytes.size(); got += Pool::kBlock) {
+    bool append(BufferPool& pool, std::string_view bytes) {
+        std::vector<BufferPool::Lease> more;
+        const std::size_t room = pieces_.empty() ? 0 : BufferPool::kBlock - pieces_.back().size;
+        for (std::size_t got = room; got < bytes.size(); got += BufferPool::kBlock) {
             more.push_back(pool.take());
             if (!more.back()) return false;
         }
         size_ += bytes.size();
         const auto fill = [&bytes](Piece& piece) {
-            const std::size_t part = bytes.copy(piece.block->data() + piece.size, Pool::kBlock - piece.size);
+            const std::size_t part = bytes.copy(piece.block->data() + piece.size, BufferPool::kBlock - piece.size);
             piece.size += part;
             bytes.remove_prefix(part);
         };
--- a/src/protocol/server_list.cpp
+++ b/src/protocol/endpoint_list.cpp
@@ -1,4 +1,4 @@
-#include "protocol/server_list.hpp"
+#include "protocol/endpoint_list.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -24,10 +24,10 @@
     return static_cast<int>(place);
 }
 
-std::optional<Phase> phase_of(const std::string& state) {
-    if (state == "up") return Phase::ready;
-    if (state == "draining") return Phase::draining;
-    if (state == "removed") return Phase::gone;
+std::optional<EndpointPhase> phase_of(const std::string& state) {
+    if (state == "up") return EndpointPhase::ready;
+    if (state == "draining") return EndpointPhase::draining;
+    if (state == "removed") return EndpointPhase::gone;
     return std::nullopt;
 }
 
@@ -75,8 +75,8 @@
     if (!usable(entry.id)) return "an id that can't be used";
     const auto phase = phase_of(entry.state);
     if (!phase) return "an unknown state";
-    if (*phase != Phase::gone && entry.address.empty()) return "no address";
-    if (*phase != Phase::gone && entry.zone.empty()) return "no zone";
+    if (*phase != EndpointPhase::gone && entry.address.empty()) return "no address";
+    if (*phase != EndpointPhase::gone && entry.zone.empty()) return "no zone";
     if (entry.odd) return "a value of the wrong type";
     if (entry.started_ms < 0 || entry.started_ms > 1e14) return "a start that can't be";
     if (std::abs(entry.cell) > 1e9 || entry.weight < 0) return "a figure that can't be";
@@ -84,12 +84,12 @@
 }
 
 // Sorted by server, each once; of an entry given twice the last counts.
-void keep_last_of_each(std::vector<ListedServer>& servers) {
-    const auto by_id = [](const ListedServer& one, const ListedServer& other) {
+void keep_last_of_each(std::vector<ListedEndpoint>& servers) {
+    const auto by_id = [](const ListedEndpoint& one, const ListedEndpoint& other) {
         return one.server < other.server;
     };
     std::stable_sort(servers.begin(), servers.end(), by_id);
-    const auto same = [](const ListedServer& one, const ListedServer& other) {
+    const auto same = [](const ListedEndpoint& one, const ListedEndpoint& other) {
         return one.server == other.server;
     };
     const auto kept = std::unique(servers.rbegin(), servers.rend(), same);
@@ -97,7 +97,7 @@
 }
 
 // The entries have been taken out: what stands for one is `{}`.
-void read_frame(std::string_view frame, ListSaid& said) {
+void read_frame(std::string_view frame, EndpointListMessage& said) {
     bool full = false, has_version = false, has_servers = false;
     JsonCursor json(frame);
     json.object([&](const std::string& key) {
@@ -116,7 +116,7 @@
     });
     json.end();
     if (!has_version || !has_servers) throw JsonFault{};
-    said.list.form = full ? event::List::Form::complete : event::List::Form::changes;
+    said.list.form = full ? event::EndpointListUpdate::Form::complete : event::EndpointListUpdate::Form::incremental;
 }
 
 std::string_view without_blanks_behind(std::string_view text) {
@@ -129,7 +129,7 @@
 }  // namespace
 
 // Whether the `[` that comes now, in the list's object, opens the array of its servers.
-bool ListFeed::opens_servers() const {
+bool EndpointListParser::opens_servers() const {
     std::string_view before = without_blanks_behind(frame_);
     if (!before.ends_with(':')) return false;
     before = without_blanks_behind(before.substr(0, before.size() - 1));
@@ -139,7 +139,7 @@
     return before.ends_with('{') || before.ends_with(',');
 }
 
-void ListFeed::track(char c) {
+void EndpointListParser::track(char c) {
     if (in_string_) {
         if (c == '"' && !escaped_) in_string_ = false;
         escaped_ = c == '\\' && !escaped_;
@@ -150,7 +150,7 @@
     if (c == '}' || c == ']') --depth_;
 }
 
-bool ListFeed::add(char c) {
+bool EndpointListParser::add(char c) {
     ++size_;
     if (c == '[' && depth_ == kInList && !in_string_) in_servers_ = opens_servers();
     const int before = depth_;
@@ -164,7 +164,7 @@
     return true;
 }
 
-bool ListFeed::take_entry() try {
+bool EndpointListParser::take_entry() try {
     size_ += kLeastEntry - std::min(kLeastEntry, entry_.size());
     JsonCursor json(entry_);
     const Entry entry = read_entry(json);
@@ -176,40 +176,40 @@
         if (said_.dropped.size() < kMostDropped) said_.dropped[dropped] = fault;
         return true;
     }
-    ListedServer& server = said_.list.servers.emplace_back();
+    ListedEndpoint& server = said_.list.servers.emplace_back();
     server.server = {entry.id};
     server.zone = {place_of(names_.zones, entry.zone)};
     server.kind = {place_of(names_.kinds, entry.kind)};
     server.cell = {static_cast<int>(entry.cell)};
     server.phase = *phase_of(entry.state);
     server.size = entry.weight;
-    if (entry.started_ms > 0) server.last_start = Instant{Span{std::llround(entry.started_ms * 10)}};
+    if (entry.started_ms > 0) server.last_start = TimePoint{Duration{std::llround(entry.started_ms * 10)}};
     said_.addresses[server.server] = entry.address;
     return true;
 } catch (const JsonFault&) { return false; }
 
-std::optional<ListSaid> ListFeed::take_list() try {
+std::optional<EndpointListMessage> EndpointListParser::take_list() try {
     if (!entry_.empty()) return std::nullopt;
     read_frame(frame_, said_);
     keep_last_of_each(said_.list.servers);
     return std::move(said_);
 } catch (const JsonFault&) { return std::nullopt; }
 
-void ListFeed::start_over() {
+void EndpointListParser::start_over() {
     frame_ = {}, entry_ = {}, said_ = {};
     size_ = 0, depth_ = 0;
     in_string_ = escaped_ = in_servers_ = false;
 }
 
-std::optional<ListSaid> ListReader::read(std::string_view json) {
-    ListFeed feed(names_, ListFraming::document, std::numeric_limits<std::size_t>::max());
-    std::optional<ListSaid> said;
+std::optional<EndpointListMessage> EndpointListReader::read(std::string_view json) {
+    EndpointListParser feed(names_, EndpointListFraming::document, std::numeric_limits<std::size_t>::max());
+    std::optional<EndpointListMessage> said;
     int lists = 0;
-    const auto take = [&](std::optional<ListSaid> read) {
+    const auto take = [&](std::optional<EndpointListMessage> read) {
         if (!read) return;
         said = std::move(read), ++lists;
     };
-    if (feed.feed(json, take) != ListFault::none || feed.finish(take) != ListFault::none) return std::nullopt;
+    if (feed.feed(json, take) != EndpointListError::none || feed.finish(take) != EndpointListError::none) return std::nullopt;
     return lists == 1 ? std::move(said) : std::nullopt;
 }
 
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <limits>
 
-#include "protocol/whole_number.hpp"
+#include "protocol/parse_integer.hpp"
 
 namespace micaroad::protocol {
 namespace {
@@ -25,7 +25,7 @@
 }
 
 bool read_size(std::string_view text, int base, std::uint64_t& value) {
-    return read_whole(text, value, base) && value <= kLargestPiece;
+    return parse_integer(text, value, base) && value <= kLargestPiece;
 }
 
 }  // namespace
--- a/src/protocol/json_cursor.cpp
+++ b/src/protocol/json_cursor.cpp
@@ -3,7 +3,7 @@
 #include <charconv>
 #include <cmath>
 
-#include "protocol/whole_number.hpp"
+#include "protocol/parse_integer.hpp"
 
 namespace micaroad::protocol {
 namespace {
@@ -66,7 +66,7 @@
 unsigned JsonCursor::hex4() {
     unsigned code = 0;
     const std::string_view digits = text_.substr(at_, 4);
-    if (digits.size() != 4 || !read_whole(digits, code, 16)) fail();
+    if (digits.size() != 4 || !parse_integer(digits, code, 16)) fail();
     at_ += 4;
     return code;
 }
--- a/src/protocol/line_reader.hpp
+++ b/src/protocol/line_reader.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "protocol/pool.hpp"
+#include "protocol/buffer_pool.hpp"
 
 namespace micaroad::protocol {
 
@@ -32,7 +32,7 @@
  public:
     static constexpr std::size_t kLongest = 1024 * 1024;  // CRLF included
 
-    explicit LineReader(Pool& pool, std::size_t longest = kLongest) : pool_(pool), longest_(longest) {}
+    explicit LineReader(BufferPool& pool, std::size_t longest = kLongest) : pool_(pool), longest_(longest) {}
     void allow(std::size_t longest) { longest_ = longest; }  // from the next piece on
 
     // Calls line(std::string_view), without its CRLF, for each that is complete, until one gives false. After
@@ -65,9 +65,9 @@
     bool in_mid_line() const { return !held_.empty(); }
 
  private:
-    Pool& pool_;
+    BufferPool& pool_;
     std::size_t longest_;
-    Chain held_;
+    BufferChain held_;
 };
 
 }  // namespace micaroad::protocol
--- a/src/protocol/message.cpp
+++ b/src/protocol/message.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <vector>
 
-#include "protocol/whole_number.hpp"
+#include "protocol/parse_integer.hpp"
 
 namespace micaroad::protocol {
 
@@ -21,7 +21,7 @@
     return word;
 }
 
-// The words of a line, each read once. Throws Spoilt.
+// The words of a line, each read once. Throws Malformed.
 class Words {
  public:
     explicit Words(std::string_view line) {
@@ -30,10 +30,10 @@
             if (word.empty()) continue;
             const std::size_t equals = word.find('=');
             if (equals == 0 || equals == std::string_view::npos)
-                throw Spoilt{"a word without name and value"};
+                throw Malformed{"a word without name and value"};
             const std::string_view name = word.substr(0, equals);
-            if (find(name)) throw Spoilt{"doubled word " + std::string(name.substr(0, 40))};
-            if (words_.size() == kMostWords) throw Spoilt{"too many words"};
+            if (find(name)) throw Malformed{"doubled word " + std::string(name.substr(0, 40))};
+            if (words_.size() == kMostWords) throw Malformed{"too many words"};
             words_.emplace_back(name, word.substr(equals + 1));
         }
     }
@@ -44,21 +44,21 @@
     }
     std::string_view text(const char* name) const {
         const std::string_view* value = find(name);
-        if (!value || value->empty()) throw Spoilt{std::string("missing word ") + name};
+        if (!value || value->empty()) throw Malformed{std::string("missing word ") + name};
         return *value;
     }
     double figure(const char* name) const {
         double value = -1;
-        if (!read_whole(text(name), value) || !(value >= 0 && value <= kLargest)) throw bad(name);
+        if (!parse_integer(text(name), value) || !(value >= 0 && value <= kLargest)) throw bad(name);
         return value;
     }
     int whole(const char* name, int below) const {
         int value = -1;
-        if (!read_whole(text(name), value) || value < 0 || value >= below) throw bad(name);
+        if (!parse_integer(text(name), value) || value < 0 || value >= below) throw bad(name);
         return value;
     }
-    Span span(const char* name, Span longest) const {
-        const Span span{std::llround(figure(name) * 10)};
+    Duration span(const char* name, Duration longest) const {
+        const Duration span{std::llround(figure(name) * 10)};
         return span <= longest ? span : throw bad(name);
     }
     int place(const char* name, const std::vector<std::string>& among) const {
@@ -68,69 +68,69 @@
     }
 
  private:
-    static Spoilt bad(const char* name) { return {std::string("bad value of ") + name}; }
+    static Malformed bad(const char* name) { return {std::string("bad value of ") + name}; }
     std::vector<std::pair<std::string_view, std::string_view>> words_;
 };
 
 // How many there were, how many came to nothing (an RPC may do so in a later window than it came in), and
 // over which time: each can only be so large.
-void read_counts(const Words& words, const Bounds& bounds, double& all, double& bad, Span& over) {
+void read_counts(const Words& words, const Bounds& bounds, double& all, double& bad, Duration& over) {
     all = words.figure("n"), bad = words.figure("bad"), over = words.span("window", bounds.longest_window);
-    if (std::max(all, bad) > kMostCounted) throw Spoilt{"more than can have come"};
-    if (over <= Span{}) throw Spoilt{"no window"};
+    if (std::max(all, bad) > kMostCounted) throw Malformed{"more than can have come"};
+    if (over <= Duration{}) throw Malformed{"no window"};
 }
 
-Message outcomes_of(const Words& words, const Names& names, const Bounds& bounds) {
-    event::Outcomes met;
+Message outcomes_of(const Words& words, const SymbolTable& names, const Bounds& bounds) {
+    event::EndpointLoadReport met;
     met.server = {std::string(words.text("host"))};
-    met.from = {words.place("az", names.zones)};
-    read_counts(words, bounds, met.tries, met.bad, met.over);
-    met.mean = words.span("avg", bounds.longest_mean);
-    if (met.bad > met.tries) throw Spoilt{"more failures than tries"};
+    met.proxy_zone = {words.place("az", names.zones)};
+    read_counts(words, bounds, met.attempts, met.failures, met.window);
+    met.mean_latency = words.span("avg", bounds.longest_mean);
+    if (met.failures > met.attempts) throw Malformed{"more failures than tries"};
     return met;
 }
 
-Message demand_of(const Words& words, const Names& names, const Bounds& bounds) {
-    event::Arrivals came;
+Message demand_of(const Words& words, const SymbolTable& names, const Bounds& bounds) {
+    event::DemandReport came;
     came.proxy = {words.whole("sidecar", bounds.proxies)};
     came.method = {words.place("kind", names.methods)};
-    read_counts(words, bounds, came.count, came.unanswered, came.over);
+    read_counts(words, bounds, came.requests, came.unanswered, came.window);
     return came;
 }
 
-Message answer_of(const Words& words, const Names&, const Bounds& bounds) {
+Message answer_of(const Words& words, const SymbolTable&, const Bounds& bounds) {
     constexpr int kMarks = 65'536;
     words.figure("lag_ms");
-    return event::MarkApplied{{words.whole("sidecar", bounds.proxies)}, {words.whole("version", kMarks)}};
+    return event::Acknowledgement{{words.whole("sidecar", bounds.proxies)}, {words.whole("version", kMarks)}};
 }
 
-Message joining_of(const Words& words, const Names& names, const Bounds& bounds) {
+Message joining_of(const Words& words, const SymbolTable& names, const Bounds& bounds) {
     event::ProxyJoined joined;
     joined.proxy = {words.whole("sidecar", bounds.proxies)};
     joined.zone = {words.place("az", names.zones)};
     joined.rpcs_per_second = words.figure("share");
-    joined.standing_only = words.whole("standing", 2) == 1;
+    joined.initial_table_only = words.whole("standing", 2) == 1;
     return joined;
 }
 
-Message collector_of(const Words& words, const Names& names, const Bounds&) {
-    return CollectorNamed{{words.place("az", names.zones)}};
+Message collector_of(const Words& words, const SymbolTable& names, const Bounds&) {
+    return CollectorIdentified{{words.place("az", names.zones)}};
 }
 
-Message alive_of(const Words&, const Names&, const Bounds&) { return AliveAsked{}; }
+Message alive_of(const Words&, const SymbolTable&, const Bounds&) { return LivenessQuery{}; }
 
-constexpr std::pair<std::string_view, Message (*)(const Words&, const Names&, const Bounds&)> kKinds[] = {
+constexpr std::pair<std::string_view, Message (*)(const Words&, const SymbolTable&, const Bounds&)> kKinds[] = {
     {"outcomes", outcomes_of}, {"demand", demand_of},   {"ack", answer_of},
     {"hello", joining_of},     {"agent", collector_of}, {"probe", alive_of}};
 
 }  // namespace
 
-Verdict read_message(std::string_view line, const Names& names, const Bounds& bounds) try {
+ParseResult parse_message(std::string_view line, const SymbolTable& names, const Bounds& bounds) try {
     const std::string_view said = cut(line);
     for (const auto& [kind, read] : kKinds) {
         if (kind == said) return read(Words(line), names, bounds);
     }
-    return Unreadable{"unknown kind " + std::string(said.substr(0, 40))};
-} catch (const Spoilt& why) { return why; }
+    return Unparseable{"unknown kind " + std::string(said.substr(0, 40))};
+} catch (const Malformed& why) { return why; }
 
 }  // namespace micaroad::protocol
--- a/src/protocol/whole_number.hpp
+++ b/src/protocol/parse_integer.hpp
@@ -7,7 +7,7 @@
 namespace micaroad::protocol {
 
 template <class Number, class... Base>
-bool read_whole(std::string_view text, Number& value, Base... base) {
+bool parse_integer(std::string_view text, Number& value, Base... base) {
     const char* const end = text.data() + text.size();
     const auto [at, error] = std::from_chars(text.data(), end, value, base...);
     return error == std::errc{} && at == end;
--- a/src/protocol/push_writer.cpp
+++ b/src/protocol/push_writer.cpp
@@ -16,7 +16,7 @@
     return {text, end};
 }
 
-std::string routes_of(const std::set<MethodId>& methods, const Names& names) {
+std::string routes_of(const std::set<MethodId>& methods, const SymbolTable& names) {
     std::string routes;
     for (const MethodId method : methods) { routes += (routes.empty() ? "" : "+") + names.method(method); }
     return routes;
@@ -67,11 +67,11 @@
 
 }  // namespace
 
-std::optional<std::string> write_push(const Letter& letter, const Names& names, std::size_t longest) {
+std::optional<std::string> format_update(const ProxyUpdate& update, const SymbolTable& names, std::size_t longest) {
     Parts parts(longest);
-    std::map<Letter::Level, std::set<MethodId>> levels;
-    for (const auto& [method, level] : letter.levels) levels[level].insert(method);
-    for (const Letter::Table& table : letter.tables) {
+    std::map<ProxyUpdate::Admission, std::set<MethodId>> levels;
+    for (const auto& [method, level] : update.admissions) levels[level].insert(method);
+    for (const ProxyUpdate::Table& table : update.tables) {
         parts.open(" routes=" + routes_of(table.methods, names), table.full ? " full=1" : "");
         for (const auto& [server, weight] : table.lines) {
             parts.member("endpoints", fmt::format("{}:{}", server.value, figure(weight)));
@@ -79,19 +79,19 @@
     }
     for (const auto& [level, methods] : levels) {
         // A table's own part takes the level along where it is meant for just its methods.
-        if (letter.tables.size() != 1 || letter.tables.front().methods != methods) {
+        if (update.tables.size() != 1 || update.tables.front().methods != methods) {
             parts.open(" routes=" + routes_of(methods, names));
         }
         parts.word(
-            fmt::format("admit={} policy={}", figure(level.amount), static_cast<int>(level.further_tries)));
+            fmt::format("admit={} policy={}", figure(level.amount), static_cast<int>(level.retry_policy)));
     }
     if (parts.none()) parts.open("");
     for (const bool out : {true, false}) {
-        for (const auto& [server, is_out] : letter.shut) {
+        for (const auto& [server, is_out] : update.withdrawn) {
             if (is_out == out) parts.member(out ? "eject" : "restore", server.value);
         }
     }
-    if (letter.mark) parts.word(fmt::format("nonce_out={}", letter.mark->value));
+    if (update.nonce) parts.word(fmt::format("nonce_out={}", update.nonce->value));
     return parts.message();
 }
 
--- a/src/record/recorder.cpp
+++ b/src/record/recorder.cpp
@@ -34,9 +34,9 @@
     add(record);
 }
 
-void Recorder::heard(const Event& event) { heard_.push_back(event); }
+void Recorder::on_event(const Event& event) { heard_.push_back(event); }
 
-void Recorder::decided(Instant now, const std::vector<Order>& orders) {
+void Recorder::on_decision(TimePoint now, const std::vector<Order>& orders) {
     const std::size_t size = heard_.size() + orders.size() + 1;
     {
         const std::lock_guard lock(mutex_);
@@ -82,10 +82,10 @@
         queued_ = 0;
     }
     background::Spent spent;
-    Instant now = block_since_;
+    TimePoint now = block_since_;
     for (; at_ < taken_.size() && raw_ < kBlock; ++at_) {
         const Turn& turn = taken_[at_];
-        if (records_.empty() || block_since_ == Instant{}) block_since_ = turn.at;
+        if (records_.empty() || block_since_ == TimePoint{}) block_since_ = turn.at;
         now = turn.at;
         records::Record record;
         auto& to = *record.mutable_turn();
@@ -106,7 +106,7 @@
 }
 
 // A block that can't be written whole ends its segment, and its records are a hole in the next.
-bool Recorder::write_block(Instant now) {
+bool Recorder::write_block(TimePoint now) {
     const std::string block = block_of(records_, next_);
     const std::size_t number = records_.size();
     next_ += number;
@@ -138,14 +138,14 @@
         ++counts_.segments;
     }
     if (!file_->append(block)) return lose();
-    records_.clear(), raw_ = 0, block_since_ = Instant{};
+    records_.clear(), raw_ = 0, block_since_ = TimePoint{};
     file_bytes_ += block.size();
     const std::lock_guard lock(mutex_);
     counts_.bytes += block.size();
     return true;
 }
 
-void Recorder::keep_within(Instant now) {
+void Recorder::keep_within(TimePoint now) {
     std::uint64_t all = 0;
     std::vector<Disk::Entry> ours;
     for (auto& entry : disk_.list()) {
--- a/src/record/recorder.hpp
+++ b/src/record/recorder.hpp
@@ -25,20 +25,20 @@
 struct Keeping {
     std::uint64_t segment_bytes = 8u << 20;  // then a new one begins
     std::uint64_t all_bytes = 512u << 20;    // then the oldest segments go
-    Span segment_age = std::chrono::minutes(10), all_age = std::chrono::hours(72);
+    Duration segment_age = std::chrono::minutes(10), all_age = std::chrono::hours(72);
 };
 
-class Recorder : public Witness {
+class Recorder : public Observer {
  public:
     static constexpr std::size_t kMostQueued = 200'000;  // events and orders, of some 100 bytes each
     static constexpr std::size_t kBlock = 64 * 1024;     // raw bytes, then a block is written
-    static constexpr Span kBlockAge = std::chrono::seconds(1);
+    static constexpr Duration kBlockAge = std::chrono::seconds(1);
 
     // `disk` must outlive it. Goes on behind the last sequence that the folder's names tell.
     Recorder(Disk& disk, Keeping keeping, records::Head head, std::function<void()> wake);
 
-    void heard(const Event& event) override;
-    void decided(Instant now, const std::vector<Order>& orders) override;
+    void on_event(const Event& event) override;
+    void on_decision(TimePoint now, const std::vector<Order>& orders) override;
 
     // The background job: at most a block at a time.
     background::Spent work();
@@ -56,14 +56,14 @@
 
  private:
     struct Turn {
-        Instant at;
+        TimePoint at;
         std::vector<Event> events;
         std::vector<Order> orders;
     };
     void add(const records::Record& record);
     void note_hole();
-    bool write_block(Instant now);
-    void keep_within(Instant now);
+    bool write_block(TimePoint now);
+    void keep_within(TimePoint now);
 
     Disk& disk_;
     const Keeping keeping_;
@@ -77,7 +77,7 @@
     Counts counts_;
     struct {
         std::uint64_t turns = 0;
-        Instant first{}, last{};
+        TimePoint first{}, last{};
     } hole_;  // turns that are missing behind those in the queue
 
     // The background job's own.
@@ -86,11 +86,11 @@
     std::vector<std::string> records_;
     std::size_t raw_ = 0;
     std::uint64_t next_ = 0;
-    Instant block_since_{}, segment_since_{};
+    TimePoint block_since_{}, segment_since_{};
     std::unique_ptr<Disk::File> file_;
     std::uint64_t file_bytes_ = 0;
     std::string file_name_;
-    std::map<std::string, Instant> ages_;  // of segments, as far as this life has seen them
+    std::map<std::string, TimePoint> ages_;  // of segments, as far as this life has seen them
 };
 
 }  // namespace micaroad::record
--- a/src/record/replay.cpp
+++ b/src/record/replay.cpp
@@ -82,21 +82,21 @@
                                                                 record.head().schema(), kSchema);
                 return;
             }
-            planner.emplace(terms_of(record.head().terms()), record.head().seed());
+            planner.emplace(settings_of(record.head().terms()), record.head().seed());
         } else if (record.has_hole()) {
             planner.reset();
         } else if (record.has_turn()) {
             const records::Turn& turn = record.turn();
             if (!planner) return (void)++verdict.skipped;
             for (const auto& event : turn.event()) {
-                if (auto heard = event_of(event)) planner->hear(std::move(*heard));
+                if (auto heard = event_of(event)) planner->handle(std::move(*heard));
             }
             std::vector<records::Order> orders;
-            for (const Order& order : planner->decide(Instant{Span{turn.at()}}))
+            for (const Order& order : planner->decide(TimePoint{Duration{turn.at()}}))
                 orders.push_back(record_of(order));
             ++verdict.replayed;
             verdict.why = difference(turn, orders);
-            verdict.same = verdict.why.empty(), verdict.at = Instant{Span{turn.at()}};
+            verdict.same = verdict.why.empty(), verdict.at = TimePoint{Duration{turn.at()}};
         }
     });
     return verdict;
--- a/src/record/replay.hpp
+++ b/src/record/replay.hpp
@@ -32,7 +32,7 @@
     std::uint64_t replayed = 0, skipped = 0;  // turns; skipped: behind a hole, until the next head
     bool same = true;
     // The first decision that differs.
-    Instant at{};
+    TimePoint at{};
     std::string why;
 };
 
--- a/src/routing/choice.cpp
+++ b/src/routing/choice.cpp
@@ -85,12 +85,12 @@
     }
 }
 
-double Chooser::warmth(const Server& server, const ServerNow& now, Instant at) {
-    if (server.slow_start <= Span{} || now.up_since == Instant{}) return 1;
-    const Span age = std::max(at - now.up_since, Span{});
+double Chooser::warmth(const Server& server, const ServerNow& now, TimePoint at) {
+    if (server.slow_start <= Duration{} || now.up_since == TimePoint{}) return 1;
+    const Duration age = std::max(at - now.up_since, Duration{});
     if (age >= server.slow_start) return 1;
     const auto step = kWarmSteps * age.count() / server.slow_start.count();
-    return static_cast<double>(std::max<Span::rep>(step, 1)) / kWarmSteps;
+    return static_cast<double>(std::max<Duration::rep>(step, 1)) / kWarmSteps;
 }
 
 // Maintenance and drains are taken over along with health, as a server that shares its process's health
@@ -111,7 +111,7 @@
         if (state == State::maintenance) return say(Standing::out, "in maintenance" + of);
         // Weight 0 is a server's own matter, a drain by its state is not.
         if (state == State::draining && (at == &server || at->weight > 0)) {
-            const Instant since = now.draining_since.value_or(view.now);
+            const TimePoint since = now.draining_since.value_or(view.now);
             if (view.now - since >= view.drain_grace) return say(Standing::out, "drained" + of);
             if (!now.up) return say(Standing::out, "down" + of);
             return say(Standing::stuck_only, "draining" + of);
--- a/src/routing/choice.hpp
+++ b/src/routing/choice.hpp
@@ -44,7 +44,7 @@
     // one.
     int usable(const std::string& pool, const View& view) const;
     // How much of its weight a server may use, 1/16 to 1, so long after it came up.
-    static double warmth(const Server& server, const ServerNow& now, Instant at);
+    static double warmth(const Server& server, const ServerNow& now, TimePoint at);
     // The server that an RPC is to stay with, by its mark or by a hash over the parts; empty: none.
     std::string stuck_to(const Pool& pool, const Rpc& rpc, const View& view, const Parts& parts) const;
 
--- a/src/routing/health.cpp
+++ b/src/routing/health.cpp
@@ -6,23 +6,23 @@
 
 namespace micaroad::routing {
 
-HealthBook::HealthBook(const Pool& pool, Instant now) : rule_(pool.health) {
+HealthBook::HealthBook(const Pool& pool, TimePoint now) : rule_(pool.health) {
     std::vector<std::string> checked;
     for (const Server& server : pool.servers)
         if (server.checked && server.health_of.empty()) checked.push_back(server.name);
     for (std::size_t i = 0; i < checked.size(); ++i) {
-        const auto part = rule_.every * static_cast<Span::rep>(i) / static_cast<Span::rep>(checked.size());
+        const auto part = rule_.every * static_cast<Duration::rep>(i) / static_cast<Duration::rep>(checked.size());
         entries_[checked[i]].due = now + part;
     }
 }
 
-Span HealthBook::wait_of(const Entry& entry) const {
-    if (entry.against > 0 && rule_.every_in_doubt > Span{}) return rule_.every_in_doubt;
-    if (!entry.up && rule_.every_while_down > Span{}) return rule_.every_while_down;
+Duration HealthBook::wait_of(const Entry& entry) const {
+    if (entry.against > 0 && rule_.every_in_doubt > Duration{}) return rule_.every_in_doubt;
+    if (!entry.up && rule_.every_while_down > Duration{}) return rule_.every_while_down;
     return rule_.every;
 }
 
-std::vector<std::string> HealthBook::take_due(Instant now) {
+std::vector<std::string> HealthBook::take_due(TimePoint now) {
     std::vector<std::string> due;
     for (auto& [name, entry] : entries_) {
         if (entry.due > now) continue;
@@ -32,19 +32,19 @@
     return due;
 }
 
-std::optional<Instant> HealthBook::next_due() const {
-    std::optional<Instant> first;
+std::optional<TimePoint> HealthBook::next_due() const {
+    std::optional<TimePoint> first;
     for (const auto& [name, entry] : entries_) first = first ? std::min(*first, entry.due) : entry.due;
     return first;
 }
 
 std::optional<HealthBook::Change> HealthBook::turn(const std::string& name, Entry& entry, bool up,
-                                                   Instant now, std::string why) {
+                                                   TimePoint now, std::string why) {
     entry.up = up, entry.against = 0, entry.errors = 0;
     return Change{name, up, now, std::move(why)};
 }
 
-std::optional<HealthBook::Change> HealthBook::probed(const std::string& server, bool ok, Instant now) {
+std::optional<HealthBook::Change> HealthBook::probed(const std::string& server, bool ok, TimePoint now) {
     const auto at = entries_.find(server);
     if (at == entries_.end()) return std::nullopt;
     Entry& entry = at->second;
@@ -58,7 +58,7 @@
     return change;
 }
 
-std::optional<HealthBook::Change> HealthBook::met(const std::string& server, bool ok, Instant now) {
+std::optional<HealthBook::Change> HealthBook::met(const std::string& server, bool ok, TimePoint now) {
     const auto at = entries_.find(server);
     if (at == entries_.end() || rule_.errors_most == 0 || !at->second.up) return std::nullopt;
     Entry& entry = at->second;
--- a/src/routing/health.hpp
+++ b/src/routing/health.hpp
@@ -20,20 +20,20 @@
  public:
     // All servers count as up until they have shown otherwise; first probes are spread over the rule's
     // interval.
-    HealthBook(const Pool& pool, Instant now);
+    HealthBook(const Pool& pool, TimePoint now);
 
     struct Change {
         std::string server;
         bool up = false;
-        Instant at{};
+        TimePoint at{};
         std::string why;
     };
 
     // The servers whose probe is due. Each is due again once its answer was told, or its patience is over.
-    std::vector<std::string> take_due(Instant now);
-    std::optional<Instant> next_due() const;
-    std::optional<Change> probed(const std::string& server, bool ok, Instant now);
-    std::optional<Change> met(const std::string& server, bool ok, Instant now);  // by an RPC
+    std::vector<std::string> take_due(TimePoint now);
+    std::optional<TimePoint> next_due() const;
+    std::optional<Change> probed(const std::string& server, bool ok, TimePoint now);
+    std::optional<Change> met(const std::string& server, bool ok, TimePoint now);  // by an RPC
     bool up(const std::string& server) const;
     void begin_down(const std::string& server);  // it was down before this book was begun
 
@@ -42,10 +42,10 @@
         bool up = true;
         int against = 0;  // probes in a row that speak against `up`
         int errors = 0;   // RPCs in a row that failed
-        Instant due{};
+        TimePoint due{};
     };
-    Span wait_of(const Entry& entry) const;
-    std::optional<Change> turn(const std::string& name, Entry& entry, bool up, Instant now, std::string why);
+    Duration wait_of(const Entry& entry) const;
+    std::optional<Change> turn(const std::string& name, Entry& entry, bool up, TimePoint now, std::string why);
 
     const HealthRule rule_;
     std::map<std::string, Entry> entries_;
--- a/src/routing/keeper.cpp
+++ b/src/routing/keeper.cpp
@@ -8,16 +8,16 @@
 namespace micaroad::routing {
 namespace {
 
-bool alike(const ListedServer& a, const ListedServer& b) {
+bool alike(const ListedEndpoint& a, const ListedEndpoint& b) {
     return std::tie(a.server, a.kind, a.phase, a.size, a.last_start) ==
            std::tie(b.server, b.kind, b.phase, b.size, b.last_start);
 }
 
 }  // namespace
 
-Keeper::Keeper(Plan plan, Instant now) { begin(std::move(plan), now); }
+Keeper::Keeper(Plan plan, TimePoint now) { begin(std::move(plan), now); }
 
-void Keeper::begin(Plan plan, Instant now) {
+void Keeper::begin(Plan plan, TimePoint now) {
     plan_ = std::make_unique<Plan>(std::move(plan));
     roster_ = std::make_unique<Roster>(*plan_);
     std::map<std::string, HealthBook> books;
@@ -42,7 +42,7 @@
     books_ = std::move(books), view_.servers = std::move(servers);
 }
 
-std::vector<Keeper::Probe> Keeper::take_due(Instant now) {
+std::vector<Keeper::Probe> Keeper::take_due(TimePoint now) {
     std::vector<Probe> probes;
     for (const Pool& pool : plan_->pools) {
         for (const std::string& name : books_.at(pool.name).take_due(now)) {
@@ -54,8 +54,8 @@
     return probes;
 }
 
-std::optional<Instant> Keeper::next_due() const {
-    std::optional<Instant> first;
+std::optional<TimePoint> Keeper::next_due() const {
+    std::optional<TimePoint> first;
     for (const auto& [pool, book] : books_) {
         const auto due = book.next_due();
         if (due && (!first || *due < *first)) first = due;
@@ -68,7 +68,7 @@
     return first;
 }
 
-std::string Keeper::probed(const std::string& server, bool ok, Instant now) {
+std::string Keeper::probed(const std::string& server, bool ok, TimePoint now) {
     const auto slash = server.find('/');
     const auto book = books_.find(server.substr(0, slash));
     if (slash == std::string::npos || book == books_.end()) return "";
@@ -80,7 +80,7 @@
     return fmt::format("{} is {}: {}", server, change->up ? "up" : "down", change->why);
 }
 
-bool Keeper::replace(Plan plan, Instant now) {
+bool Keeper::replace(Plan plan, TimePoint now) {
     const auto names = [](const Plan& plan) {
         std::vector<std::string> names;
         for (const Pool& pool : plan.pools) names.push_back(pool.name);
@@ -91,9 +91,9 @@
     return true;
 }
 
-std::optional<event::List> Keeper::changed(Instant now) {
+std::optional<event::EndpointListUpdate> Keeper::changed(TimePoint now) {
     view_.now = now;
-    event::List list = roster_->list(view_);
+    event::EndpointListUpdate list = roster_->list(view_);
     if (last_ && std::equal(last_->begin(), last_->end(), list.servers.begin(), list.servers.end(), alike))
         return std::nullopt;
     last_ = list.servers;
--- a/src/routing/keeper.hpp
+++ b/src/routing/keeper.hpp
@@ -18,7 +18,7 @@
 
 class Keeper {
  public:
-    Keeper(Plan plan, Instant now);
+    Keeper(Plan plan, TimePoint now);
 
     struct Probe {
         std::string server;  // full name
@@ -26,27 +26,27 @@
         HealthRule rule;
     };
 
-    std::vector<Probe> take_due(Instant now);
-    std::optional<Instant> next_due() const;
+    std::vector<Probe> take_due(TimePoint now);
+    std::optional<TimePoint> next_due() const;
     // What changed in words; empty: nothing.
-    std::string probed(const std::string& server, bool ok, Instant now);
+    std::string probed(const std::string& server, bool ok, TimePoint now);
     // The same pools with other servers, weights or states; what is known of servers that stay is kept.
     // False: pools differ, which only a new start can take in, and nothing is changed.
-    bool replace(Plan plan, Instant now);
+    bool replace(Plan plan, TimePoint now);
 
     // The list, if it is another than at the last call.
-    std::optional<event::List> changed(Instant now);
+    std::optional<event::EndpointListUpdate> changed(TimePoint now);
     std::map<ServerId, std::string> addresses() const { return roster_->addresses(); }
     const Plan& plan() const { return *plan_; }
 
  private:
-    void begin(Plan plan, Instant now);
+    void begin(Plan plan, TimePoint now);
 
     std::unique_ptr<Plan> plan_;
     std::unique_ptr<Roster> roster_;
     View view_;
     std::map<std::string, HealthBook> books_;  // by pool
-    std::optional<std::vector<ListedServer>> last_;
+    std::optional<std::vector<ListedEndpoint>> last_;
 };
 
 }  // namespace micaroad::routing
--- a/src/routing/limiter.cpp
+++ b/src/routing/limiter.cpp
@@ -23,7 +23,7 @@
 
 Limiter::Answer Limiter::wait(RpcNumber rpc, Wait wait) {
     if (wait.alone) ++limits_.at(wait.servers.front()).waiting;
-    const Instant until = wait.until;
+    const TimePoint until = wait.until;
     places_[rpc] = next_;
     waits_[next_++] = {rpc, std::move(wait)};
     return {rpc, Verdict::waits, "", until};
@@ -38,7 +38,7 @@
 
 // Nobody goes past those that wait: a newcomer runs at once only if nobody before it could have taken the
 // place.
-Limiter::Answer Limiter::ask(RpcNumber rpc, const std::string& server, Instant now) {
+Limiter::Answer Limiter::ask(RpcNumber rpc, const std::string& server, TimePoint now) {
     const auto at = limits_.find(server);
     if (at == limits_.end() || at->second.closed || runs_.contains(rpc) || places_.contains(rpc))
         return {rpc, Verdict::turned_away, server, {}};
@@ -48,7 +48,7 @@
     return wait(rpc, {{server}, true, now + patience_});
 }
 
-Limiter::Answer Limiter::ask_any(RpcNumber rpc, const std::vector<std::string>& servers, Instant now) {
+Limiter::Answer Limiter::ask_any(RpcNumber rpc, const std::vector<std::string>& servers, TimePoint now) {
     if (servers.empty() || runs_.contains(rpc) || places_.contains(rpc))
         return {rpc, Verdict::turned_away, "", {}};
     for (const std::string& server : servers) {
@@ -57,7 +57,7 @@
     return wait(rpc, {servers, false, now + patience_});
 }
 
-std::vector<Limiter::Answer> Limiter::done(RpcNumber rpc, Instant) {
+std::vector<Limiter::Answer> Limiter::done(RpcNumber rpc, TimePoint) {
     if (const auto at = places_.find(rpc); at != places_.end()) {
         leave_queue(waits_.find(at->second));
         return {};  // it held no place that another waits for
@@ -86,7 +86,7 @@
 }
 
 std::vector<Limiter::Answer> Limiter::close(const std::string& server, const std::vector<std::string>& others,
-                                            Instant) {
+                                            TimePoint) {
     const auto limit = limits_.find(server);
     if (limit == limits_.end() || limit->second.closed) return {};
     limit->second.closed = true;
@@ -104,7 +104,7 @@
     return admit();
 }
 
-std::vector<Limiter::Answer> Limiter::expire(Instant now) {
+std::vector<Limiter::Answer> Limiter::expire(TimePoint now) {
     std::vector<Answer> answers;
     while (!waits_.empty() && waits_.begin()->second.second.until <= now) {
         answers.push_back({waits_.begin()->second.first, Verdict::turned_away, "", {}});
@@ -113,7 +113,7 @@
     return answers;
 }
 
-std::optional<Instant> Limiter::next_due() const {
+std::optional<TimePoint> Limiter::next_due() const {
     return waits_.empty() ? std::nullopt : std::optional{waits_.begin()->second.second.until};
 }
 
--- a/src/routing/limiter.hpp
+++ b/src/routing/limiter.hpp
@@ -29,21 +29,21 @@
         RpcNumber rpc;
         Verdict verdict = Verdict::turned_away;
         std::string server;
-        Instant until{};  // waits: then it is turned away
+        TimePoint until{};  // waits: then it is turned away
     };
 
     // Wants to run at one server (its queue counts), or at any of the named ones in their order (the pool's
     // queue).
-    Answer ask(RpcNumber rpc, const std::string& server, Instant now);
-    Answer ask_any(RpcNumber rpc, const std::vector<std::string>& servers, Instant now);
+    Answer ask(RpcNumber rpc, const std::string& server, TimePoint now);
+    Answer ask_any(RpcNumber rpc, const std::vector<std::string>& servers, TimePoint now);
     // One is done, or its client left; whoever may run now is named. Unknown numbers change nothing.
-    std::vector<Answer> done(RpcNumber rpc, Instant now);
+    std::vector<Answer> done(RpcNumber rpc, TimePoint now);
     // A server takes nothing new: those that wait for it alone may run at any of the others instead.
-    std::vector<Answer> close(const std::string& server, const std::vector<std::string>& others, Instant now);
+    std::vector<Answer> close(const std::string& server, const std::vector<std::string>& others, TimePoint now);
     std::vector<Answer> open(const std::string& server);
     // Those whose patience is over, in the order of their coming.
-    std::vector<Answer> expire(Instant now);
-    std::optional<Instant> next_due() const;
+    std::vector<Answer> expire(TimePoint now);
+    std::optional<TimePoint> next_due() const;
 
     int running(const std::string& server) const;
     int running() const { return static_cast<int>(runs_.size()); }
@@ -58,7 +58,7 @@
     struct Wait {
         std::vector<std::string> servers;  // in order of wish
         bool alone = false;                // it waits in that server's own queue
-        Instant until{};
+        TimePoint until{};
     };
 
     bool has_room(const std::string& server) const;
@@ -69,7 +69,7 @@
     std::vector<Answer> admit();
 
     const int most_;
-    const Span patience_;
+    const Duration patience_;
     std::map<std::string, Limit> limits_;
     std::map<RpcNumber, std::string> runs_;
     // By order of coming, which is also the order in which patience ends, as it is one for the pool.
--- a/src/routing/plan.hpp
+++ b/src/routing/plan.hpp
@@ -2,7 +2,7 @@
 // operator's own (src/operators/) or another program's (src/haproxy/). Plain values without behaviour;
 // src/routing/router.hpp decides by them.
 //
-// Names are the operator's. A server's full name is "pool/server". Times are Spans (tenths of a millisecond).
+// SymbolTable are the operator's. A server's full name is "pool/server". Times are Spans (tenths of a millisecond).
 #pragma once
 
 #include <cstdint>
@@ -126,7 +126,7 @@
     State state = State::ready;
     int connections_most = 0;  // at once; 0: no limit
     int queue_most = 0;        // RPCs that wait for it alone; 0: no limit
-    Span slow_start{};         // after it comes up its ceiling rises over this time; zero: at once
+    Duration slow_start{};         // after it comes up its ceiling rises over this time; zero: at once
     std::string health_of;     // "pool/server" whose health is taken for its own; empty: its own
     std::string mark;          // what a stuck RPC's cookie says of it
     bool checked = false;      // by the pool's health rule
@@ -154,7 +154,7 @@
 };
 
 struct HealthRule {
-    Span every{20'000}, every_in_doubt{}, every_while_down{}, patience{};  // zero: as `every`
+    Duration every{20'000}, every_in_doubt{}, every_while_down{}, patience{};  // zero: as `every`
     int rise = 2, fall = 3;
     enum class Kind { connect, http } kind = Kind::connect;
     std::string http_method = "OPTIONS", http_path = "/", http_host;
@@ -169,8 +169,8 @@
     std::vector<Server> servers;
     bool all_backups = false;  // or the first that can be used
     int connections_most = 0;
-    Span queue_patience{50'000};
-    Span connect_within{50'000}, answer_within{300'000};
+    Duration queue_patience{50'000};
+    Duration connect_within{50'000}, answer_within{300'000};
     FurtherTries further;
     Stickiness stickiness;
     HealthRule health;
@@ -182,7 +182,7 @@
 struct Service {
     std::string name = "planner-0", listen = "127.0.0.1:3000";
     int proxies = 64, lines_per_second = 1'600, lines_per_message = 3, lines_waiting_most = 1'600;
-    Span report_every{5'000}, message_longest{4'500}, drain_grace{20'000};
+    Duration report_every{5'000}, message_longest{4'500}, drain_grace{20'000};
     int memory_mb = 64, sockets = 1'024;
     bool operator==(const Service&) const = default;
 };
@@ -191,7 +191,7 @@
 struct Recording {
     std::string path;
     int segment_mb = 8, all_mb = 512, kib_per_second = 1'024, processor_percent = 5;
-    Span keep = std::chrono::hours(72);
+    Duration keep = std::chrono::hours(72);
     bool operator==(const Recording&) const = default;
 };
 
--- a/src/routing/roster.cpp
+++ b/src/routing/roster.cpp
@@ -7,14 +7,14 @@
 
 Roster::Roster(const Plan& plan) : plan_(plan), chooser_(plan) {}
 
-Terms Roster::terms(Terms base) const {
+DeploymentSettings Roster::terms(DeploymentSettings base) const {
     base.methods.clear();
-    base.zones = 1, base.slices = 0;
+    base.zone_count = 1, base.slice_count = 0;
     const Service& service = plan_.service;
-    base.proxies = service.proxies;
-    base.lines_per_second = service.lines_per_second, base.lines_per_message = service.lines_per_message;
-    base.lines_waiting_most = service.lines_waiting_most;
-    base.report_every = service.report_every, base.message_longest = service.message_longest,
+    base.proxy_count = service.proxies;
+    base.channel_lines_per_second = service.lines_per_second, base.overhead_lines_per_message = service.lines_per_message;
+    base.max_pending_lines = service.lines_waiting_most;
+    base.report_interval = service.report_every, base.max_message_delay = service.message_longest,
     base.drain_grace = service.drain_grace;
     for (std::size_t k = 0; k < plan_.pools.size(); ++k) {
         const Pool& pool = plan_.pools[k];
@@ -23,13 +23,13 @@
         method.only_kinds = {{static_cast<int>(k)}};
         base.methods.push_back(method);
         for (const Server& server : pool.servers)
-            base.warm_after = std::max(base.warm_after, server.slow_start);
+            base.warm_up_duration = std::max(base.warm_up_duration, server.slow_start);
     }
     return base;
 }
 
-Names Roster::names() const {
-    Names names;
+SymbolTable Roster::names() const {
+    SymbolTable names;
     names.zones = {"here"};
     for (const Pool& pool : plan_.pools) names.methods.push_back(pool.name), names.kinds.push_back(pool.name);
     return names;
@@ -37,8 +37,8 @@
 
 // The tier in use alone is ready: a backup on the list would be given RPCs. A server that drains is listed
 // whatever its tier, as its drain must be told.
-event::List Roster::list(const View& view) const {
-    event::List list{event::List::Form::complete, {}};
+event::EndpointListUpdate Roster::list(const View& view) const {
+    event::EndpointListUpdate list{event::EndpointListUpdate::Form::complete, {}};
     for (std::size_t k = 0; k < plan_.pools.size(); ++k) {
         const Pool& pool = plan_.pools[k];
         const Parts parts = chooser_.parts(pool, view);
@@ -52,13 +52,13 @@
                 std::any_of(parts.parts.begin(), parts.parts.end(),
                             [&server](const Part& part) { return part.server == server.name; });
             if (!drains && !in_use && standing != Standing::full) continue;
-            ListedServer entry;
+            ListedEndpoint entry;
             entry.server = {full_name(pool, server)};
             entry.kind = {static_cast<int>(k)};
-            entry.phase = drains ? Phase::draining : Phase::ready;
+            entry.phase = drains ? EndpointPhase::draining : EndpointPhase::ready;
             entry.size = std::max(server.weight, 1);
             const ServerNow& now = view.server(entry.server.value);
-            if (server.slow_start > Span{} && now.up_since != Instant{}) entry.last_start = now.up_since;
+            if (server.slow_start > Duration{} && now.up_since != TimePoint{}) entry.last_start = now.up_since;
             list.servers.push_back(entry);
         }
     }
--- a/src/routing/roster.hpp
+++ b/src/routing/roster.hpp
@@ -5,7 +5,7 @@
 
 #include "micaroad/planner.hpp"
 #include "routing/choice.hpp"
-#include "terms/terms.hpp"
+#include "settings/deployment_settings.hpp"
 
 namespace micaroad::routing {
 
@@ -15,13 +15,13 @@
 
     // Methods, one a pool with its time for an answer as soft deadline; the channel, the grace and reports of
     // the plan's service; the longest slow start. What a plan does not tell is `base`'s.
-    Terms terms(Terms base) const;
-    Names names() const;  // methods and kinds: the pools; one zone, "here"
+    DeploymentSettings terms(DeploymentSettings base) const;
+    SymbolTable names() const;  // methods and kinds: the pools; one zone, "here"
 
     // The whole list at an instant. Usable and full servers are ready with their weight as size; those that
     // only stuck RPCs may go to are draining; others are absent. A server with a slow start tells when it
     // came up.
-    event::List list(const View& view) const;
+    event::EndpointListUpdate list(const View& view) const;
     std::map<ServerId, std::string> addresses() const;
 
  private:
--- a/src/routing/route_index.cpp
+++ b/src/routing/route_index.cpp
@@ -93,11 +93,11 @@
 std::optional<std::size_t> RouteIndex::first(const Rpc& rpc, const UsableCount& usable,
                                              std::size_t* asked) const {
     // Lists in rising order each: the lowest head of all is asked next.
-    using Span = std::pair<const Trie::Number*, const Trie::Number*>;
-    const auto later = [](const Span& a, const Span& b) { return *a.first > *b.first; };
-    std::vector<Span> room;
+    using Duration = std::pair<const Trie::Number*, const Trie::Number*>;
+    const auto later = [](const Duration& a, const Duration& b) { return *a.first > *b.first; };
+    std::vector<Duration> room;
     room.reserve(16);
-    std::priority_queue<Span, std::vector<Span>, decltype(later)> lists(later, std::move(room));
+    std::priority_queue<Duration, std::vector<Duration>, decltype(later)> lists(later, std::move(room));
     const auto take = [&lists](const Trie::Numbers& numbers) {
         if (!numbers.empty()) lists.emplace(numbers.data(), numbers.data() + numbers.size());
     };
--- a/src/routing/router.hpp
+++ b/src/routing/router.hpp
@@ -22,7 +22,7 @@
     std::string stuck_to;  // of the parts or not: where this RPC is to go if that may be
     int status = 503;      // turned away, redirected: said at once
     std::string location;  // redirected
-    Span patience{};       // wait: so long at most, then it is turned away
+    Duration patience{};       // wait: so long at most, then it is turned away
     std::vector<std::string> why;
 };
 
--- a/src/routing/view.hpp
+++ b/src/routing/view.hpp
@@ -14,9 +14,9 @@
 
 struct ServerNow {
     bool up = true;
-    Instant up_since{};                     // the epoch: long ago
+    TimePoint up_since{};                     // the epoch: long ago
     std::optional<State> told;              // by the operator since the plan was read; goes before the plan's
-    std::optional<Instant> draining_since;  // absent while it does not drain
+    std::optional<TimePoint> draining_since;  // absent while it does not drain
     int running = 0, waiting = 0;           // RPCs at it, and in its own queue
 };
 
@@ -25,8 +25,8 @@
 };
 
 struct View {
-    Instant now{};
-    Span drain_grace{20'000};                  // how long stuck RPCs may go on to a server that drains
+    TimePoint now{};
+    Duration drain_grace{20'000};                  // how long stuck RPCs may go on to a server that drains
     std::map<std::string, ServerNow> servers;  // by full name; absent: up since long ago, idle
     std::map<std::string, PoolNow> pools;      // by name; absent: idle
 
--- a/src/terms/terms.hpp
+++ b/src/settings/deployment_settings.hpp
@@ -10,19 +10,19 @@
 
 namespace micaroad {
 
-// A Span counts tenths of a millisecond; the settings and the simulator's wire count microseconds.
+// A Duration counts tenths of a millisecond; the settings and the simulator's wire count microseconds.
 inline constexpr std::int64_t kMicrosPerUnit = 100;
-inline Span span_of(std::int64_t micros) { return Span{micros / kMicrosPerUnit}; }
+inline Duration duration_of_micros(std::int64_t micros) { return Duration{micros / kMicrosPerUnit}; }
 
 // Throws nlohmann::json::exception where a value has another type than its key demands.
-Terms terms_of(const nlohmann::json& profile);
+DeploymentSettings parse_deployment_settings(const nlohmann::json& profile);
 
 // The names behind the numbers of MethodId, ZoneId and KindId: a wire that speaks names needs them.
-struct Names {
+struct SymbolTable {
     std::vector<std::string> methods, zones, kinds;
     const std::string& method(MethodId id) const { return methods.at(static_cast<std::size_t>(id.value)); }
     const std::string& zone(ZoneId id) const { return zones.at(static_cast<std::size_t>(id.value)); }
 };
-Names names_of(const nlohmann::json& profile);
+SymbolTable parse_symbol_table(const nlohmann::json& profile);
 
 }  // namespace micaroad
--- a/src/simhost/wire.cpp
+++ b/src/simhost/wire.cpp
@@ -5,14 +5,14 @@
 #include <type_traits>
 #include <utility>
 
-#include "terms/terms.hpp"
+#include "settings/deployment_settings.hpp"
 
 namespace micaroad::simhost {
 namespace {
 
 using nlohmann::json;
 
-Instant instant_of(std::int64_t micros) { return Instant{span_of(micros)}; }
+TimePoint instant_of(std::int64_t micros) { return TimePoint{duration_of_micros(micros)}; }
 
 // The values of a message, in order; those past the end or null are the type's default.
 class Fields {
@@ -27,32 +27,32 @@
     T take_id() {
         return T{take<decltype(T::value)>()};
     }
-    Span take_span() { return span_of(take<std::int64_t>()); }
+    Duration take_span() { return duration_of_micros(take<std::int64_t>()); }
 
    private:
     const json& message_;
     std::size_t next_;
 };
 
-event::List list_of(Fields fields) {
-    event::List list;
+event::EndpointListUpdate list_of(Fields fields) {
+    event::EndpointListUpdate list;
     const auto form = fields.take<std::string>();
-    list.form = form == "update"    ? event::List::Form::changes
-                : form == "replace" ? event::List::Form::complete
-                : form == "restored" ? event::List::Form::restored
-                                     : event::List::Form::unavailable;
+    list.form = form == "update"    ? event::EndpointListUpdate::Form::incremental
+                : form == "replace" ? event::EndpointListUpdate::Form::complete
+                : form == "restored" ? event::EndpointListUpdate::Form::restored
+                                     : event::EndpointListUpdate::Form::unavailable;
     fields.take<std::int64_t>();  // the list's version: lists come in order
     for (const auto& entry : fields.take<json>()) {
         Fields values(entry, 0);
-        ListedServer server;
+        ListedEndpoint server;
         server.server = values.take_id<ServerId>();
         server.zone = values.take_id<ZoneId>();
         server.kind = values.take_id<KindId>();
         server.cell = values.take_id<CellId>();
         const auto phase = values.take<std::string>();
-        server.phase = phase == "Ready"         ? Phase::ready
-                       : phase == "Terminating" ? Phase::draining
-                                                : Phase::gone;
+        server.phase = phase == "Ready"         ? EndpointPhase::ready
+                       : phase == "Terminating" ? EndpointPhase::draining
+                                                : EndpointPhase::gone;
         server.size = values.take<double>();
         if (const auto started = values.take<std::int64_t>(); started != 0) {
             server.last_start = instant_of(started);
@@ -68,75 +68,75 @@
         return list_of(f);
     }
     if (name == "deadline_hit") {
-        return event::TimerDue{f.take_id<TimerId>()};
+        return event::TimerExpired{f.take_id<TimerId>()};
     }
     if (name == "stream_up") {
         event::ProxyJoined joined;
         joined.zone = f.take_id<ZoneId>();
         joined.rpcs_per_second = f.take<double>();
         joined.proxy = f.take_id<ProxyId>();
-        joined.standing_only = f.take<bool>();
+        joined.initial_table_only = f.take<bool>();
         return joined;
     }
     if (name == "dropped_off") {
         return event::ProxyLeft{f.take_id<ProxyId>()};
     }
     if (name == "in_force") {
-        event::MarkApplied applied;
+        event::Acknowledgement applied;
         applied.proxy = f.take_id<ProxyId>();
-        applied.mark = f.take_id<MarkId>();
+        applied.nonce = f.take_id<Nonce>();
         return applied;
     }
     if (name == "roundup") {
-        event::Outcomes met;
-        met.bad = f.take<double>();
-        met.tries = f.take<double>();
-        met.mean = f.take_span();
-        met.from = f.take_id<ZoneId>();
+        event::EndpointLoadReport met;
+        met.failures = f.take<double>();
+        met.attempts = f.take<double>();
+        met.mean_latency = f.take_span();
+        met.proxy_zone = f.take_id<ZoneId>();
         met.server = f.take_id<ServerId>();
-        met.over = f.take_span();
+        met.window = f.take_span();
         return met;
     }
     if (name == "intake") {
-        event::Arrivals came;
-        came.over = f.take_span();
-        came.count = f.take<double>();
+        event::DemandReport came;
+        came.window = f.take_span();
+        came.requests = f.take<double>();
         came.method = f.take_id<MethodId>();
         came.unanswered = f.take<double>();
         came.proxy = f.take_id<ProxyId>();
         return came;
     }
     if (name == "range_load") {
-        event::SliceArrivals came;
+        event::SliceDemandReport came;
         came.slice = f.take_id<TableId>();
         came.method = f.take_id<MethodId>();
-        came.count = f.take<double>();
+        came.requests = f.take<double>();
         came.unanswered = f.take<double>();
-        came.over = f.take_span();
+        came.window = f.take_span();
         return came;
     }
     if (name == "leased") {
-        event::SliceGiven given;
+        event::SliceAssigned given;
         given.slice = f.take_id<TableId>();
         given.ours = f.take<bool>();
         return given;
     }
     if (name == "current_owner") {
-        event::SliceOwner owner;
+        event::SliceOwnerReported owner;
         owner.slice = f.take_id<TableId>();
         owner.server = f.take_id<ServerId>();
         owner.weight = f.take<double>();
         return owner;
     }
     if (name == "health_result") {
-        event::Probed probed;
+        event::HealthCheckResult probed;
         probed.server = f.take_id<ServerId>();
-        probed.ok = f.take<std::string>() == "GOOD";
-        probed.took = f.take_span();
+        probed.healthy = f.take<std::string>() == "GOOD";
+        probed.latency = f.take_span();
         return probed;
     }
     if (name == "peer_data") {
-        event::PeerSaid said;
+        event::PeerMessage said;
         said.from = f.take_id<PlannerId>();
         said.text = f.take<std::string>();
         return said;
@@ -157,26 +157,26 @@
     constexpr static int kEveryPeer = -1;
     const std::string& i;
 
-    json operator()(const order::SetLine& o) const {
+    json operator()(const order::SetTableEntry& o) const {
         return {"set_line", i, o.table.value, o.server.value, o.weight};
     }
     json operator()(const order::ClearTable& o) const { return {"blank", i, o.table.value}; }
-    json operator()(const order::Bind& o) const {
+    json operator()(const order::BindProxy& o) const {
         return {"pin", i, o.table.value, lanes_of(o.methods), o.proxy.value};
     }
-    json operator()(const order::SetLevel& o) const {
+    json operator()(const order::SetAdmission& o) const {
         return {"ration",         i,        o.table ? o.table->value : kEveryProxy,
-                lanes_of(o.methods), o.amount, static_cast<int>(o.further_tries)};
+                lanes_of(o.methods), o.amount, static_cast<int>(o.retry_policy)};
     }
-    json operator()(const order::Withdraw& o) const { return {"suspend", i, o.server.value, o.out}; }
-    json operator()(const order::Mark& o) const { return {"seal", i, o.mark.value, o.everyone}; }
+    json operator()(const order::SetWithdrawn& o) const { return {"suspend", i, o.server.value, o.withdrawn}; }
+    json operator()(const order::SendNonce& o) const { return {"seal", i, o.nonce.value, o.to_all}; }
     json operator()(const order::StartTimer& o) const {
         return {"timer", i, o.after.count() * kMicrosPerUnit, o.timer.value};
     }
-    json operator()(const order::Probe& o) const { return {"ask_load", i, o.server.value}; }
+    json operator()(const order::CheckHealth& o) const { return {"ask_load", i, o.server.value}; }
     json operator()(const order::Subscribe& o) const { return {"listen", i, o.on}; }
     json operator()(const order::FetchList&) const { return {"refresh", i}; }
-    json operator()(const order::TellPeer& o) const {
+    json operator()(const order::SendPeerMessage& o) const {
         return {"publish", i, o.to ? o.to->value : kEveryPeer, o.text};
     }
     json operator()(const order::LogLine& o) const { return {"journal_line", i, o.text}; }
@@ -207,14 +207,14 @@
     try {
         if (heard) {
             if (instance.planner) {
-                instance.planner->hear(std::move(*heard));
+                instance.planner->handle(std::move(*heard));
             }
             return;
         }
         const auto seed = head.take<std::uint64_t>();
-        Terms terms = terms_of(head.take<json>());
+        DeploymentSettings settings = parse_deployment_settings(head.take<json>());
         instance = Instance{};
-        instance.planner.emplace(std::move(terms), seed);
+        instance.planner.emplace(std::move(settings), seed);
     } catch (const json::exception&) {
         throw;
     } catch (const std::exception& failed) {
@@ -224,7 +224,7 @@
 
 std::string Host::answer(const std::string& line) try {
     const json batch = json::parse(line);
-    const Instant now = instant_of(batch.at("t_us").get<std::int64_t>());
+    const TimePoint now = instant_of(batch.at("t_us").get<std::int64_t>());
     spoken_to_.clear();
     for (const auto& event : batch.at("inbox")) {
         if (!event.is_array()) {
--- a/src/outbox/letter.hpp
+++ b/src/updates/proxy_update.hpp
@@ -10,26 +10,26 @@
 
 namespace micaroad {
 
-struct Letter {
+struct ProxyUpdate {
     struct Table {
         std::set<MethodId> methods;
-        bool full = false;                 // the lines are all of it, and levels are forgotten
+        bool full = false;                 // the lines are all of it, and admissions are forgotten
         std::map<ServerId, double> lines;  // 0: take it out
     };
-    struct Level {
+    struct Admission {
         double amount = 1;
-        FurtherTry further_tries = FurtherTry::never;
-        auto operator<=>(const Level&) const = default;
+        RetryPolicy retry_policy = RetryPolicy::never;
+        auto operator<=>(const Admission&) const = default;
     };
     ProxyId proxy;
     std::vector<Table> tables;
-    std::map<MethodId, Level> levels;
-    std::map<ServerId, bool> shut;  // true: shut out, false: let back
-    std::optional<MarkId> mark;
+    std::map<MethodId, Admission> admissions;
+    std::map<ServerId, bool> withdrawn;  // true: withdrawn out, false: let back
+    std::optional<Nonce> nonce;
 
     // As the channel counts it, without its head.
     std::size_t channel_lines() const {
-        std::size_t sum = levels.size() + shut.size() + (mark ? 1 : 0);
+        std::size_t sum = admissions.size() + withdrawn.size() + (nonce ? 1 : 0);
         for (const Table& table : tables) sum += table.lines.size() + (table.full ? 1 : 0);
         return sum;
     }
