--- a/tests/reference/balance.cpp
+++ b/tests/reference/balance.cpp
@@ -14,15 +14,15 @@
 namespace {
 
 // The design starts at 5 s. Shorter steps act again before what the last one did is heard.
-constexpr Span kStepEvery = std::chrono::seconds(4);
+constexpr Duration kStepEvery = std::chrono::seconds(4);
 constexpr double kMemory = 0.25;  // of what was heard before a step: one alone sees few RPCs a server
 
 struct Desk {  // what every part may look at
-    const Terms terms;
+    const DeploymentSettings settings;
     std::minstd_rand chance;
     // A whole number of report periods, as one that cuts through them sees now more, now fewer.
-    Span step = (kStepEvery + terms.report_every - Span{1}) / terms.report_every * terms.report_every;
-    Instant now{};
+    Duration step = (kStepEvery + settings.report_interval - Duration{1}) / settings.report_interval * settings.report_interval;
+    TimePoint now{};
     std::vector<Order> orders{};
 };
 
@@ -33,37 +33,37 @@
     Standing self{};
 
     void on(const Listed& note) {
-        if (note.entry.phase == Phase::gone) return on(Unlisted{});
+        if (note.entry.phase == EndpointPhase::gone) return on(Unlisted{});
         if (note.entry.last_start && note.entry.last_start != self.entry.last_start) self = Standing{};
         self.entry = note.entry;
         if (!std::isfinite(self.entry.size) || self.entry.size <= 0) self.entry.size = 1;
-        self.open = self.entry.phase == Phase::ready;
+        self.open = self.entry.phase == EndpointPhase::ready;
         self.steady = (self.steady || note.at_first) && self.open && !self.entry.last_start;
         tell();
     }
 
-    // Guards against a list that drops servers which run, where the terms say that this does not bind: what
+    // Guards against a list that drops servers which run, where the settings say that this does not bind: what
     // still answers stays. It costs RPCs where one is truly gone.
     void on(const Unlisted&) {
-        if (std::exchange(self.entry.phase, Phase::gone) == Phase::gone) return;
+        if (std::exchange(self.entry.phase, EndpointPhase::gone) == EndpointPhase::gone) return;
         self.steady = false;
-        self.open = self.open && self.last_ok && desk.terms.dropped_may_serve;
+        self.open = self.open && self.last_ok && desk.settings.unlisted_may_serve;
         tell();
     }
 
-    void on(const event::Outcomes& met) {
+    void on(const event::EndpointLoadReport& met) {
         gate.inbox.push_back(Met{met, self.entry.zone});
         // Guards against reports of the life before a restart; it costs but a little evidence.
-        if (!self.open || (self.entry.last_start && desk.now - met.over < *self.entry.last_start)) return;
-        self.tries += met.tries, self.bad += met.bad;
-        self.answer_seconds += (met.tries - met.bad) * seconds(met.mean);
-        if (!std::exchange(self.last_ok, met.bad < met.tries ? desk.now : self.last_ok)) tell();
+        if (!self.open || (self.entry.last_start && desk.now - met.window < *self.entry.last_start)) return;
+        self.tries += met.attempts, self.bad += met.failures;
+        self.answer_seconds += (met.attempts - met.failures) * seconds(met.mean_latency);
+        if (!std::exchange(self.last_ok, met.failures < met.attempts ? desk.now : self.last_ok)) tell();
     }
 
     void on(const Beat&) {
         self.window += seconds(desk.step);
-        const bool lost = self.entry.phase == Phase::gone &&
-                          desk.now - self.last_ok.value_or(Instant{}) >= desk.terms.warm_after;
+        const bool lost = self.entry.phase == EndpointPhase::gone &&
+                          desk.now - self.last_ok.value_or(TimePoint{}) >= desk.settings.warm_up_duration;
         if (std::exchange(self.open, self.open && !lost)) tell();
         for (double* sum : {&self.tries, &self.bad, &self.answer_seconds, &self.window}) *sum *= kMemory;
     }
@@ -75,11 +75,11 @@
 
 struct Weigher : Part {
     struct Member {
-        Standing seen{}; Row weight{}, share{};  // figures by pool
+        Standing seen{}; RealVector weight{}, share{};  // figures by pool
         bool trusted = false, doubted = false;
     };
     struct Pool { Binding binding; Method like; double part = 1; };  // part: of the traffic
-    using Members = std::vector<Member*>; using Shares = std::vector<Row>;  // by pool, of the open servers
+    using Members = std::vector<Member*>; using Shares = std::vector<RealVector>;  // by pool, of the open servers
 
     Desk& desk; Part& channel;
     std::vector<Pool> pools;
@@ -89,9 +89,9 @@
     double limit = 0, total = 0, usual = 0, size_most = 0;
 
     Weigher(Desk& desk, Part& channel) : desk(desk), channel(channel) {
-        for (int m = 0; m < std::ssize(desk.terms.methods) && desk.terms.slices == 0; ++m) {
-            const Method& method = desk.terms.methods[m];
-            for (int zone = 0; zone < (method.own_zone_only ? desk.terms.zones : 1); ++zone) {
+        for (int m = 0; m < std::ssize(desk.settings.methods) && desk.settings.slice_count == 0; ++m) {
+            const Method& method = desk.settings.methods[m];
+            for (int zone = 0; zone < (method.own_zone_only ? desk.settings.zone_count : 1); ++zone) {
                 const auto home = method.own_zone_only ? std::optional{ZoneId{zone}} : std::nullopt;
                 auto pool = std::find_if(pools.begin(), pools.end(), [&](const Pool& p) {
                     return open_alike(p.like, method) && p.binding.zone == home;
@@ -108,7 +108,7 @@
         auto [at, added] = members.try_emplace(note.entry.server);
         Member& member = at->second;
         // The first servers are taken on trust: a planner that starts over has nobody else.
-        if (added) member.trusted = usual == 0, member.weight = member.share = Row(pools.size());
+        if (added) member.trusted = usual == 0, member.weight = member.share = RealVector(pools.size());
         // Steps leave the mean of the weights as it is, so a server may enter at its listed weight.
         if (note.open && !member.seen.open) member.weight = std::log(note.entry.size);
         const bool doubted = !member.trusted && !note.last_ok && note.tries > 0;
@@ -129,7 +129,7 @@
     void on(const Step&) {
         // Zones that none of our proxies reaches are left out: nothing of ours shows there or moves there.
         const Members all = open_members(), open = in_tried_zones(all, kTried);
-        Row rate, answer;
+        RealVector rate, answer;
         if (!weigh_evidence(open, rate, answer)) return publish();
         const double ours = rate.sum(), reached = zone_count(open) / zone_count(all);
         // Proxies that are not ours are taken to load the servers as ours do, those of all zones alike.
@@ -138,24 +138,24 @@
         // are left when others go: these are forgotten by a tenth a step.
         size_most = std::max(size_most * 0.9, row_of(all, [](auto& m) { return m.seen.entry.size; }).sum());
         usual = std::max(std::min(total, demand.told) / size_most, usual * 0.9);
-        const Row capacity = rate + 1.0 / answer;
+        const RealVector capacity = rate + 1.0 / answer;
         Shares now(pools.size());  // as published
         for (int k = 0; k < std::ssize(now); ++k) now[k] = parts_of(open, [k](auto& m) { return m.share[k]; });
-        const auto ahead = [&](const Shares& to, TailTerm tail) {
-            Row at = rate;
+        const auto ahead = [&](const Shares& to, TailPenalty tail) {
+            RealVector at = rate;
             for (int k = 0; k < std::ssize(now); ++k) at += ours * pools[k].part * (to[k] - now[k]);
             at[at < 0.0] = 0;
-            return look_ahead(at, capacity, tail);
+            return predict_queues(at, capacity, tail);
         };
         const Shares stay = shares(open, 0, {});
         // The factor stops at the limit: past it the model is so stiff that a larger one allows no step.
         const double lateness = std::min(ahead(stay, {0, 1, kClamp}).p95 / limit, 1.0);
-        const TailTerm tail{5 * std::exp(10 * (lateness - 1)), limit, kClamp};
-        const Prospect here = ahead(stay, tail);
+        const TailPenalty tail{5 * std::exp(10 * (lateness - 1)), limit, kClamp};
+        const QueuePrediction here = ahead(stay, tail);
         Shares downhill = stay;  // how far the weights go in a whole step
         const double scale = kStepScale * std::ssize(open) / std::max(here.cost, 1e-9) * ours;
         for (std::size_t k = 0; k < pools.size(); ++k) {
-            downhill[k] *= scale * pools[k].part * (here.slope - (stay[k] * here.slope).sum());
+            downhill[k] *= scale * pools[k].part * (here.gradient - (stay[k] * here.gradient).sum());
         }
         const auto room = [&](double c) {
             const Shares share = shares(open, c, downhill);
@@ -194,16 +194,16 @@
     }
     // Mechanism 1. Guards against a server that fails fast (looks idle), hangs or can't be reached: a failed
     // try is an answer at twice the tail's limit. It could harm where few RPCs come: hence the doubts.
-    bool weigh_evidence(const Members& open, Row& rate, Row& answer) {
-        const Row tries = row_of(open, [](const Member& m) { return m.seen.tries; });
-        const Row bad = row_of(open, [](const Member& m) { return m.seen.bad; });
-        const Row answers = row_of(open, [](const Member& m) { return m.seen.answer_seconds; });
-        const Row ok = tries - bad;
+    bool weigh_evidence(const Members& open, RealVector& rate, RealVector& answer) {
+        const RealVector tries = row_of(open, [](const Member& m) { return m.seen.tries; });
+        const RealVector bad = row_of(open, [](const Member& m) { return m.seen.bad; });
+        const RealVector answers = row_of(open, [](const Member& m) { return m.seen.answer_seconds; });
+        const RealVector ok = tries - bad;
         if (open.empty() || pools.empty() || ok.sum() <= 0) return false;
         const double mean = answers.sum() / ok.sum();
-        if (limit == 0) limit = std::max(shortest_soft_deadline(desk.terms), 2 * mean);
-        const Row usual_here = (kind_sums(open, answers) + kDoubt * mean) / (kind_sums(open, ok) + kDoubt);
-        const Row failing = (bad + kDoubtBad * bad.sum() / tries.sum()) / (tries + kDoubtBad);
+        if (limit == 0) limit = std::max(shortest_soft_deadline(desk.settings), 2 * mean);
+        const RealVector usual_here = (kind_sums(open, answers) + kDoubt * mean) / (kind_sums(open, ok) + kDoubt);
+        const RealVector failing = (bad + kDoubtBad * bad.sum() / tries.sum()) / (tries + kDoubtBad);
         answer = 2.0 * limit * failing + (1.0 - failing) * (answers + kDoubt * usual_here) / (ok + kDoubt);
         rate = tries / row_of(open, [](const Member& m) { return m.seen.window; }).max();
         return true;
@@ -211,26 +211,26 @@
 
     double warmth(const Member& member) const {  // by age, 1: warm
         const auto& start = member.seen.entry.last_start;
-        return start ? seconds(desk.now - *start) / seconds(desk.terms.warm_after) : 1;
+        return start ? seconds(desk.now - *start) / seconds(desk.settings.warm_up_duration) : 1;
     }
 
     // Mechanism 2. Guards against pushing over a cold server: it gets what it can do at least by its age (the
     // design: a quarter), four deviations under the limit from all, and nothing in its first quarter (half if
     // no load is known). It costs capacity. One whose tries all failed so far is on trial.
     double ceiling(const Member& member, double listed) const {
-        const Terms& t = desk.terms;
+        const DeploymentSettings& t = desk.settings;
         const double most = member.doubted ? kTrial * listed : 1;
         const double age = warmth(member);
         if (age >= 1 || age < (usual == 0 ? 0.5 : 0.25)) return age >= 1 ? most : 0;
-        const double able = t.cold_capacity + (1 - t.cold_capacity) * age;
+        const double able = t.cold_capacity_fraction + (1 - t.cold_capacity_fraction) * age;
         if (usual == 0) return std::min(most, able * listed);
         // RPCs within the span that pushes it over: x + kDeviations sqrt(x) is to stay under its limit.
-        const double warm = usual * member.seen.entry.size * seconds(t.fall_span), half = kDeviations / 2;
-        const double root = std::sqrt(half * half + t.fall_multiple * able * warm) - half;
-        return std::min(most, std::min(able * warm, root * root) / (total * seconds(t.fall_span)));
+        const double warm = usual * member.seen.entry.size * seconds(t.overload_window), half = kDeviations / 2;
+        const double root = std::sqrt(half * half + t.overload_factor * able * warm) - half;
+        return std::min(most, std::min(able * warm, root * root) / (total * seconds(t.overload_window)));
     }
 
-    Row sizes(std::size_t k, const Members& open) const {
+    RealVector sizes(std::size_t k, const Members& open) const {
         const Pool& pool = pools[k];
         return row_of(open, [&pool](const Member& m) {
             return open_to(pool.like, pool.binding.zone, m.seen.entry) ? m.seen.entry.size : 0;
@@ -240,21 +240,21 @@
     // Softmax over the servers that a pool is open to, after a part of a step; none above its ceiling while
     // others have room.
     Shares shares(const Members& open, double c, const Shares& downhill) const {
-        Shares all(pools.size(), Row(open.size()));
+        Shares all(pools.size(), RealVector(open.size()));
         for (std::size_t k = 0; k < pools.size() && !open.empty(); ++k) {
-            const Row size = sizes(k, open);
+            const RealVector size = sizes(k, open);
             if (size.sum() == 0) continue;
-            Row weight = row_of(open, [k](const Member& m) { return m.weight[k]; });
+            RealVector weight = row_of(open, [k](const Member& m) { return m.weight[k]; });
             if (!downhill.empty()) weight -= c * downhill[k];
-            Row share = std::exp(weight - Row(weight[size > 0.0]).max());
+            RealVector share = std::exp(weight - RealVector(weight[size > 0.0]).max());
             share[size == 0.0] = 0, share /= share.sum();
-            Row eased = share, free = share;
+            RealVector eased = share, free = share;
             for (std::size_t i = 0; i < open.size(); ++i) {
                 const double most = ceiling(*open[i], size[i] / size.sum());
                 (most < 1 ? free : eased)[i] = 0;
                 eased[i] = std::min(eased[i], most);
             }
-            all[k] = free.sum() > 0 ? Row(eased + free * (1 - eased.sum()) / free.sum()) : share;
+            all[k] = free.sum() > 0 ? RealVector(eased + free * (1 - eased.sum()) / free.sum()) : share;
         }
         return all;
     }
@@ -280,12 +280,12 @@
 // nothing comes back from don't count. It could harm where load isn't why: hence the floor.
 struct Gate : Part {
     Desk& desk; Part &weigher, &channel;
-    Row came = Row(desk.terms.methods.size()), level = Row(1.0, came.size());  // came: older RPCs fade
+    RealVector came = RealVector(desk.settings.methods.size()), level = RealVector(1.0, came.size());  // came: older RPCs fade
     // Parts of base, what came for each RPC told of when last all were let in (whole): who is refused comes
     // again. Bearable: once queues are short again. Told is summed over time, as what comes is.
     double told = 0, telling = 0, window = 0, tries = 0, base = 1, let_in = 1, bearable = 1, last = kLost;
     bool whole = true; int beats = 0; std::map<ProxyId, double> joined{};
-    Instant next_cut{}, last_look{}, summed{};
+    TimePoint next_cut{}, last_look{}, summed{};
     std::vector<std::pair<double, double>> met{};  // answer times and their weights, since the last look
     std::map<std::pair<ZoneId, ZoneId>, std::pair<double, double>> ways{};  // ok and bad, by both zones
 
@@ -294,16 +294,16 @@
     }
     void on(const event::ProxyLeft& n) { sum_up(), telling -= joined[n.proxy], joined.erase(n.proxy); }
     void sum_up() { told += telling * seconds(desk.now - std::exchange(summed, desk.now)); }
-    void on(const event::Arrivals& note) { came[note.method.value] += note.count; }
+    void on(const event::DemandReport& note) { came[note.method.value] += note.requests; }
     void on(const Met& note) {
-        auto& [ok, bad] = ways[{note.said.from, note.at}];
-        ok += note.said.tries - note.said.bad, bad += note.said.bad, tries += note.said.tries;
-        met.emplace_back(seconds(note.said.mean), note.said.tries - note.said.bad);
+        auto& [ok, bad] = ways[{note.said.proxy_zone, note.at}];
+        ok += note.said.attempts - note.said.failures, bad += note.said.failures, tries += note.said.attempts;
+        met.emplace_back(seconds(note.said.mean_latency), note.said.attempts - note.said.failures);
     }
 
     void on(const Beat&) {
         sum_up(), ++beats, window += seconds(desk.step);
-        const double all = telling * std::max(1.0, desk.terms.proxies / std::max(1.0, 1.0 * joined.size()));
+        const double all = telling * std::max(1.0, desk.settings.proxy_count / std::max(1.0, 1.0 * joined.size()));
         const double heard = std::max(told / window, telling / 4);  // four times more would be guessed
         weigher.inbox.push_back(Demand{came * level, std::max(1.0, all / heard), all});
         weigher.inbox.push_back(Step{});  // behind what the servers have told it of this beat
@@ -311,7 +311,7 @@
     }
 
     void on(const Pulse&) {
-        if (desk.now < last_look + std::max(kLookEvery, desk.terms.report_every) || tries < kEnough) return;
+        if (desk.now < last_look + std::max(kLookEvery, desk.settings.report_interval) || tries < kEnough) return;
         const bool ok = std::any_of(ways.begin(), ways.end(), [](auto& way) { return way.second.first > 0; });
         for (auto [_, n] : ways) if (!ok || n.first > 0 || n.second < kCut) met.emplace_back(kLost, n.second);
         const double answer = middle(std::exchange(met, {}));
@@ -322,28 +322,28 @@
         if (ahead > aim && desk.now >= next_cut) {
             bearable = std::max(bearable * kBackOff, 2 * kLeastLetIn);
             let_in = std::max(bearable * std::max(aim / ahead, 0.5), kLeastLetIn), whole = false;
-            const Span on_the_way{static_cast<Span::rep>(3 * aim / seconds(Span{1}))};  // heard late
-            next_cut = desk.now + 2 * (desk.terms.message_longest + desk.terms.report_every) + on_the_way;
+            const Duration on_the_way{static_cast<Duration::rep>(3 * aim / seconds(Duration{1}))};  // heard late
+            next_cut = desk.now + 2 * (desk.settings.max_message_delay + desk.settings.report_interval) + on_the_way;
         } else if (answer < 0.75 * aim) {
             bearable *= 1 + kGrowth * (1 - answer / aim) * seconds(desk.now - last_look);
             let_in = std::min(bearable, let_in * 1.5);
         }
         last_look = desk.now, share_out();
     }
-    static constexpr Span kLookEvery = std::chrono::seconds(1);  // a fleet jams within a few
+    static constexpr Duration kLookEvery = std::chrono::seconds(1);  // a fleet jams within a few
     static constexpr double kEnough = 20, kLost = 3600;  // tries for a median; seconds: no answer
     static constexpr double kCut = 8;  // bad ones alone: by chance in 1 of 256 looks, where a half is bad
     // A second, of what the answers leave; a mean so late puts a quarter of exponential answers past it.
     static constexpr double kGrowth = 0.2, kAim = 0.7, kLeastLetIn = 0.15, kBackOff = 0.85;
-    const double aim = kAim * shortest_soft_deadline(desk.terms);
+    const double aim = kAim * shortest_soft_deadline(desk.settings);
 
     double rate() { return sum_up(), came.sum() / std::max(told, 1e-9); }
     void share_out() {  // least criticality first
-        if (desk.terms.levels != LevelKind::share) return;  // no other level goes out: all are let in
+        if (desk.settings.admission_kind != AdmissionKind::fraction) return;  // no other level goes out: all are let in
         std::multimap<double, std::size_t> order;
         if (whole |= let_in * base >= rate()) let_in = bearable = 1, base = rate();
         double spare = (1 - let_in * base / std::max(rate(), 1e-9)) * came.sum();
-        for (std::size_t m = 0; m < came.size(); ++m) order.emplace(desk.terms.methods[m].criticality, m);
+        for (std::size_t m = 0; m < came.size(); ++m) order.emplace(desk.settings.methods[m].criticality, m);
         for (const auto& [criticality, m] : order) {
             const double cut = std::min(spare, came[m]);
             level[m] = came[m] > 0 ? 1 - cut / came[m] : 1, spare -= cut;
@@ -359,17 +359,17 @@
 // room is left, busiest first. Answered marks tell what waits; where they get lost the told pace frees room.
 struct Channel : Part {
     // Mechanism 4. Only on proof that the first never ran; none while a level is cut or a server cold.
-    static constexpr FurtherTry kFurther = FurtherTry::once_if_never_ran;
+    static constexpr RetryPolicy kFurther = RetryPolicy::once_if_not_executed;
     struct Entry {
-        Row wanted, sent;  // shares by pool
+        RealVector wanted, sent;  // shares by pool
         bool out = false, shaky = false, cold = false;  // withdrawn; may be shut out at a proxy that joins
         int known_to = 0;  // the last to join of the proxies that were told that it is out
         ZoneId zone{}; std::size_t subset = 0;
         // Since when it should be, when first it was, last heard of; part of the latest tries.
-        Instant due{}, left{}, wished{}; double ok = 1;
+        TimePoint due{}, left{}, wished{}; double ok = 1;
     };
     // Of one zone or all; servers and shares by pool, RPCs a second of its proxies; jammed if fit is below 0.
-    struct Subset { std::optional<ZoneId> zone; Row dealt, held; double rate, fit; std::set<ProxyId> all; };
+    struct Subset { std::optional<ZoneId> zone; RealVector dealt, held; double rate, fit; std::set<ProxyId> all; };
     Desk& desk;
     std::vector<Binding> bindings{};  // by pool
     std::map<ServerId, Entry> servers{};
@@ -379,14 +379,14 @@
     std::deque<Handover> handovers{}; std::deque<Change> plan{};
     int pressed = 0;  // withdrawals in it, the first due since oldest
     bool stale = false, again = false, cold = false, braked = false, sent_never = false;
-    Row wanted_levels = Row(1.0, desk.terms.methods.size());
+    RealVector wanted_levels = RealVector(1.0, desk.settings.methods.size());
     // Where proxies do not try so by themselves, the first level tells them.
-    Row sent_levels = Row(desk.terms.further_tries == kFurther ? 1.0 : 0.0, desk.terms.methods.size());
-    const double head = desk.terms.lines_per_message + 1;  // and a mark
-    const double top = desk.terms.levels == LevelKind::rate ? 1e6 : 1;  // lets all in: none gets so many
+    RealVector sent_levels = RealVector(desk.settings.default_retry_policy == kFurther ? 1.0 : 0.0, desk.settings.methods.size());
+    const double head = desk.settings.overhead_lines_per_message + 1;  // and a mark
+    const double top = desk.settings.admission_kind == AdmissionKind::rate ? 1e6 : 1;  // lets all in: none gets so many
     Ledger ledger{};       // charged with no fewer lines than are written
     double allowance = 0; int joinings = 0;  // lines that learnt changes may use; how many joined
-    Instant counted{}, answered{}, next_pressing{}, next_learnt{}, oldest{};
+    TimePoint counted{}, answered{}, next_pressing{}, next_learnt{}, oldest{};
     std::deque<ProxyId> few_bound{};  // to tables of their own, in order; some have left since
     bool levels_told = false;
     int owed = 0;  // withdrawals that each proxy which is not bound has to hear, at the last plan
@@ -397,37 +397,37 @@
     void on(const Handover& note) { handovers.push_back(note); }
     void on(const event::ProxyJoined& note) {
         on(event::ProxyLeft{note.proxy}), again = true;
-        unbound[{!note.standing_only, -note.rpcs_per_second, note.proxy}] = {note.zone, ++joinings};
+        unbound[{!note.initial_table_only, -note.rpcs_per_second, note.proxy}] = {note.zone, ++joinings};
     }
     void on(const event::ProxyLeft& note) {
         std::erase_if(unbound, [&](auto& at) { return std::get<ProxyId>(at.first) == note.proxy; });
         release(note.proxy), ledger.left(note.proxy);
     }
-    void on(const event::MarkApplied& n) { if (ledger.answered(n.proxy, n.mark)) answered = desk.now; }
+    void on(const event::Acknowledgement& n) { if (ledger.answered(n.proxy, n.nonce)) answered = desk.now; }
     void on(const Wish& note) {
         Entry& entry = servers[note.seen.entry.server];
         if (entry.sent.size() == 0) entry.sent = 0 * note.shares;
         entry.wanted = note.shares, entry.wished = desk.now, stale = true;
         entry.zone = note.seen.entry.zone, entry.shaky |= !note.seen.steady, entry.cold = note.cold;
     }
-    void on(const event::Outcomes& met) {
+    void on(const event::EndpointLoadReport& met) {
         const auto at = servers.find(met.server);
-        if (at != servers.end()) at->second.ok = 1 - met.bad / met.tries, stale |= cold;
+        if (at != servers.end()) at->second.ok = 1 - met.failures / met.attempts, stale |= cold;
     }
     void on(const Pulse&) {
         const double span = seconds(desk.now - std::exchange(counted, desk.now));
-        const double pace = desk.terms.lines_per_second;
+        const double pace = desk.settings.channel_lines_per_second;
         if (ledger.waiting() == 0) answered = desk.now;
-        const bool silent = desk.now > answered + 4 * desk.terms.message_longest;
+        const bool silent = desk.now > answered + 4 * desk.settings.max_message_delay;
         ledger.pass(pace * span, kSurePace * pace * span, silent);
         allowance = std::min(allowance + pace / 2 * span, pace * 2);
         if (stale || again) make_plan();
         if (subsets.size() > 1) bind_joined(), bind_whole(), even_out();
         // Withdrawals wait while proxies are bound that would otherwise have to be told each.
         const bool soon = subsets.size() > 1 && !unbound.empty();
-        if (!soon || desk.now >= oldest + desk.terms.drain_grace / 4) send_changes();
+        if (!soon || desk.now >= oldest + desk.settings.drain_grace / 4) send_changes();
         if (subsets.size() == 1) bind_joined(), bind_whole();
-        if (const auto mark = ledger.mark()) desk.orders.push_back(order::Mark{*mark, false});
+        if (const auto mark = ledger.mark()) desk.orders.push_back(order::SendNonce{*mark, false});
     }
 
     static constexpr double kSurePace = 0.6;            // of the told pace: what a channel surely sends
@@ -441,11 +441,11 @@
     // by more than chance move proxies; one of another zone counts so much more.
     static constexpr double kBindGrace = 0.2, kTables = 0.4, kLeastSubset = 8, kUneven = 1.25, kAway = 1.5;
     // What comes together shares a message; learnt changes save more heads than waiting costs them.
-    static constexpr Span kMerge = std::chrono::milliseconds(200), kMergeLearnt = std::chrono::seconds(1);
+    static constexpr Duration kMerge = std::chrono::milliseconds(200), kMergeLearnt = std::chrono::seconds(1);
 
     double room(int rank) const {  // below 0: bindings
-        const double most = kLastRoom * desk.terms.lines_waiting_most;
-        const double in_grace = kOfGrace * seconds(desk.terms.drain_grace) * desk.terms.lines_per_second;
+        const double most = kLastRoom * desk.settings.max_pending_lines;
+        const double in_grace = kOfGrace * seconds(desk.settings.drain_grace) * desk.settings.channel_lines_per_second;
         const double half = subsets.size() > 1 && rank < 0 ? std::min(most / 2, 2 * in_grace) : most / 2;
         return (rank == 0 ? most : rank < 0 ? half : std::min(half, in_grace)) - ledger.waiting();
     }
@@ -457,19 +457,19 @@
         if (bound.empty() && std::ranges::all_of(servers, [](auto& s) { return s.second.sent.sum() == 0; })) {
             double table = 0;
             for (const auto& [id, entry] : servers) for (double share : entry.wanted) table += share > 0;
-            const double proxies = 1.0 * std::max(1, desk.terms.proxies) / desk.terms.planners;
-            const double in_time = kBindGrace * seconds(desk.terms.drain_grace) * desk.terms.lines_per_second;
+            const double proxies = 1.0 * std::max(1, desk.settings.proxy_count) / desk.settings.planner_count;
+            const double in_time = kBindGrace * seconds(desk.settings.drain_grace) * desk.settings.channel_lines_per_second;
             const double most = in_time / proxies - head - 2.0 * sent_levels.size();
             const double fit = std::ceil(table / std::max(most, kLeastSubset * bindings.size()));
             const double parts = std::min(fit, kTables * proxies / std::max(1.0, 1.0 * bindings.size()));
-            const double zones = desk.terms.zones > 1 && parts >= desk.terms.zones ? desk.terms.zones : 1;
+            const double zones = desk.settings.zone_count > 1 && parts >= desk.settings.zone_count ? desk.settings.zone_count : 1;
             subsets.assign(static_cast<std::size_t>(std::max(1.0, std::ceil(parts / zones) * zones)), {});
             for (int p = 0; zones > 1 && p < std::ssize(subsets); ++p) subsets[p].zone = {p % int(zones)};
             // Who is out kept the number of a subset that may not be there any more: read and written past the end.
             for (auto& [id, entry] : servers) entry.subset = std::min(entry.subset, subsets.size() - 1);
         }
-        const auto uses = [](Row share) { return share[share > 0.0] = 1, share; };
-        for (Subset& subset : subsets) subset.dealt = subset.held = Row(bindings.size()), subset.fit = 0;
+        const auto uses = [](RealVector share) { return share[share > 0.0] = 1, share; };
+        for (Subset& subset : subsets) subset.dealt = subset.held = RealVector(bindings.size()), subset.fit = 0;
         for (auto& [id, e] : servers) if (e.sent.sum() > 0) {
             subsets[e.subset].held += e.wanted, subsets[e.subset].dealt += uses(e.wanted);
             if (!e.cold) subsets[e.subset].fit += (e.ok - kJammed) * e.wanted.sum();
@@ -513,7 +513,7 @@
     }
     // One proxy after the other moves from the most loaded subset.
     void even_out() {
-        if (!unbound.empty() || desk.terms.messages_most > 0) return;
+        if (!unbound.empty() || desk.settings.max_messages_per_proxy > 0) return;
         for (double cost = 1; cost > 0; allowance -= cost) {
             const auto its = [&](std::size_t p) { return load(p, subsets[p].zone.value_or(ZoneId{}), 0); };
             const auto most = std::ranges::max(std::views::iota(std::size_t{0}, subsets.size()), {}, its);
@@ -532,21 +532,21 @@
         // that they have would come to it, however small its part. It costs capacity.
         for (auto& [id, e] : servers) if (e.cold && subsets[e.subset].fit < 0) e.wanted = 0;
         const int newest = unbound.empty() ? 0 : joinings;  // of those that are not bound
-        Row had(bindings.size()), meant(bindings.size());  // of the servers that stay in use, by pool
+        RealVector had(bindings.size()), meant(bindings.size());  // of the servers that stay in use, by pool
         for (const auto& [id, entry] : servers) for (int k = 0; k < std::ssize(bindings) && !entry.out; ++k) {
             if (entry.sent[k] * entry.wanted[k] > 0) had[k] += entry.sent[k], meant[k] += entry.wanted[k];
         }
         // Gone: nobody speaks of it any more. Its lines go first, or whoever is bound later would get them.
-        const Instant old = desk.now - kForgotten * desk.step;
+        const TimePoint old = desk.now - kForgotten * desk.step;
         const auto over = [old](const Entry& entry) { return entry.out && entry.wished < old; };
         std::erase_if(servers, [&](auto& at) { return over(at.second) && at.second.sent.sum() == 0; });
         for (auto& [server, entry] : servers) {
             // Weights are relative: what a wave of withdrawals does to all others alike takes no line.
             for (std::size_t k = 0; k < had.size(); ++k) if (had[k] > 0) entry.wanted[k] *= had[k] / meant[k];
             const bool out = entry.wanted.sum() == 0;
-            const Instant told = entry.left + desk.terms.drain_grace + desk.terms.message_longest;
+            const TimePoint told = entry.left + desk.settings.drain_grace + desk.settings.max_message_delay;
             const bool repeat = out && entry.out && again && desk.now < told && entry.known_to < newest;
-            if (!out || entry.due == Instant{}) entry.due = out ? desk.now : Instant{};
+            if (!out || entry.due == TimePoint{}) entry.due = out ? desk.now : TimePoint{};
             if (out != entry.out || repeat) {
                 // The longest due first; then, for who has just joined, the latest; then who is back.
                 const double due = seconds((repeat ? told : entry.due).time_since_epoch());
@@ -566,7 +566,7 @@
         }
         owed = pressed;
         for (const auto& [server, entry] : servers) {
-            owed += entry.out && desk.now < entry.left + desk.terms.drain_grace + desk.terms.message_longest;
+            owed += entry.out && desk.now < entry.left + desk.settings.drain_grace + desk.settings.max_message_delay;
         }
         std::sort(plan.begin(), plan.end()), stale = again = false;
     }
@@ -587,11 +587,11 @@
             // Said again, a withdrawal is to reach none that heard it: their tables drop the line first.
             const bool meant = only < 0 ? !out || said : k == only;
             if (!meant || entry.wanted[k] == entry.sent[k]) continue;
-            desk.orders.push_back(order::SetLine{table_of(k, entry.subset), server, entry.wanted[k]});
+            desk.orders.push_back(order::SetTableEntry{table_of(k, entry.subset), server, entry.wanted[k]});
             entry.sent[k] = entry.wanted[k];
         }
         if (only >= 0) return;
-        desk.orders.push_back(order::Withdraw{server, entry.out = out});
+        desk.orders.push_back(order::SetWithdrawn{server, entry.out = out});
         entry.shaky = true, entry.known_to = joinings;
         if (!said) entry.left = desk.now;
     }
@@ -624,18 +624,18 @@
         // Guards against more withdrawals than the channel carries within the grace, for many servers or many
         // proxies: nothing is let in until they are on their way. It costs service for so long.
         const double each = 1.0 * bound.size() / std::max<std::size_t>(subsets.size(), 1);
-        const double to_go = (ledger.waiting() + pressed * each) / (kSurePace * desk.terms.lines_per_second);
-        const Span left_of_grace = oldest + desk.terms.drain_grace - desk.terms.message_longest - desk.now;
+        const double to_go = (ledger.waiting() + pressed * each) / (kSurePace * desk.settings.channel_lines_per_second);
+        const Duration left_of_grace = oldest + desk.settings.drain_grace - desk.settings.max_message_delay - desk.now;
         braked = pressed > 0 && (braked || to_go > seconds(left_of_grace));
-        const Row levels = wanted_levels * (braked ? 0.0 : 1.0);
+        const RealVector levels = wanted_levels * (braked ? 0.0 : 1.0);
         const bool never = cold || levels.min() < 1, turned = never != sent_never;
         const int rank = levels.max() == 0 || sent_levels.max() == 0 ? 0 : 1;
         const bool worth = turned || std::abs(levels - sent_levels).max() > kLevelWorthSending;
         if (const double all = 1.0 * levels.size(); worth && fits(rank, all, -1, joinings)) {
-            const FurtherTry how = never ? FurtherTry::never : kFurther;
+            const RetryPolicy how = never ? RetryPolicy::never : kFurther;
             for (std::size_t k = 0; k < bindings.size(); ++k) for (const MethodId m : bindings[k].methods) {
                 for (std::size_t p = 0; p < subsets.size(); ++p) {
-                    desk.orders.push_back(order::SetLevel{table_of(k, p), {m}, top * levels[m.value], how});
+                    desk.orders.push_back(order::SetAdmission{table_of(k, p), {m}, top * levels[m.value], how});
                 }
             }
             sent_levels = levels, sent_never = never, (rank == 0 ? pressing : learnt) = levels_told = true;
@@ -645,7 +645,7 @@
         for (; !handovers.empty() && fits(0, 1, -1, joinings); handovers.pop_front(), pressing = true) {
             for (double& its : lines) its += 1;
             const auto& [slice, server, weight] = handovers.front();
-            desk.orders.push_back(order::SetLine{slice, server, weight});
+            desk.orders.push_back(order::SetTableEntry{slice, server, weight});
         }
         for (; !plan.empty(); plan.pop_front()) {
             const auto& [rank, size, server, pool] = plan.front();
@@ -670,17 +670,17 @@
         }
         if (learnt) allowance = std::max(0.0, allowance - to_bound(kDesignHead, 0, -1));
         // So spaced they stay under the most that a proxy may get, with its binding.
-        const int most = desk.terms.messages_most > 0 ? std::max(1, desk.terms.messages_most - 3) : 1'000'000;
-        const Span share = desk.terms.messages_span / most;
+        const int most = desk.settings.max_messages_per_proxy > 0 ? std::max(1, desk.settings.max_messages_per_proxy - 3) : 1'000'000;
+        const Duration share = desk.settings.message_limit_window / most;
         if (pressing) next_pressing = desk.now + std::max(kMerge, share * 10 / 7);
         if (learnt) next_learnt = desk.now + std::max(kMergeLearnt, share * 10 / 3);
     }
 
     std::size_t own_table(ProxyId proxy) const { return subsets.size() + proxy.value; }  // as a subset's is
     void tell_levels(std::size_t table, std::vector<Order>& orders) const {
-        const FurtherTry how = sent_never ? FurtherTry::never : kFurther;
+        const RetryPolicy how = sent_never ? RetryPolicy::never : kFurther;
         for (std::size_t k = 0; k < bindings.size(); ++k) for (const MethodId m : bindings[k].methods) {
-            orders.push_back(order::SetLevel{table_of(k, table), {m}, top * sent_levels[m.value], how});
+            orders.push_back(order::SetAdmission{table_of(k, table), {m}, top * sent_levels[m.value], how});
         }
     }
     // What a binding costs; `few`: to a table of its own with a few of the subset's servers that are not out.
@@ -705,9 +705,9 @@
             for (const auto* at : its) {
                 // Who is out is shut out with its line; who may be shut out there is let back.
                 lines += at->second.out || at->second.shaky ? 2 : 1;
-                if (few) orders.push_back(order::SetLine{table, at->first, at->second.sent[k]});
+                if (few) orders.push_back(order::SetTableEntry{table, at->first, at->second.sent[k]});
             }
-            orders.push_back(order::Bind{table, bindings[k].methods, proxy}), ++tables;
+            orders.push_back(order::BindProxy{table, bindings[k].methods, proxy}), ++tables;
         }
         return {head + lines + tables + 1.0 * sent_levels.size(), orders};
     }
@@ -728,7 +728,7 @@
             const auto [standing, order, proxy] = place;
             const double rate = std::max(-order, 1e-3);
             const std::size_t subset = lightest(loose.zone, rate);
-            const double in_grace = kSurePace * seconds(desk.terms.drain_grace) * desk.terms.lines_per_second;
+            const double in_grace = kSurePace * seconds(desk.settings.drain_grace) * desk.settings.channel_lines_per_second;
             const double cost = binding(proxy, loose.zone, subset, false).first;
             const bool urgent = owed > cost;
             // What does not fit waits, and its proxy goes on by what it holds.
@@ -755,17 +755,17 @@
 // Mechanism 6. Keeps the rules where keys fall into slices, and no more: a slice stays with its owner until
 // that one drains or is gone, and a single owner's successor waits until no write can be with the former one.
 struct SliceKeeper : Part {
-    struct Slice { std::set<ServerId> owners; Instant free_from{}; };  // no successor before that
+    struct Slice { std::set<ServerId> owners; TimePoint free_from{}; };  // no successor before that
 
     Desk& desk; Part& channel;
     std::map<TableId, Slice> slices{};
     std::set<ServerId> open{};
 
-    void on(const event::SliceGiven& note) {
+    void on(const event::SliceAssigned& note) {
         slices.erase(note.slice);
         if (note.ours) slices[note.slice].free_from = free_from();
     }
-    void on(const event::SliceOwner& note) {
+    void on(const event::SliceOwnerReported& note) {
         if (slices.contains(note.slice)) slices[note.slice].owners.insert(note.server);
     }
     void on(const Standing& note) {
@@ -784,9 +784,9 @@
             channel.inbox.push_back(Handover{id, *slice.owners.begin(), 1});
         }
     }
-    Instant free_from() const {
-        const Terms& t = desk.terms;
-        return desk.now + (t.single_owner ? 2 * t.message_longest + t.owner_lease + t.write_life : Span{});
+    TimePoint free_from() const {
+        const DeploymentSettings& t = desk.settings;
+        return desk.now + (t.single_owner ? 2 * t.max_message_delay + t.owner_lease + t.write_lifetime : Duration{});
     }
 };
 
@@ -796,15 +796,15 @@
 
 class Planner::Impl {
    public:
-    Impl(Terms terms, std::uint64_t seed)
-        : desk_{std::move(terms), std::minstd_rand(static_cast<std::minstd_rand::result_type>(seed))} {
+    Impl(DeploymentSettings settings, std::uint64_t seed)
+        : desk_{std::move(settings), std::minstd_rand(static_cast<std::minstd_rand::result_type>(seed))} {
         desk_.orders.push_back(order::StartTimer{kTimer, kTick});
-        if (desk_.terms.must_subscribe) agenda_.emplace(Instant{}, Resubscribe{});
+        if (desk_.settings.subscription_required) agenda_.emplace(TimePoint{}, Resubscribe{});
     }
 
-    void hear(Event event) { heard_.push_back(std::move(event)); }
+    void handle(Event event) { heard_.push_back(std::move(event)); }
 
-    std::vector<Order> decide(Instant now) {
+    std::vector<Order> decide(TimePoint now) {
         desk_.now = now;
         for (Event& event : std::exchange(heard_, {})) std::visit([this](auto& e) { apply(e); }, event);
         for (; !agenda_.empty() && agenda_.begin()->first <= now; agenda_.erase(agenda_.begin())) {
@@ -821,25 +821,25 @@
 
    private:
     static constexpr TimerId kTimer{1};
-    static constexpr Span kTick = std::chrono::milliseconds(100);  // short beside a message's way
+    static constexpr Duration kTick = std::chrono::milliseconds(100);  // short beside a message's way
 
-    void apply(event::List& list) {
-        if (list.form == event::List::Form::unavailable) {
+    void apply(event::EndpointListUpdate& list) {
+        if (list.form == event::EndpointListUpdate::Form::unavailable) {
             // Asked for anew after a wait that instances do not share.
-            return (void)agenda_.emplace(desk_.now + Span{2'000 + desk_.chance() % 8'000}, Resubscribe{});
+            return (void)agenda_.emplace(desk_.now + Duration{2'000 + desk_.chance() % 8'000}, Resubscribe{});
         }
         std::set<ServerId> named;
-        for (const ListedServer& entry : list.servers) {
+        for (const ListedEndpoint& entry : list.servers) {
             if (entry.server.value.empty()) continue;
             named.insert(entry.server);
             const auto at = servers_.try_emplace(entry.server, Part{}, desk_, weigher_, keeper_, gate_).first;
             tell(at->second, Listed{entry, !heard_any_});
         }
         heard_any_ = true;
-        if (list.form == event::List::Form::changes) return;
+        if (list.form == event::EndpointListUpdate::Form::incremental) return;
         for (auto& [id, actor] : servers_) if (!named.contains(id)) tell(actor, Unlisted{});
     }
-    void apply(event::TimerDue& due) {
+    void apply(event::TimerExpired& due) {
         if (due.timer == kTimer) desk_.orders.push_back(order::StartTimer{kTimer, kTick});
         if (due.timer != kTimer || desk_.now < next_step_) return;
         next_step_ = desk_.now + desk_.step;
@@ -847,15 +847,15 @@
         gate_.inbox.push_back(Beat{});
         for (auto& [id, actor] : servers_) tell(actor, Beat{});
     }
-    void apply(event::Outcomes& met) {
+    void apply(event::EndpointLoadReport& met) {
         const auto at = servers_.find(met.server);
-        met.bad = std::min(met.bad, met.tries);
-        if (at == servers_.end() || !sound(met, desk_.terms)) return;
+        met.failures = std::min(met.failures, met.attempts);
+        if (at == servers_.end() || !sound(met, desk_.settings)) return;
         tell(at->second, met), channel_.inbox.push_back(met);
     }
     template <class Other>
     void apply(Other& event) {  // what can't be meant, or means nothing to any part, is not acted on
-        if (!sound(event, desk_.terms)) return;
+        if (!sound(event, desk_.settings)) return;
         const auto offer = [&event](auto& part) {
             if constexpr (requires { part.on(event); }) part.inbox.push_back(event);
         };
@@ -866,8 +866,8 @@
         server.inbox.push_back(std::move(note)), spoken_to_.push_back(&server);
     }
     Desk desk_;
-    Instant next_step_{};
-    std::multimap<Instant, Note> agenda_;  // every due time but the periodic one
+    TimePoint next_step_{};
+    std::multimap<TimePoint, Note> agenda_;  // every due time but the periodic one
     std::vector<Event> heard_;
     bool heard_any_ = false;  // a list
     Channel channel_{{}, desk_};
@@ -878,8 +878,8 @@
     std::vector<Server*> spoken_to_;
 };
 
-Planner::Planner(Terms terms, std::uint64_t seed) : impl_(std::make_shared<Impl>(std::move(terms), seed)) {}
-void Planner::hear(Event event) { impl_->hear(std::move(event)); }
-std::vector<Order> Planner::decide(Instant now) { return impl_->decide(now); }
+Planner::Planner(DeploymentSettings settings, std::uint64_t seed) : impl_(std::make_shared<Impl>(std::move(settings), seed)) {}
+void Planner::handle(Event event) { impl_->handle(std::move(event)); }
+std::vector<Order> Planner::decide(TimePoint now) { return impl_->decide(now); }
 
 }  // namespace micaroad::reference
--- a/tests/reference/compare.hpp
+++ b/tests/reference/compare.hpp
@@ -12,9 +12,9 @@
 #include <variant>
 #include <vector>
 
-#include "outbox/outbox.hpp"
+#include "updates/update_builder.hpp"
 #include "planner/ports.hpp"
-#include "reference/outbox.hpp"
+#include "reference/update_builder.hpp"
 #include "reference/planner.hpp"
 
 namespace micaroad::reference {
@@ -29,28 +29,28 @@
     return std::visit(
         [&](const auto& o) -> std::string {
             using Kind = std::decay_t<decltype(o)>;
-            if constexpr (std::is_same_v<Kind, order::SetLine>)
+            if constexpr (std::is_same_v<Kind, order::SetTableEntry>)
                 return fmt::format("line table={} {} {:a}", o.table.value, o.server.value, o.weight);
             else if constexpr (std::is_same_v<Kind, order::ClearTable>)
                 return fmt::format("clear table={}", o.table.value);
-            else if constexpr (std::is_same_v<Kind, order::Bind>)
+            else if constexpr (std::is_same_v<Kind, order::BindProxy>)
                 return fmt::format("bind table={} methods={} proxy={}", o.table.value, joined(o.methods), o.proxy.value);
-            else if constexpr (std::is_same_v<Kind, order::SetLevel>)
+            else if constexpr (std::is_same_v<Kind, order::SetAdmission>)
                 return fmt::format("level table={} methods={} {:a} tries={}", o.table ? o.table->value : -1,
-                                   joined(o.methods), o.amount, static_cast<int>(o.further_tries));
-            else if constexpr (std::is_same_v<Kind, order::Withdraw>)
-                return fmt::format("withdraw {} out={}", o.server.value, o.out);
-            else if constexpr (std::is_same_v<Kind, order::Mark>)
-                return fmt::format("mark {} everyone={}", o.mark.value, o.everyone);
+                                   joined(o.methods), o.amount, static_cast<int>(o.retry_policy));
+            else if constexpr (std::is_same_v<Kind, order::SetWithdrawn>)
+                return fmt::format("withdraw {} out={}", o.server.value, o.withdrawn);
+            else if constexpr (std::is_same_v<Kind, order::SendNonce>)
+                return fmt::format("mark {} everyone={}", o.nonce.value, o.to_all);
             else if constexpr (std::is_same_v<Kind, order::StartTimer>)
                 return fmt::format("timer {} after={}", o.timer.value, o.after.count());
-            else if constexpr (std::is_same_v<Kind, order::Probe>)
+            else if constexpr (std::is_same_v<Kind, order::CheckHealth>)
                 return fmt::format("probe {}", o.server.value);
             else if constexpr (std::is_same_v<Kind, order::Subscribe>)
                 return fmt::format("subscribe on={}", o.on);
             else if constexpr (std::is_same_v<Kind, order::FetchList>)
                 return "fetch list";
-            else if constexpr (std::is_same_v<Kind, order::TellPeer>)
+            else if constexpr (std::is_same_v<Kind, order::SendPeerMessage>)
                 return fmt::format("tell peer={} {}", o.to ? o.to->value : -1, o.text);
             else
                 return fmt::format("log {}", o.text);
@@ -59,12 +59,12 @@
 }
 
 // Hears what the module hears, and compares what each orders. Keeps the first difference.
-class Comparison : public Witness {
+class Comparison : public Observer {
  public:
-    Comparison(const Terms& terms, std::uint64_t seed) : plain_(terms, seed) {}
+    Comparison(const DeploymentSettings& settings, std::uint64_t seed) : plain_(settings, seed) {}
 
-    void heard(const Event& event) override { plain_.hear(event); }
-    void decided(Instant now, const std::vector<Order>& orders) override {
+    void on_event(const Event& event) override { plain_.handle(event); }
+    void on_decision(TimePoint now, const std::vector<Order>& orders) override {
         const std::vector<Order> expected = plain_.decide(now);
         for (std::size_t i = 0; difference_.empty() && i < std::max(orders.size(), expected.size()); ++i) {
             const std::string ours = i < orders.size() ? text_of(orders[i]) : "nothing";
@@ -90,15 +90,15 @@
 // order that is not equal.
 class Twin {
  public:
-    Twin(const Terms& terms, std::uint64_t seed) : module_(terms, seed), comparison_(terms, seed) {}
+    Twin(const DeploymentSettings& settings, std::uint64_t seed) : module_(settings, seed), comparison_(settings, seed) {}
 
-    void hear(Event event) {
-        comparison_.heard(event);
-        module_.hear(std::move(event));
+    void handle(Event event) {
+        comparison_.on_event(event);
+        module_.handle(std::move(event));
     }
-    std::vector<Order> decide(Instant now) {
+    std::vector<Order> decide(TimePoint now) {
         std::vector<Order> orders = module_.decide(now);
-        comparison_.decided(now, orders);
+        comparison_.on_decision(now, orders);
         if (!comparison_.difference().empty()) throw std::runtime_error(comparison_.difference());
         return orders;
     }
@@ -109,38 +109,38 @@
     Comparison comparison_;
 };
 
-// A letter in full, as text_of(Order) has an order.
-inline std::string text_of(const Letter& letter) {
-    std::string text = fmt::format("to {} mark {}", letter.proxy.value, letter.mark ? letter.mark->value : -1);
-    for (const Letter::Table& table : letter.tables) {
+// A update in full, as text_of(Order) has an order.
+inline std::string text_of(const ProxyUpdate& update) {
+    std::string text = fmt::format("to {} mark {}", update.proxy.value, update.nonce ? update.nonce->value : -1);
+    for (const ProxyUpdate::Table& table : update.tables) {
         text += fmt::format("; table full={}", table.full);
         for (const MethodId method : table.methods) text += fmt::format(" m{}", method.value);
         for (const auto& [server, weight] : table.lines) text += fmt::format(" {}={:a}", server.value, weight);
     }
-    for (const auto& [method, level] : letter.levels)
-        text += fmt::format("; level {} {:a} {}", method.value, level.amount, static_cast<int>(level.further_tries));
-    for (const auto& [server, out] : letter.shut) text += fmt::format("; shut {} {}", server.value, out);
+    for (const auto& [method, level] : update.admissions)
+        text += fmt::format("; level {} {:a} {}", method.value, level.amount, static_cast<int>(level.retry_policy));
+    for (const auto& [server, out] : update.withdrawn) text += fmt::format("; shut {} {}", server.value, out);
     return text;
 }
 
-// The outbox and its reference as one. Throws std::runtime_error at the first letter or answer that is not equal.
-class OutboxTwin {
+// The update_builder and its reference as one. Throws std::runtime_error at the first update or answer that is not equal.
+class UpdateBuilderTwin {
  public:
-    explicit OutboxTwin(std::size_t methods) : outbox_(methods), plain_(methods) {}
+    explicit UpdateBuilderTwin(std::size_t methods) : update_builder_(methods), plain_(methods) {}
 
-    void heard(const event::List& list) { outbox_.heard(list), plain_.heard(list); }
-    void joined(ProxyId proxy) { outbox_.joined(proxy), plain_.joined(proxy); }
-    void left(ProxyId proxy) { outbox_.left(proxy), plain_.left(proxy); }
-    bool answered(ProxyId proxy, MarkId mark) {
-        return equal("answered", outbox_.answered(proxy, mark), plain_.answered(proxy, mark));
+    void on_endpoint_list(const event::EndpointListUpdate& list) { update_builder_.on_endpoint_list(list), plain_.on_endpoint_list(list); }
+    void on_proxy_joined(ProxyId proxy) { update_builder_.on_proxy_joined(proxy), plain_.on_proxy_joined(proxy); }
+    void on_proxy_left(ProxyId proxy) { update_builder_.on_proxy_left(proxy), plain_.on_proxy_left(proxy); }
+    bool on_acknowledgement(ProxyId proxy, Nonce mark) {
+        return equal("answered", update_builder_.on_acknowledgement(proxy, mark), plain_.on_acknowledgement(proxy, mark));
     }
-    bool forget(const ServerId& server) { return equal("forget", outbox_.forget(server), plain_.forget(server)); }
-    // How many letters were compared.
-    std::size_t letters(const std::vector<Order>& orders) {
-        const std::vector<Letter> ours = outbox_.letters(orders), its = plain_.letters(orders);
+    bool forget(const ServerId& server) { return equal("forget", update_builder_.forget(server), plain_.forget(server)); }
+    // How many updates were compared.
+    std::size_t build_updates(const std::vector<Order>& orders) {
+        const std::vector<ProxyUpdate> ours = update_builder_.build_updates(orders), its = plain_.build_updates(orders);
         equal("number of letters", ours.size(), its.size());
         for (std::size_t i = 0; i < ours.size(); ++i) equal("letter", text_of(ours[i]), text_of(its[i]));
-        equal("orders barred", outbox_.barred(), plain_.barred());
+        equal("orders barred", update_builder_.take_suppressed_orders(), plain_.take_suppressed_orders());
         return ours.size();
     }
 
@@ -151,8 +151,8 @@
         return ours;
     }
 
-    Outbox outbox_;
-    reference::Outbox plain_;
+    UpdateBuilder update_builder_;
+    reference::UpdateBuilder plain_;
 };
 
 }  // namespace micaroad::reference
--- a/tests/reference/figures.hpp
+++ b/tests/reference/figures.hpp
@@ -12,7 +12,7 @@
 
 namespace micaroad::reference {
 
-inline double seconds(Span span) { return std::chrono::duration<double>(span).count(); }
+inline double seconds(Duration span) { return std::chrono::duration<double>(span).count(); }
 
 // Where a falling function crosses a level.
 template <class Falling>
@@ -37,15 +37,15 @@
 
 // A figure of each member, in a row.
 template <class Members, class Figure>
-Row row_of(const Members& members, Figure figure) {
-    Row row(members.size());
+RealVector row_of(const Members& members, Figure figure) {
+    RealVector row(members.size());
     for (std::size_t i = 0; i < members.size(); ++i) row[i] = figure(*members[i]);
     return row;
 }
 
 // For each member the sum of a figure over all of its kind.
 template <class Members>
-Row kind_sums(const Members& members, const Row& figure) {
+RealVector kind_sums(const Members& members, const RealVector& figure) {
     std::map<KindId, double> sums;
     for (std::size_t i = 0; i < members.size(); ++i) sums[members[i]->seen.entry.kind] += figure[i];
     return row_of(members, [&sums](const auto& member) { return sums.at(member.seen.entry.kind); });
@@ -53,15 +53,15 @@
 
 // A figure of each member as a part of all members' sum; 0 for each where that is 0.
 template <class Members, class Figure>
-Row parts_of(const Members& members, Figure figure) {
-    Row row = row_of(members, figure);
+RealVector parts_of(const Members& members, Figure figure) {
+    RealVector row = row_of(members, figure);
     const double sum = members.empty() ? 0 : row.sum();
     if (sum > 0) row /= sum;
     return row;
 }
 
 // Sum of the figures of some methods, from figures by method.
-inline double sum_of(const Row& figures, const std::vector<MethodId>& methods) {
+inline double sum_of(const RealVector& figures, const std::vector<MethodId>& methods) {
     double sum = 0;
     for (const MethodId method : methods) sum += figures[method.value];
     return sum;
@@ -85,7 +85,7 @@
 }
 
 // Is a method, at proxies of a zone where it keeps to its own, open to a server?
-inline bool open_to(const Method& method, std::optional<ZoneId> home, const ListedServer& server) {
+inline bool open_to(const Method& method, std::optional<ZoneId> home, const ListedEndpoint& server) {
     const auto among = [](const auto& only, const auto& id) {
         return only.empty() || std::find(only.begin(), only.end(), id) != only.end();
     };
@@ -97,9 +97,9 @@
     return one.only_kinds == other.only_kinds && one.only_zones == other.only_zones;
 }
 
-inline double shortest_soft_deadline(const Terms& terms) {
-    Span span = Span::max();
-    for (const Method& method : terms.methods) span = std::min(span, method.soft_deadline);
+inline double shortest_soft_deadline(const DeploymentSettings& settings) {
+    Duration span = Duration::max();
+    for (const Method& method : settings.methods) span = std::min(span, method.soft_deadline);
     return seconds(span);
 }
 
--- a/tests/reference/ledger.hpp
+++ b/tests/reference/ledger.hpp
@@ -25,15 +25,15 @@
         open_.charged[proxy] += lines, ordered_ += lines, at_pace_ += lines;
     }
     // The mark of all that was charged since the last; absent: nothing was.
-    std::optional<MarkId> mark() {
+    std::optional<Nonce> mark() {
         while (!marks_.empty() && end_of(marks_.begin()->second) <= passed_) marks_.erase(marks_.begin());
         if (open_.charged.empty()) return std::nullopt;
-        const MarkId mark{next_ % kNumbers};
+        const Nonce mark{next_ % kNumbers};
         marks_[next_++] = std::exchange(open_, {ordered_, {}, 0});
         marks_.erase(next_ - kNumbers);
         return mark;
     }
-    bool answered(ProxyId proxy, MarkId mark) {
+    bool answered(ProxyId proxy, Nonce mark) {
         const int newer = (next_ - 1 - mark.value % kNumbers + kNumbers) % kNumbers;
         const auto at = marks_.find(next_ - 1 - newer);
         if (at == marks_.end()) return false;
--- a/tests/reference/notes.hpp
+++ b/tests/reference/notes.hpp
@@ -13,21 +13,21 @@
 
 namespace micaroad::reference {
 
-struct Listed { ListedServer entry; bool at_first = false; };  // at_first: in the first list of all
+struct Listed { ListedEndpoint entry; bool at_first = false; };  // at_first: in the first list of all
 struct Unlisted {};  // a complete list without it
 struct Beat {};      // a step's evidence is complete
 struct Step {};      // time to move the weights
 struct Pulse {};     // look again at what is waiting
 struct Resubscribe {};
 struct Standing {    // a server, as it sees itself
-    ListedServer entry;
+    ListedEndpoint entry;
     bool open = false;
-    std::optional<Instant> last_ok;
+    std::optional<TimePoint> last_ok;
     double tries = 0, bad = 0, answer_seconds = 0, window = 0;
     bool steady = false;  // ready since the first list, no start known: nobody had a reason to shut it out
-    bool gone() const { return !open && entry.phase == Phase::gone; }
+    bool gone() const { return !open && entry.phase == EndpointPhase::gone; }
 };
-struct Met { event::Outcomes said; ZoneId at; };  // with the zone of the server
+struct Met { event::EndpointLoadReport said; ZoneId at; };  // with the zone of the server
 struct Loose { ZoneId zone; int turn; };  // a proxy that is joined, not bound; its place among all joinings
 struct Bound {  // one that is
     ZoneId zone;
@@ -37,17 +37,17 @@
 };
 // Rank (0: can't wait, 1: learnt, 2: tidies up), size, server, pool (below 0: it leaves or comes back).
 using Change = std::tuple<int, double, ServerId, int>;
-struct Wish { Standing seen; Row shares; bool cold; };  // by pool
+struct Wish { Standing seen; RealVector shares; bool cold; };  // by pool
 struct Handover { TableId slice; ServerId server; double weight; };
 struct Binding { TableId table; std::vector<MethodId> methods; std::optional<ZoneId> zone; };
 // RPCs let in, by method; all proxies' load over what was heard of ours; RPCs a second that all told of.
-struct Demand { Row rates; double all_over_ours = 1, told = 0; };
+struct Demand { RealVector rates; double all_over_ours = 1, told = 0; };
 struct Cold { bool any; };      // is a server still cold?
-struct Levels { Row amounts; };               // by method
+struct Levels { RealVector amounts; };               // by method
 
 using Note = std::variant<Listed, Unlisted, Beat, Step, Pulse, Resubscribe, Standing, Wish, Handover, Binding,
-                          Demand, Levels, Cold, Met, event::Outcomes, event::ProxyJoined, event::ProxyLeft,
-                          event::Arrivals, event::SliceGiven, event::SliceOwner, event::MarkApplied>;
+                          Demand, Levels, Cold, Met, event::EndpointLoadReport, event::ProxyJoined, event::ProxyLeft,
+                          event::DemandReport, event::SliceAssigned, event::SliceOwnerReported, event::Acknowledgement>;
 
 struct Part {
     std::deque<Note> inbox;
@@ -74,13 +74,13 @@
 // Events that can be meant.
 inline bool counts(double all, double part) { return std::isfinite(all + part) && all > 0 && part >= 0; }
 template <class Other>
-bool sound(const Other&, const Terms&) { return true; }
-inline bool sound(const event::Outcomes& met, const Terms&) {
-    return counts(met.tries, met.bad) && met.mean >= Span{} && met.over > Span{};
+bool sound(const Other&, const DeploymentSettings&) { return true; }
+inline bool sound(const event::EndpointLoadReport& met, const DeploymentSettings&) {
+    return counts(met.attempts, met.failures) && met.mean_latency >= Duration{} && met.window > Duration{};
 }
-inline bool sound(const event::Arrivals& came, const Terms& terms) {
-    const bool known = came.method.value >= 0 && came.method.value < std::ssize(terms.methods);
-    return known && counts(came.count, came.unanswered);
+inline bool sound(const event::DemandReport& came, const DeploymentSettings& settings) {
+    const bool known = came.method.value >= 0 && came.method.value < std::ssize(settings.methods);
+    return known && counts(came.requests, came.unanswered);
 }
 
 }  // namespace micaroad::reference
--- a/tests/reference/planner.hpp
+++ b/tests/reference/planner.hpp
@@ -5,16 +5,22 @@
 #include <memory>
 #include <vector>
 
+#include "decision/queue_model.hpp"
 #include "micaroad/planner.hpp"
 
 namespace micaroad::reference {
 
+using decision::predict_queues;
+using decision::QueuePrediction;
+using decision::RealVector;
+using decision::TailPenalty;
+
 class Planner {
  public:
-    Planner(Terms terms, std::uint64_t seed);
+    Planner(DeploymentSettings settings, std::uint64_t seed);
 
-    void hear(Event event);
-    std::vector<Order> decide(Instant now);
+    void handle(Event event);
+    std::vector<Order> decide(TimePoint now);
 
  private:
     class Impl;
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -17,8 +17,8 @@
 
 namespace {
 
-constexpr Span s(double seconds) { return Span{static_cast<Span::rep>(seconds * 10'000)}; }
-constexpr Instant kNow{s(1'000'000)};
+constexpr Duration s(double seconds) { return Duration{static_cast<Duration::rep>(seconds * 10'000)}; }
+constexpr TimePoint kNow{s(1'000'000)};
 
 Server server(const std::string& name, int weight = 1, Tier tier = Tier::active) {
     Server server;
@@ -52,9 +52,9 @@
 
 TEST_CASE("the index gives the answer of the plain list, for thousands of odd routes and RPCs") {
     std::mt19937_64 chance(20261201);
-    const auto word = [&chance](int letters) {
+    const auto word = [&chance](int updates) {
         std::string word;
-        for (auto n = chance() % letters; n > 0; --n) word += "ab/cA."[chance() % 6];
+        for (auto n = chance() % updates; n > 0; --n) word += "ab/cA."[chance() % 6];
         return word;
     };
     const std::function<Match(int)> any = [&](int depth) -> Match {
@@ -339,7 +339,7 @@
         Limiter limiter(web);
         std::map<RpcNumber, std::string> runs;
         std::set<RpcNumber> waits;
-        Instant now = kNow;
+        TimePoint now = kNow;
         std::uint64_t next = 0;
         const auto take = [&](const Limiter::Answer& answer) {
             waits.erase(answer.rpc);
@@ -413,7 +413,7 @@
     CHECK(book.take_due(kNow) == std::vector<std::string>{"a"});
     CHECK(book.take_due(kNow).empty());
     CHECK(book.take_due(kNow + s(1)) == std::vector<std::string>{"b"});  // spread over the interval
-    Instant now = kNow + s(2);
+    TimePoint now = kNow + s(2);
     CHECK(!book.probed("a", false, now));
     CHECK(book.next_due() == kNow + s(3));
     CHECK(!book.probed("a", false, now));
@@ -438,36 +438,36 @@
     plan.pools[1].name = "api";
     plan.pools[0].answer_within = s(2);
     const Roster roster(plan);
-    Terms base;
-    base.levels = LevelKind::share;
+    DeploymentSettings base;
+    base.admission_kind = AdmissionKind::fraction;
     plan.service.proxies = 1;
-    const Terms terms = roster.terms(base);
-    CHECK((terms.methods.size() == 2 && terms.methods[0].soft_deadline == s(2) &&
-           terms.methods[1].only_kinds.front() == KindId{1}));
+    const DeploymentSettings settings = roster.terms(base);
+    CHECK((settings.methods.size() == 2 && settings.methods[0].soft_deadline == s(2) &&
+           settings.methods[1].only_kinds.front() == KindId{1}));
     CHECK(roster.names().methods == std::vector<std::string>{"web", "api"});
     CHECK(roster.addresses().at({"api/x"}) == "10.0.0.1:80");
 
-    Planner planner(terms, 3);
+    Planner planner(settings, 3);
     std::map<int, std::map<std::string, double>> tables;
     std::set<std::string> withdrawn;
     std::map<int, int> table_of;  // by method
-    Instant now = kNow;
+    TimePoint now = kNow;
     const auto run = [&](double seconds) {
-        for (const Instant end = now + s(seconds); now < end; now += s(0.1)) {
+        for (const TimePoint end = now + s(seconds); now < end; now += s(0.1)) {
             for (const Order& order : planner.decide(now)) {
-                if (const auto* line = std::get_if<order::SetLine>(&order)) {
+                if (const auto* line = std::get_if<order::SetTableEntry>(&order)) {
                     line->weight > 0 ? (void)(tables[line->table.value][line->server.value] = line->weight)
                                      : (void)tables[line->table.value].erase(line->server.value);
-                } else if (const auto* bind = std::get_if<order::Bind>(&order)) {
+                } else if (const auto* bind = std::get_if<order::BindProxy>(&order)) {
                     for (const MethodId method : bind->methods) table_of[method.value] = bind->table.value;
-                } else if (const auto* out = std::get_if<order::Withdraw>(&order)) {
-                    out->out ? (void)withdrawn.insert(out->server.value)
+                } else if (const auto* out = std::get_if<order::SetWithdrawn>(&order)) {
+                    out->withdrawn ? (void)withdrawn.insert(out->server.value)
                              : (void)withdrawn.erase(out->server.value);
-                } else if (const auto* mark = std::get_if<order::Mark>(&order)) {
-                    planner.hear(event::MarkApplied{{0}, mark->mark});
+                } else if (const auto* mark = std::get_if<order::SendNonce>(&order)) {
+                    planner.handle(event::Acknowledgement{{0}, mark->nonce});
                 }
             }
-            planner.hear(event::TimerDue{{1}});
+            planner.handle(event::TimerExpired{{1}});
         }
     };
     const auto open = [&](int method) {
@@ -477,15 +477,15 @@
         return open;
     };
     View at = view();
-    planner.hear(roster.list(at));
-    planner.hear(event::ProxyJoined{{0}, {0}, 5, true});
+    planner.handle(roster.list(at));
+    planner.handle(event::ProxyJoined{{0}, {0}, 5, true});
     run(1);
     REQUIRE(open(0).size() == 2);
     CHECK(open(0)["web/b"] / open(0)["web/a"] == Approx(3));
     CHECK(open(1).size() == 1);
     // All active servers are down: the backup takes their place.
     at.now = now, at.servers["web/a"].up = false, at.servers["web/b"].up = false;
-    planner.hear(roster.list(at));
+    planner.handle(roster.list(at));
     run(1);
     REQUIRE(open(0).size() == 1);
     CHECK(open(0).begin()->first == "web/s");
@@ -493,5 +493,5 @@
     at.servers.clear(), at.servers["web/a"].told = State::draining, at.servers["web/a"].draining_since = now;
     const auto list = roster.list(at);
     CHECK(std::any_of(list.servers.begin(), list.servers.end(),
-                      [](const auto& e) { return e.server.value == "web/a" && e.phase == Phase::draining; }));
+                      [](const auto& e) { return e.server.value == "web/a" && e.phase == EndpointPhase::draining; }));
 }
--- a/tests/scale_wire_units_test.cpp
+++ b/tests/scale_wire_units_test.cpp
@@ -83,7 +83,7 @@
 
 TEST_CASE("scale: a change is in force once, at each proxy that used the server") {
     InForce in_force;
-    const Instant told{};
+    const TimePoint told{};
     in_force.told(0, 5, told, true);
     in_force.told(1, 5, told, true);
     in_force.told(2, 5, told, false);
--- a/tests/serve_test.cpp
+++ b/tests/serve_test.cpp
@@ -116,8 +116,8 @@
 
 Clock clock_now() {
     return [begun = std::chrono::steady_clock::now()] {
-        return Instant{Span{17'000'000'000'000}} +
-               std::chrono::duration_cast<Span>(std::chrono::steady_clock::now() - begun);
+        return TimePoint{Duration{17'000'000'000'000}} +
+               std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - begun);
     };
 }
 
--- a/tests/short_days_test.cpp
+++ b/tests/short_days_test.cpp
@@ -32,13 +32,13 @@
 
 const std::string kDrain = list_of(43, false, {{"s-1", "draining"}});
 
-StartFile started_with(const std::string& discovery, const std::vector<Listed>& servers) {
-    StartFile start = start_file(discovery);
-    start.known = *protocol::ListReader(start.names).read(list_of(41, true, servers));
+StartConfiguration started_with(const std::string& discovery, const std::vector<Listed>& servers) {
+    StartConfiguration start = start_file(discovery);
+    start.known = *protocol::EndpointListReader(start.names).read(list_of(41, true, servers));
     return start;
 }
 
-Proxies joined(const Program& program, int number) {
+Proxies joined(const PlannerProcess& program, int number) {
     Proxies proxies;
     for (int n = 0; n < number; ++n) proxies.push_back(std::make_unique<ProxyStandIn>(program.address(), n));
     require_of_all(proxies, 10s, "a table", [](const ProxyStandIn& proxy) { return proxy.has_table(); });
@@ -51,7 +51,7 @@
 }
 
 // As SIGHUP does, of a file that names this discovery.
-void reload_to(Program& program, const std::string& discovery) {
+void reload_to(PlannerProcess& program, const std::string& discovery) {
     static const std::string file = "/tmp/micaroad-short-days-" + std::to_string(::getpid()) + ".json";
     std::ofstream(file) << R"({"discovery":")" << discovery << "\"}";
     program.reload([](const char* name) { return std::string_view(name) == "LB_CONFIG" ? file.c_str() : nullptr; });
@@ -125,7 +125,7 @@
     REQUIRE(acceptor.open(*address_of("127.0.0.1:0"), why));
     const Socket good = dial(acceptor.address());
     good.send_all(hello(1));
-    const StreamId stream = base.next<arrival::StreamBegun>().stream;
+    const StreamId stream = base.next<core_event::StreamOpened>().stream;
     constexpr int kTimes = 5;
     for (int n = 0; n < kTimes; ++n) {
         base.sync.hold(point);
@@ -144,12 +144,12 @@
     good.end_sending();
     int usages = 0, begun = 0, over = 0;
     for (bool good_has_left = false; !good_has_left || over < begun + 1;) {
-        const auto items = base.inbox.wait(clock_now()() + Span{100'000});
+        const auto items = base.inbox.wait(clock_now()() + Duration{100'000});
         REQUIRE(!items.empty());
         for (const auto& item : items) {
-            usages += std::holds_alternative<arrival::Reported>(item.arrival);
-            begun += std::holds_alternative<arrival::StreamBegun>(item.arrival);
-            const auto* left = std::get_if<arrival::StreamEnded>(&item.arrival);
+            usages += std::holds_alternative<core_event::ReportReceived>(item.arrival);
+            begun += std::holds_alternative<core_event::StreamOpened>(item.arrival);
+            const auto* left = std::get_if<core_event::StreamClosed>(&item.arrival);
             over += left != nullptr;
             good_has_left |= left != nullptr && left->stream == stream;
         }
@@ -177,8 +177,8 @@
     const std::string asked = "GET /catalog/members?stream=1&index=41 HTTP/1.1\r\n";
     CHECK(read_some(again, asked.size()) == asked);
     again.send_all(kWatch + chunk(version(42)));
-    next<arrival::WatchLost>();
-    CHECK(next<arrival::ListTold>().said.version == 42);
+    next<core_event::WatchLost>();
+    CHECK(next<core_event::EndpointListReceived>().message.version == 42);
     watch.stop();
 }
 
@@ -192,7 +192,7 @@
     sync.await(SyncPoint::probe_connected);
     reset(Socket(::accept(server.fd(), nullptr, nullptr)));
     sync.let_go(SyncPoint::probe_connected);
-    CHECK(!next<arrival::ProbeEnded>().probed.ok);
+    CHECK(!next<core_event::HealthCheckCompleted>().result.healthy);
 }
 
 // ---- bytes in pieces
@@ -236,20 +236,20 @@
     std::set<std::string> servers;
     std::set<ProxyId> proxies;
     int usages = 0;
-    inbox.put(arrival::Stop{});
+    inbox.put(core_event::StopRequested{});
     for (const auto& item : inbox.wait({})) {
-        if (const auto* begun = std::get_if<arrival::StreamBegun>(&item.arrival)) {
+        if (const auto* begun = std::get_if<core_event::StreamOpened>(&item.arrival)) {
             proxies.insert(begun->joined.proxy);
             of_stream[begun->stream].push_back(0);
-        } else if (const auto* answered = std::get_if<arrival::StreamAnswered>(&item.arrival)) {
-            of_stream[answered->stream].push_back(answered->applied.mark.value);
-        } else if (const auto* reported = std::get_if<arrival::Reported>(&item.arrival)) {
-            if (const auto* met = std::get_if<event::Outcomes>(&reported->report))
+        } else if (const auto* answered = std::get_if<core_event::StreamAcknowledged>(&item.arrival)) {
+            of_stream[answered->stream].push_back(answered->acknowledgement.nonce.value);
+        } else if (const auto* reported = std::get_if<core_event::ReportReceived>(&item.arrival)) {
+            if (const auto* met = std::get_if<event::EndpointLoadReport>(&reported->report))
                 servers.insert(met->server.value);
             else
                 ++usages;
         } else {
-            CHECK(std::holds_alternative<arrival::Stop>(item.arrival));
+            CHECK(std::holds_alternative<core_event::StopRequested>(item.arrival));
         }
     }
     CHECK(proxies.size() == cuts.size());
@@ -272,9 +272,9 @@
     discovery.begin();
     std::vector<std::unique_ptr<Running>> planners;
     for (int n = 0; n < kPlanners; ++n) {
-        StartFile start = started_with("", servers);
-        start.terms.planners = kPlanners, start.terms.proxies = kPlanners * kProxiesOfEach;
-        start.bounds.proxies = start.terms.proxies;
+        StartConfiguration start = started_with("", servers);
+        start.settings.planner_count = kPlanners, start.settings.proxy_count = kPlanners * kProxiesOfEach;
+        start.bounds.proxies = start.settings.proxy_count;
         planners.push_back(std::make_unique<Running>(text_of(discovery.listener.local()), start, WatchPatience{}, clock_from_now()));
     }
     Proxies proxies;
--- a/tests/spread_test.cpp
+++ b/tests/spread_test.cpp
@@ -111,7 +111,7 @@
 
 // Brings a case about on both sides; false: the pool has nothing that it could happen to.
 bool bring_about(Case which, const routing::Pool& pool, Original::Pool& original, routing::View& view) {
-    view.now = Instant{Span{100'000'000}};
+    view.now = TimePoint{Duration{100'000'000}};
     const auto touch = [&](const routing::Server& server,
                            const std::function<void(routing::ServerNow&, Original::Node&)>& what) {
         const auto node = std::find_if(original.nodes.begin(), original.nodes.end(),
@@ -140,7 +140,7 @@
             });
             break;
         case Case::slow_start:
-            if (first->slow_start == Span{}) return false;
+            if (first->slow_start == Duration{}) return false;
             touch(*first, [&](auto& now, auto& node) {
                 now.up_since = view.now - first->slow_start / 4,
                 node.up_for = std::chrono::duration<double>(first->slow_start / 4).count();
--- a/tests/stage.hpp
+++ b/tests/stage.hpp
@@ -18,22 +18,22 @@
 
 namespace micaroad::test {
 
-inline Span ms(double value) { return Span{std::llround(value * 10)}; }
+inline Duration ms(double value) { return Duration{std::llround(value * 10)}; }
 
-// The terms and the planner of one scenario, the time that passes, and what its proxies hold by the orders.
+// The settings and the planner of one scenario, the time that passes, and what its proxies hold by the orders.
 // `AnyPlanner` hears events and decides as micaroad::Planner does.
 template <class AnyPlanner>
 struct Stage {
-    Terms terms;
+    DeploymentSettings settings;
     std::optional<AnyPlanner> planner;
-    Instant now{ms(1'000'000)};
-    std::vector<std::pair<Instant, TimerId>> timers;
-    std::vector<std::pair<Span, std::string>> habits;  // statements said again and again
+    TimePoint now{ms(1'000'000)};
+    std::vector<std::pair<TimePoint, TimerId>> timers;
+    std::vector<std::pair<Duration, std::string>> habits;  // statements said again and again
     std::map<int, std::map<std::string, double>> tables;
     std::set<std::string> withdrawn;
     std::map<int, std::map<int, int>> bound;  // table by proxy and method
     std::map<int, double> levels;
-    std::map<int, FurtherTry> tries;
+    std::map<int, RetryPolicy> tries;
     double lines = 0, widest_step = 0;
     int batches = 0, subscriptions = 0;
     std::string told;  // every order, in order
@@ -54,29 +54,29 @@
         return static_cast<double>(std::count_if(bound.begin(), bound.end(), uses));
     }
 
-    void obey(const order::SetLine& o) {
+    void obey(const order::SetTableEntry& o) {
         REQUIRE(std::isfinite(o.weight));
         REQUIRE(o.weight >= 0);
-        if (terms.single_owner && o.weight > 0) tables[o.table.value].clear();
+        if (settings.single_owner && o.weight > 0) tables[o.table.value].clear();
         o.weight > 0 ? (void)(tables[o.table.value][o.server.value] = o.weight)
                      : (void)tables[o.table.value].erase(o.server.value);
         told += "line " + std::to_string(o.table.value) + o.server.value + std::to_string(o.weight);
         lines += users(o.table.value);
     }
-    void obey(const order::Withdraw& o) {
-        o.out ? (void)withdrawn.insert(o.server.value) : (void)withdrawn.erase(o.server.value);
-        told += "withdraw" + o.server.value + std::to_string(o.out);
+    void obey(const order::SetWithdrawn& o) {
+        o.withdrawn ? (void)withdrawn.insert(o.server.value) : (void)withdrawn.erase(o.server.value);
+        told += "withdraw" + o.server.value + std::to_string(o.withdrawn);
         for (const auto& [table, its] : tables) lines += its.contains(o.server.value) ? users(table) : 0;
     }
-    void obey(const order::Mark& o) { planner->hear(event::MarkApplied{{0}, o.mark}); }
-    void obey(const order::Bind& o) {
+    void obey(const order::SendNonce& o) { planner->handle(event::Acknowledgement{{0}, o.nonce}); }
+    void obey(const order::BindProxy& o) {
         for (const auto& method : o.methods) bound[o.proxy.value][method.value] = o.table.value;
         lines += 1 + static_cast<double>(tables[o.table.value].size());
     }
-    void obey(const order::SetLevel& o) {
+    void obey(const order::SetAdmission& o) {
         for (const auto& method : o.methods) {
             levels[method.value] = o.amount;
-            tries[method.value] = o.further_tries;
+            tries[method.value] = o.retry_policy;
         }
         told += "level" + std::to_string(o.amount);
     }
@@ -103,23 +103,23 @@
         }
     }
 
-    void run(Span length) {
+    void run(Duration length) {
         decide();
-        for (const Instant end = now + length; now < end;) {
+        for (const TimePoint end = now + length; now < end;) {
             now += ms(100);
             for (auto& [every, statement] : habits) {
-                if (now.time_since_epoch() % every == Span{}) say(statement);
+                if (now.time_since_epoch() % every == Duration{}) say(statement);
             }
             for (const auto& [due, timer] : std::exchange(timers, {})) {
-                due <= now ? planner->hear(event::TimerDue{timer}) : (void)timers.emplace_back(due, timer);
+                due <= now ? planner->handle(event::TimerExpired{timer}) : (void)timers.emplace_back(due, timer);
             }
             decide();
         }
     }
 
     // name[:zone[:kind]][=phase][@started_ms_ago]
-    ListedServer listed(std::string word) const {
-        ListedServer server;
+    ListedEndpoint listed(std::string word) const {
+        ListedEndpoint server;
         const auto cut = [&word](char at) {
             const auto place = word.find(at);
             const std::string rest = place == std::string::npos ? "" : word.substr(place + 1);
@@ -128,7 +128,7 @@
         };
         if (const auto ago = cut('@'); !ago.empty()) server.last_start = now - ms(std::stod(ago));
         const auto phase = cut('=');
-        server.phase = phase == "draining" ? Phase::draining : phase == "gone" ? Phase::gone : Phase::ready;
+        server.phase = phase == "draining" ? EndpointPhase::draining : phase == "gone" ? EndpointPhase::gone : EndpointPhase::ready;
         std::istringstream parts(word);
         std::string part;
         std::getline(parts, server.server.value, ':');
@@ -147,7 +147,7 @@
             if (more == "own-zone") method.own_zone_only = true;
             if (more.rfind("kind=", 0) == 0) method.only_kinds.push_back({std::stoi(more.substr(5))});
         }
-        terms.methods.push_back(method);
+        settings.methods.push_back(method);
     }
 
     void say_terms(std::istream& in) {
@@ -155,18 +155,18 @@
         double value = 0;
         in >> key >> value;
         const std::map<std::string, std::function<void()>> keys{
-            {"proxies", [&] { terms.proxies = static_cast<int>(value); }},
-            {"planners", [&] { terms.planners = static_cast<int>(value); }},
-            {"zones", [&] { terms.zones = static_cast<int>(value); }},
-            {"pace", [&] { terms.lines_per_second = value; }},
-            {"grace", [&] { terms.drain_grace = ms(value); }},
-            {"waiting", [&] { terms.lines_waiting_most = value; }},
-            {"messages", [&] { terms.messages_most = static_cast<int>(value); }},
-            {"slices", [&] { terms.slices = static_cast<int>(value); }},
-            {"single-owner", [&] { terms.single_owner = value != 0; }},
-            {"levels-as-rate", [&] { terms.levels = value != 0 ? LevelKind::rate : LevelKind::share; }},
-            {"dropped-may-serve", [&] { terms.dropped_may_serve = value != 0; }},
-            {"subscribe", [&] { terms.must_subscribe = value != 0; }},
+            {"proxies", [&] { settings.proxy_count = static_cast<int>(value); }},
+            {"planners", [&] { settings.planner_count = static_cast<int>(value); }},
+            {"zones", [&] { settings.zone_count = static_cast<int>(value); }},
+            {"pace", [&] { settings.channel_lines_per_second = value; }},
+            {"grace", [&] { settings.drain_grace = ms(value); }},
+            {"waiting", [&] { settings.max_pending_lines = value; }},
+            {"messages", [&] { settings.max_messages_per_proxy = static_cast<int>(value); }},
+            {"slices", [&] { settings.slice_count = static_cast<int>(value); }},
+            {"single-owner", [&] { settings.single_owner = value != 0; }},
+            {"levels-as-rate", [&] { settings.admission_kind = value != 0 ? AdmissionKind::rate : AdmissionKind::fraction; }},
+            {"dropped-may-serve", [&] { settings.unlisted_may_serve = value != 0; }},
+            {"subscribe", [&] { settings.subscription_required = value != 0; }},
         };
         keys.at(key)();
     }
@@ -223,7 +223,7 @@
             withdrawn.clear();
             bound.clear();
             timers.clear();
-            planner.emplace(terms, 7u);
+            planner.emplace(settings, 7u);
             return;
         }
         double a = 0, b = 0, c = 0, d = 0;
@@ -235,41 +235,41 @@
             in >> a;
             run(ms(a));
         } else if (verb == "list") {
-            event::List list;
+            event::EndpointListUpdate list;
             in >> word;
-            list.form = word == "changes"    ? event::List::Form::changes
-                        : word == "complete" ? event::List::Form::complete
-                        : word == "restored" ? event::List::Form::restored
-                                             : event::List::Form::unavailable;
+            list.form = word == "changes"    ? event::EndpointListUpdate::Form::incremental
+                        : word == "complete" ? event::EndpointListUpdate::Form::complete
+                        : word == "restored" ? event::EndpointListUpdate::Form::restored
+                                             : event::EndpointListUpdate::Form::unavailable;
             while (in >> word) list.servers.push_back(listed(word));
-            planner->hear(list);
+            planner->handle(list);
         } else if (verb == "join") {
             in >> a >> b;
-            planner->hear(event::ProxyJoined{{static_cast<int>(a)}, {static_cast<int>(b)}, 5});
+            planner->handle(event::ProxyJoined{{static_cast<int>(a)}, {static_cast<int>(b)}, 5});
         } else if (verb == "join-many") {  // each sends more than the one before
             in >> a;
-            for (int p = 0; p < a; ++p) planner->hear(event::ProxyJoined{{p}, {0}, 1.0 * p, true});
+            for (int p = 0; p < a; ++p) planner->handle(event::ProxyJoined{{p}, {0}, 1.0 * p, true});
         } else if (verb == "leave") {
             in >> a;
             bound.erase(static_cast<int>(a));
-            planner->hear(event::ProxyLeft{{static_cast<int>(a)}});
+            planner->handle(event::ProxyLeft{{static_cast<int>(a)}});
         } else if (verb == "met") {
             std::string tries_word;
             in >> word >> tries_word >> b >> c >> d;
             a = tries_word == "nan" ? std::nan("") : std::stod(tries_word);
-            planner->hear(event::Outcomes{{word}, {0}, a, b, ms(c), ms(d)});
+            planner->handle(event::EndpointLoadReport{{word}, {0}, a, b, ms(c), ms(d)});
         } else if (verb == "came") {
             in >> a >> b >> c;
             const MethodId method{static_cast<int>(b)};
-            planner->hear(event::Arrivals{{static_cast<int>(a)}, method, c, 0, ms(500)});
+            planner->handle(event::DemandReport{{static_cast<int>(a)}, method, c, 0, ms(500)});
         } else if (verb == "slice") {
             in >> a >> word;
-            planner->hear(event::SliceGiven{{static_cast<int>(a)}, word == "ours"});
+            planner->handle(event::SliceAssigned{{static_cast<int>(a)}, word == "ours"});
             if (word == "ours") tables.erase(static_cast<int>(a));
         } else if (verb == "owner") {
             in >> a >> word;
             tables[static_cast<int>(a)][word] = 1;
-            planner->hear(event::SliceOwner{{static_cast<int>(a)}, {word}, 1});
+            planner->handle(event::SliceOwnerReported{{static_cast<int>(a)}, {word}, 1});
         } else {
             FAIL("no such statement: " << line);
         }
@@ -280,21 +280,21 @@
 template <class AnyPlanner>
 std::string play(const std::filesystem::path& file) {
     Stage<AnyPlanner> stage;
-    stage.terms.proxies = 4;
-    stage.terms.lines_per_second = 1000;
-    stage.terms.lines_per_message = 3;
-    stage.terms.lines_waiting_most = 2000;
-    stage.terms.messages_span = ms(10'000);
-    stage.terms.report_every = ms(500);
-    stage.terms.message_longest = ms(500);
-    stage.terms.drain_grace = ms(2000);
-    stage.terms.warm_after = ms(15'000);
-    stage.terms.cold_capacity = 0.2;
-    stage.terms.fall_multiple = 3;
-    stage.terms.fall_span = ms(1500);
-    stage.terms.levels = LevelKind::share;
-    stage.terms.owner_lease = ms(2500);
-    stage.terms.write_life = ms(5000);
+    stage.settings.proxy_count = 4;
+    stage.settings.channel_lines_per_second = 1000;
+    stage.settings.overhead_lines_per_message = 3;
+    stage.settings.max_pending_lines = 2000;
+    stage.settings.message_limit_window = ms(10'000);
+    stage.settings.report_interval = ms(500);
+    stage.settings.max_message_delay = ms(500);
+    stage.settings.drain_grace = ms(2000);
+    stage.settings.warm_up_duration = ms(15'000);
+    stage.settings.cold_capacity_fraction = 0.2;
+    stage.settings.overload_factor = 3;
+    stage.settings.overload_window = ms(1500);
+    stage.settings.admission_kind = AdmissionKind::fraction;
+    stage.settings.owner_lease = ms(2500);
+    stage.settings.write_lifetime = ms(5000);
     std::ifstream in(file);
     for (std::string line; std::getline(in, line);) stage.say(line);
     return stage.told;
