--- a/Makefile
+++ b/Makefile
@@ -1,13 +1,10 @@
 # What staff do most. START_FILE is what LB_CONFIG is to name, as README.md shows one.
 START_FILE ?= docs/example-start.json
-FORMATTED := $(shell git ls-files src/daemon src/log src/net src/outbox src/planner src/protocol src/terms \
-    src/command src/haproxy src/operators src/routing src/record src/background \
-    bench/scale/*.cpp bench/scale/*.hpp tests/scale_test.cpp)
 
 # Optimized little: sanitized code takes the compiler long.
 SANITIZED := -DMICAROAD_TESTS=ON -DCMAKE_BUILD_TYPE=Debug -DCMAKE_CXX_FLAGS_DEBUG="-O1 -g1"
 
-.PHONY: all build test asan tsan lint bench scale fuzz sites run clean
+.PHONY: all build test asan tsan lint format tidy bench scale fuzz sites run clean
 all: build
 
 build:
@@ -30,13 +27,17 @@
 	cmake --build build/tsan -j4
 	ctest --test-dir build/tsan --output-on-failure
 
-# Needs clang-format, clang-tidy and cppcheck. The checks stand in .clang-tidy.
-TIDIED := $(shell git ls-files 'src/daemon/*.cpp' 'src/log/*.cpp' 'src/net/*.cpp' 'src/protocol/*.cpp')
+# What CI checks without running the program; README.md names the packages.
 lint:
-	clang-format --dry-run -Werror $(FORMATTED)
-	printf '%s\n' $(TIDIED) | xargs -P 4 -I{} clang-tidy --quiet {} -- -std=c++20 -Iinclude -Isrc
-	cppcheck --std=c++20 --language=c++ --quiet --inline-suppr --error-exitcode=1 -Iinclude -Isrc \
-	    --enable=warning,performance,portability --suppress=missingIncludeSystem src
+	.ci/lint
+
+# All C++ files into their form, by the version that lint checks with.
+format:
+	.ci/lint format
+
+# What a module lacks before .ci/finished-modules may name it: make tidy MODULE=src/net
+tidy:
+	.ci/lint tidy $(MODULE)
 
 # Needs libbenchmark-dev.
 bench:
