--- a/bench/route_index_bench.cpp
+++ b/bench/route_index_bench.cpp
@@ -1,6 +1,6 @@
-// The route index against the plain list, at 10, 1,000 and 100,000 routes: tenants told apart by the
-// beginning of a path, by host, and by both with exceptions in between. Each RPC takes the next of 1,024
-// drawn ones; the answers of both are compared first.
+// The route index against the plain list, at 10, 1,000 and 100,000 routes: tenants told apart by
+// the beginning of a path, by host, and by both with exceptions in between. Each RPC takes the next
+// of 1,024 drawn ones; the answers of both are compared first.
 #include <benchmark/benchmark.h>
 #include <fmt/format.h>
 
@@ -56,21 +56,30 @@
 void by_index(benchmark::State& state) {
     const Drawn drawn = draw(static_cast<int>(state.range(0)));
     const RouteIndex index(drawn.routes);
-    for (std::size_t i = 0; i < (state.range(0) > 10'000 ? 64 : drawn.rpcs.size()); ++i)
-        if (index.first(drawn.rpcs[i], nullptr) != first_by_list(drawn.routes, drawn.rpcs[i], nullptr))
+    for (std::size_t i = 0; i < (state.range(0) > 10'000 ? 64 : drawn.rpcs.size()); ++i) {
+        if (index.first(drawn.rpcs[i], nullptr) !=
+            first_by_list(drawn.routes, drawn.rpcs[i], nullptr)) {
             std::abort();
+        }
+    }
     std::size_t i = 0;
-    for (auto _ : state) benchmark::DoNotOptimize(index.first(drawn.rpcs[i++ % drawn.rpcs.size()], nullptr));
+    for (auto _ : state) {
+        benchmark::DoNotOptimize(index.first(drawn.rpcs[i++ % drawn.rpcs.size()], nullptr));
+    }
 }
 void by_list(benchmark::State& state) {
     const Drawn drawn = draw(static_cast<int>(state.range(0)));
     std::size_t i = 0;
-    for (auto _ : state)
-        benchmark::DoNotOptimize(first_by_list(drawn.routes, drawn.rpcs[i++ % drawn.rpcs.size()], nullptr));
+    for (auto _ : state) {
+        benchmark::DoNotOptimize(
+            first_by_list(drawn.routes, drawn.rpcs[i++ % drawn.rpcs.size()], nullptr));
+    }
 }
 void building(benchmark::State& state) {
     const Drawn drawn = draw(static_cast<int>(state.range(0)));
-    for (auto _ : state) benchmark::DoNotOptimize(RouteIndex(drawn.routes));
+    for (auto _ : state) {
+        benchmark::DoNotOptimize(RouteIndex(drawn.routes));
+    }
 }
 
 }  // namespace
--- a/bench/scale/core_run.cpp
+++ b/bench/scale/core_run.cpp
@@ -40,8 +40,8 @@
     const double before_;
 };
 
-// The streams of all proxies: counts what is written, answers nonces, and notes when a withdrawal reaches a
-// proxy.
+// The streams of all proxies: counts what is written, answers nonces, and notes when a withdrawal
+// reaches a proxy.
 class Streams : public Transport {
  public:
     // Processor seconds spent here; no planner would have them.
@@ -60,7 +60,9 @@
     }
     // Only what a table has held is withdrawn.
     void told_gone(const std::string& server, TimePoint now) {
-        if (in_tables_.erase(server) > 0) told_[server].at = now;
+        if (in_tables_.erase(server) > 0) {
+            told_[server].at = now;
+        }
     }
     std::size_t told() const { return told_.size(); }
 
@@ -92,7 +94,9 @@
     void note_nonce(StreamId stream, std::string_view message) {
         constexpr std::string_view kNonce = "nonce_out=";
         const std::size_t at = message.rfind(kNonce);
-        if (at == std::string_view::npos) return;
+        if (at == std::string_view::npos) {
+            return;
+        }
         std::from_chars(message.data() + at + kNonce.size(), message.data() + message.size(),
                         unanswered[stream]);
     }
@@ -112,11 +116,15 @@
     }
     void note_line(std::string_view line) {
         const std::size_t colon = std::min(line.find(':'), line.size());
-        if (line.substr(colon) != ":0") in_tables_.emplace(line.substr(0, colon));
+        if (line.substr(colon) != ":0") {
+            in_tables_.emplace(line.substr(0, colon));
+        }
     }
     void note_withdrawal(StreamId stream, const std::string& server, double in_turn) {
         const auto gone = told_.find(server);
-        if (gone == told_.end() || !gone->second.proxies.insert(stream).second) return;
+        if (gone == told_.end() || !gone->second.proxies.insert(stream).second) {
+            return;
+        }
         written.insert(server);
         const double waited_ms = static_cast<double>((now_ - gone->second.at).count()) / 10;
         delivery_ms.add(waited_ms + in_turn / kMillisecond);
@@ -163,10 +171,12 @@
         list_bytes_ = first_list.size();
         baseline_bytes_ = resident_bytes();
         start(first_list);
-        for (int turn = 0; turn < spec_.quiet_seconds * kTurnsPerSecond && !stopped_; ++turn)
+        for (int turn = 0; turn < spec_.quiet_seconds * kTurnsPerSecond && !stopped_; ++turn) {
             play_quiet_turn();
-        for (int turn = 0; turn < spec_.warmup_seconds * kTurnsPerSecond && !stopped_; ++turn)
+        }
+        for (int turn = 0; turn < spec_.warmup_seconds * kTurnsPerSecond && !stopped_; ++turn) {
             play_turn(false);
+        }
         const Totals before = totals();
         for (int turn = 0; turn < spec_.seconds * kTurnsPerSecond && !stopped_; ++turn) {
             begin_scenario(turn);
@@ -207,21 +217,30 @@
         const int second = turn / kTurnsPerSecond;
         const bool whole_second = turn % kTurnsPerSecond == 0;
         const bool due = whole_second && second == kEventAfterSeconds;
-        if (spec_.scenario == Scenario::burst && due)
+        if (spec_.scenario == Scenario::burst && due) {
             say_change(world_.replace(std::min(kBurstServers, spec_.servers / 2), now_));
-        if (spec_.scenario == Scenario::zone_loss && due) say_change(world_.lose_zone(0));
-        if (spec_.scenario == Scenario::zone_loss && whole_second && second == kZoneBackAfterSeconds)
+        }
+        if (spec_.scenario == Scenario::zone_loss && due) {
+            say_change(world_.lose_zone(0));
+        }
+        if (spec_.scenario == Scenario::zone_loss && whole_second &&
+            second == kZoneBackAfterSeconds) {
             say_change(world_.restore_zone(now_));
-        if (spec_.scenario == Scenario::mass_join && due) renew_streams();
+        }
+        if (spec_.scenario == Scenario::mass_join && due) {
+            renew_streams();
+        }
         if (spec_.scenario == Scenario::release && whole_second && second >= kEventAfterSeconds) {
             say_change(world_.replace_draining(now_));
-            say_change(world_.drain(std::max(1, static_cast<int>(kReleasePerSecond * spec_.servers))));
+            say_change(
+                world_.drain(std::max(1, static_cast<int>(kReleasePerSecond * spec_.servers))));
         }
     }
 
     void renew_streams() {
-        for (const auto& [stream, proxy] : proxy_of_)
+        for (const auto& [stream, proxy] : proxy_of_) {
             items_.push_back({now_, core_event::StreamClosed{stream, "renewed"}});
+        }
         proxy_of_.clear();
         streams_.unanswered.clear();
         streams_.reached.clear();
@@ -229,9 +248,15 @@
     }
 
     void play_turn(bool measured) {
-        if (const int changes = changes_.next(); changes > 0) say_change(world_.replace(changes, now_));
-        for (const std::string& line : world_.report_lines(reports_.next())) hear_line(StreamId{}, line);
-        for (const std::string& line : world_.demand_lines(demands_.next())) hear_line(StreamId{}, line);
+        if (const int changes = changes_.next(); changes > 0) {
+            say_change(world_.replace(changes, now_));
+        }
+        for (const std::string& line : world_.report_lines(reports_.next())) {
+            hear_line(StreamId{}, line);
+        }
+        for (const std::string& line : world_.demand_lines(demands_.next())) {
+            hear_line(StreamId{}, line);
+        }
         answer_nonces();
         const double used = turn();
         if (measured) {
@@ -244,20 +269,24 @@
     void play_quiet_turn() {
         answer_nonces();
         turn();
-        if (bound_seconds_ == 0 && streams_.reached.size() == proxy_of_.size())
+        if (bound_seconds_ == 0 && streams_.reached.size() == proxy_of_.size()) {
             bound_seconds_ = std::chrono::duration<double>(now_ - kWorldStart).count();
+        }
         note_limit();
     }
 
     void answer_nonces() {
-        for (const auto& [stream, nonce] : std::exchange(streams_.unanswered, {}))
+        for (const auto& [stream, nonce] : std::exchange(streams_.unanswered, {})) {
             hear_line(stream, World::answer_line(proxy_of_.at(stream), nonce));
+        }
     }
 
     void note_limit() { stopped_ = stopped_ || processor_seconds() > processor_limit_; }
 
     void say_change(const World::Change& change) {
-        for (const std::string& server : change.gone) streams_.told_gone(server, now_);
+        for (const std::string& server : change.gone) {
+            streams_.told_gone(server, now_);
+        }
         say_list(change.list);
     }
 
@@ -281,14 +310,15 @@
         for (const auto& [stream, line] : lines_) {
             const auto verdict = protocol::parse_message(line, names_, bounds_);
             const auto& message = std::get<protocol::Message>(verdict);
-            if (const auto* joined = std::get_if<event::ProxyJoined>(&message))
+            if (const auto* joined = std::get_if<event::ProxyJoined>(&message)) {
                 items_.push_back({now_, core_event::StreamOpened{stream, *joined}});
-            else if (const auto* applied = std::get_if<event::Acknowledgement>(&message))
+            } else if (const auto* applied = std::get_if<event::Acknowledgement>(&message)) {
                 items_.push_back({now_, core_event::StreamAcknowledged{stream, *applied}});
-            else if (const auto* met = std::get_if<event::EndpointLoadReport>(&message))
+            } else if (const auto* met = std::get_if<event::EndpointLoadReport>(&message)) {
                 items_.push_back({now_, core_event::ReportReceived{*met}});
-            else if (const auto* came = std::get_if<event::DemandReport>(&message))
+            } else if (const auto* came = std::get_if<event::DemandReport>(&message)) {
                 items_.push_back({now_, core_event::ReportReceived{*came}});
+            }
         }
         reading_seconds_ += reading.stop();
         lines_.clear();
@@ -327,7 +357,9 @@
                       {"resident_mb", megabytes(resident_bytes())},
                       {"core_mb", megabytes(resident_bytes() - baseline_bytes_)},
                       {"peak_resident_mb", megabytes(peak_resident_bytes())}};
-        if (bound_seconds_ > 0) measured["bound_seconds"] = bound_seconds_;
+        if (bound_seconds_ > 0) {
+            measured["bound_seconds"] = bound_seconds_;
+        }
         if (measured_seconds > 0) {
             measured["processor_share"] = busy_seconds_ / measured_seconds;
             measured["turn_ms_50"] = turn_ms_.quantile(0.5);
@@ -344,7 +376,9 @@
             measured["delivery_ms_99"] = streams_.delivery_ms.quantile(0.99);
             measured["delivery_ms_100"] = streams_.delivery_ms.quantile(1);
         }
-        return {{"stopped", stopped_}, {"counts", std::move(counts)}, {"measured", std::move(measured)}};
+        return {{"stopped", stopped_},
+                {"counts", std::move(counts)},
+                {"measured", std::move(measured)}};
     }
 
     static double megabytes(std::int64_t bytes) { return static_cast<double>(bytes) / 1e6; }
@@ -374,6 +408,8 @@
 
 }  // namespace
 
-json run_core(const WorldSpec& spec, double processor_limit) { return CoreRun(spec, processor_limit).run(); }
+json run_core(const WorldSpec& spec, double processor_limit) {
+    return CoreRun(spec, processor_limit).run();
+}
 
 }  // namespace micaroad::scale
--- a/bench/scale/main.cpp
+++ b/bench/scale/main.cpp
@@ -1,6 +1,6 @@
-// micaroad_scale: what a planner costs by the size of its world. A development tool: not installed, never
-// loaded by the daemon. `micaroad_scale core --standard` measures all sweeps; docs/CAPACITY.md stands on its
-// output.
+// micaroad_scale: what a planner costs by the size of its world. A development tool: not installed,
+// never loaded by the daemon. `micaroad_scale core --standard` measures all sweeps;
+// docs/CAPACITY.md stands on its output.
 #include <CLI/CLI.hpp>
 #include <fstream>
 #include <iostream>
@@ -23,20 +23,26 @@
     std::string scenario = "steady", out;
 };
 
-std::int64_t half_of_memory() { return machine_memory() / 2; }
+std::int64_t half_of_memory() {
+    return machine_memory() / 2;
+}
 
 void add_world_options(CLI::App& app, CoreOptions& options) {
     WorldSpec& world = options.world;
     app.add_option("--proxies", world.proxies, "proxies of this planner")->capture_default_str();
-    app.add_option("--planners", world.planners, "planners with so many proxies each")->capture_default_str();
+    app.add_option("--planners", world.planners, "planners with so many proxies each")
+        ->capture_default_str();
     app.add_option("--servers", world.servers, "servers")->capture_default_str();
     app.add_option("--services", world.services, "services")->capture_default_str();
     app.add_option("--pools", world.pools, "pools that services share; 0: each has its own")
         ->capture_default_str();
-    app.add_option("--skew", world.skew, "Zipf exponent of the services' sizes")->capture_default_str();
+    app.add_option("--skew", world.skew, "Zipf exponent of the services' sizes")
+        ->capture_default_str();
     app.add_option("--zones", world.zones, "zones")->capture_default_str();
-    app.add_option("--changes", world.changes_per_second, "servers replaced a second")->capture_default_str();
-    app.add_option("--reports", world.reports_per_second, "reports a second; 0: none")->capture_default_str();
+    app.add_option("--changes", world.changes_per_second, "servers replaced a second")
+        ->capture_default_str();
+    app.add_option("--reports", world.reports_per_second, "reports a second; 0: none")
+        ->capture_default_str();
     app.add_flag("!--without-demand", world.demand, "demand of the services is not told");
     app.add_option("--lines", world.lines_per_second, "the channel's pace, lines a second")
         ->capture_default_str();
@@ -48,8 +54,10 @@
         ->capture_default_str();
     app.add_option("--quiet", world.quiet_seconds, "seconds of world time for the first tables")
         ->capture_default_str();
-    app.add_option("--warmup", world.warmup_seconds, "seconds of world time before")->capture_default_str();
-    app.add_option("--seconds", world.seconds, "seconds of world time measured")->capture_default_str();
+    app.add_option("--warmup", world.warmup_seconds, "seconds of world time before")
+        ->capture_default_str();
+    app.add_option("--seconds", world.seconds, "seconds of world time measured")
+        ->capture_default_str();
 }
 
 void add_core_options(CLI::App& app, CoreOptions& options) {
@@ -58,20 +66,28 @@
     app.add_flag("--standard", options.standard, "all sweeps")->excludes(small);
     app.add_option("--seed", options.sweep.seed, "of the worlds")->capture_default_str();
     app.add_option("--out", options.out, "results file; standard output if absent");
-    app.add_option("--revision", options.sweep.revision, "of the text that was built, for the results");
-    app.add_option("--point-seconds", options.sweep.limits.processor_seconds, "processor time for a point")
+    app.add_option("--revision", options.sweep.revision,
+                   "of the text that was built, for the results");
+    app.add_option("--point-seconds", options.sweep.limits.processor_seconds,
+                   "processor time for a point")
         ->check(CLI::Range(0.1, 3'600.0))
         ->capture_default_str();
     add_world_options(app, options);
 }
 
 std::vector<Sweep> sweeps_of(CoreOptions& options) {
-    if (options.small) return small_sweeps(options.sweep.seed);
-    if (options.standard) return standard_sweeps(options.sweep.seed);
+    if (options.small) {
+        return small_sweeps(options.sweep.seed);
+    }
+    if (options.standard) {
+        return standard_sweeps(options.sweep.seed);
+    }
     WorldSpec world = options.world;
     world.seed = options.sweep.seed;
     world.scenario = json(options.scenario).get<Scenario>();
-    if (world.routes > 0 || world.tenants > 0) world.workload = Workload::routing;
+    if (world.routes > 0 || world.tenants > 0) {
+        world.workload = Workload::routing;
+    }
     return {Sweep{"one point", "", {world}}};
 }
 
@@ -104,7 +120,8 @@
     add_core_options(*core_command, core);
     std::string spec;
     PointLimits limits;
-    CLI::App* const point_command = app.add_subcommand("point", "one point, as the other commands run it");
+    CLI::App* const point_command =
+        app.add_subcommand("point", "one point, as the other commands run it");
     point_command->group("");
     point_command->add_option("--spec", spec)->required();
     point_command->add_option("--point-seconds", limits.processor_seconds);
@@ -112,7 +129,9 @@
     try {
         app.parse(argc, argv);
         return point_command->parsed() ? point_main(spec, limits) : run_core_command(core);
-    } catch (const CLI::CallForHelp& help) { return app.exit(help); } catch (const CLI::ParseError& bad) {
+    } catch (const CLI::CallForHelp& help) {
+        return app.exit(help);
+    } catch (const CLI::ParseError& bad) {
         std::cerr << "micaroad_scale: " << bad.what() << std::endl;
         return kExitUsage;
     } catch (const BadWorld& bad) {
--- a/bench/scale/measure.cpp
+++ b/bench/scale/measure.cpp
@@ -19,7 +19,9 @@
     std::ifstream file(path);
     for (std::string word; file >> word;) {
         std::int64_t kibibytes = 0;
-        if (word == name && file >> kibibytes) return kibibytes * kKibibyte;
+        if (word == name && file >> kibibytes) {
+            return kibibytes * kKibibyte;
+        }
     }
     return 0;
 }
@@ -32,19 +34,31 @@
     return static_cast<double>(used.tv_sec) + static_cast<double>(used.tv_nsec) * 1e-9;
 }
 
-std::int64_t resident_bytes() { return proc_bytes("/proc/self/status", "VmRSS:"); }
-std::int64_t peak_resident_bytes() { return proc_bytes("/proc/self/status", "VmHWM:"); }
-std::int64_t machine_memory() { return proc_bytes("/proc/meminfo", "MemTotal:"); }
-std::int64_t available_memory() { return proc_bytes("/proc/meminfo", "MemAvailable:"); }
+std::int64_t resident_bytes() {
+    return proc_bytes("/proc/self/status", "VmRSS:");
+}
+std::int64_t peak_resident_bytes() {
+    return proc_bytes("/proc/self/status", "VmHWM:");
+}
+std::int64_t machine_memory() {
+    return proc_bytes("/proc/meminfo", "MemTotal:");
+}
+std::int64_t available_memory() {
+    return proc_bytes("/proc/meminfo", "MemAvailable:");
+}
 
 double Samples::quantile(double part) const {
-    if (values_.empty()) return 0;
+    if (values_.empty()) {
+        return 0;
+    }
     std::vector<double> sorted = values_;
     std::sort(sorted.begin(), sorted.end());
     const double rank = std::ceil(std::clamp(part, 0.0, 1.0) * static_cast<double>(sorted.size()));
     return sorted[static_cast<std::size_t>(std::max(rank, 1.0)) - 1];
 }
 
-double Samples::sum() const { return std::accumulate(values_.begin(), values_.end(), 0.0); }
+double Samples::sum() const {
+    return std::accumulate(values_.begin(), values_.end(), 0.0);
+}
 
 }  // namespace micaroad::scale
--- a/bench/scale/routing_run.cpp
+++ b/bench/scale/routing_run.cpp
@@ -20,8 +20,12 @@
 constexpr double kMicrosecond = 1e-6;
 constexpr double kBytesPerMegabyte = 1e6;
 
-std::string path_of(int route) { return fmt::format("/v{}/route-{}/", route % 3, route); }
-std::string host_of(int route) { return fmt::format("r{}.example", route); }
+std::string path_of(int route) {
+    return fmt::format("/v{}/route-{}/", route % 3, route);
+}
+std::string host_of(int route) {
+    return fmt::format("r{}.example", route);
+}
 
 // By the beginning of a path, by host, and by both with exceptions in between, in turn.
 Match match_of(int route) {
@@ -41,19 +45,24 @@
 
 Rpc rpc_for(int route) {
     Rpc rpc;
-    rpc.path = route % 4 == 0 ? path_of(route) + "item/7" : route % 4 == 3 ? path_of(route) : "/api/item/7";
-    rpc.host = route % 4 == 1 ? host_of(route) : route % 4 == 2 ? "www." + host_of(route) : "other.example";
+    rpc.path = route % 4 == 0   ? path_of(route) + "item/7"
+               : route % 4 == 3 ? path_of(route)
+                                : "/api/item/7";
+    rpc.host = route % 4 == 1   ? host_of(route)
+               : route % 4 == 2 ? "www." + host_of(route)
+                                : "other.example";
     return rpc;
 }
 
 std::vector<Route> draw_routes(const WorldSpec& spec) {
     std::vector<Route> routes;
-    const std::vector<int> sizes = zipf_sizes(spec.routes, std::min(spec.services, spec.routes), spec.skew);
+    const std::vector<int> sizes =
+        zipf_sizes(spec.routes, std::min(spec.services, spec.routes), spec.skew);
     for (int service = 0; service < std::ssize(sizes); ++service) {
         for (int i = 0; i < sizes[static_cast<std::size_t>(service)]; ++i) {
             const int route = static_cast<int>(routes.size());
-            routes.push_back(
-                {fmt::format("r{}", route), match_of(route), ToPool{fmt::format("service-{}", service)}});
+            routes.push_back({fmt::format("r{}", route), match_of(route),
+                              ToPool{fmt::format("service-{}", service)}});
         }
     }
     return routes;
@@ -67,14 +76,16 @@
     const double build_seconds = processor_seconds() - before;
     const std::int64_t memory = resident_bytes() - memory_before;
     std::vector<Rpc> rpcs;
-    for (int i = 0; i < kLookups; ++i)
+    for (int i = 0; i < kLookups; ++i) {
         rpcs.push_back(rpc_for(static_cast<int>(random() % static_cast<unsigned>(spec.routes))));
+    }
     Samples lookup_us;
     std::uint64_t found = 0;
     for (int i = 0; i < kLookups; i += kLookupsPerSample) {
         before = processor_seconds();
-        for (int k = i; k < i + kLookupsPerSample; ++k)
+        for (int k = i; k < i + kLookupsPerSample; ++k) {
             found += index.first(rpcs[static_cast<std::size_t>(k)], nullptr).value_or(0);
+        }
         lookup_us.add((processor_seconds() - before) / kLookupsPerSample / kMicrosecond);
     }
     counts["routes_found"] = found;
@@ -95,11 +106,15 @@
     double before = processor_seconds();
     std::vector<Limiter> limiters;
     limiters.reserve(static_cast<std::size_t>(spec.tenants));
-    for (int tenant = 0; tenant < spec.tenants; ++tenant) limiters.emplace_back(limit);
+    for (int tenant = 0; tenant < spec.tenants; ++tenant) {
+        limiters.emplace_back(limit);
+    }
     const double build_seconds = processor_seconds() - before;
     const std::int64_t memory = resident_bytes() - memory_before;
     std::vector<std::size_t> callers;
-    for (int i = 0; i < kLookups; ++i) callers.push_back(random() % static_cast<unsigned>(spec.tenants));
+    for (int i = 0; i < kLookups; ++i) {
+        callers.push_back(random() % static_cast<unsigned>(spec.tenants));
+    }
     Samples ask_us;
     int admitted = 0;
     for (int i = 0; i < kLookups; i += kLookupsPerSample) {
@@ -125,10 +140,16 @@
     check(spec);
     std::minstd_rand random(static_cast<std::minstd_rand::result_type>(spec.seed));
     json counts = json::object(), measured = json::object();
-    if (spec.routes > 0) measured.update(measure_routes(spec, random, counts));
-    if (spec.tenants > 0) measured.update(measure_tenants(spec, random, counts));
+    if (spec.routes > 0) {
+        measured.update(measure_routes(spec, random, counts));
+    }
+    if (spec.tenants > 0) {
+        measured.update(measure_tenants(spec, random, counts));
+    }
     measured["resident_mb"] = static_cast<double>(resident_bytes()) / kBytesPerMegabyte;
-    return {{"stopped", processor_seconds() > processor_limit}, {"counts", counts}, {"measured", measured}};
+    return {{"stopped", processor_seconds() > processor_limit},
+            {"counts", counts},
+            {"measured", measured}};
 }
 
 }  // namespace micaroad::scale
--- a/bench/scale/routing_run.hpp
+++ b/bench/scale/routing_run.hpp
@@ -1,6 +1,6 @@
-// Routes and tenants as far as the text has them: a route index, and one limiter a tenant. No mechanism
-// spreads a tenant's limit over planners; src/routing/limiter.hpp, made for a pool, stands for one tenant's
-// limit in one process.
+// Routes and tenants as far as the text has them: a route index, and one limiter a tenant. No
+// mechanism spreads a tenant's limit over planners; src/routing/limiter.hpp, made for a pool,
+// stands for one tenant's limit in one process.
 #pragma once
 
 #include <nlohmann/json.hpp>
--- a/bench/scale/slope.cpp
+++ b/bench/scale/slope.cpp
@@ -26,7 +26,9 @@
         line.squares_x += (sample.x - line.mean_x) * (sample.x - line.mean_x);
         products += (sample.x - line.mean_x) * (sample.y - sum_y / n);
     }
-    if (line.squares_x <= 0) return std::nullopt;
+    if (line.squares_x <= 0) {
+        return std::nullopt;
+    }
     line.slope = products / line.squares_x;
     line.intercept = sum_y / n - line.slope * line.mean_x;
     double squares = 0;
@@ -44,21 +46,35 @@
 std::optional<Power> power_of(const std::vector<Sample>& samples) {
     std::vector<Sample> logarithms;
     for (const Sample& sample : samples) {
-        if (sample.x <= 0) continue;  // a size of none says nothing of an exponent
-        if (sample.y <= 0) return std::nullopt;
+        if (sample.x <= 0) {
+            continue;  // a size of none says nothing of an exponent
+        }
+        if (sample.y <= 0) {
+            return std::nullopt;
+        }
         logarithms.push_back({std::log(sample.x), std::log(sample.y)});
     }
-    if (logarithms.size() < kLeastPoints) return std::nullopt;
+    if (logarithms.size() < kLeastPoints) {
+        return std::nullopt;
+    }
     const auto line = least_squares(logarithms);
-    if (!line) return std::nullopt;
+    if (!line) {
+        return std::nullopt;
+    }
     return Power{std::exp(line->intercept), line->slope, line->slope_error};
 }
 
 bool is_straight(const Line& line, const std::vector<Sample>& samples) {
     double largest = 0;
-    for (const Sample& sample : samples) largest = std::max(largest, std::abs(sample.y));
-    if (line.largest_residual > kMostOfLargest * largest) return false;
-    if (line.intercept < -kMostErrorsBelowZero * line.intercept_error) return false;
+    for (const Sample& sample : samples) {
+        largest = std::max(largest, std::abs(sample.y));
+    }
+    if (line.largest_residual > kMostOfLargest * largest) {
+        return false;
+    }
+    if (line.intercept < -kMostErrorsBelowZero * line.intercept_error) {
+        return false;
+    }
     return std::all_of(samples.begin(), samples.end(), [&line](const Sample& sample) {
         return std::abs(sample.y - line.at(sample.x)) <= kMostOfOwn * std::abs(sample.y);
     });
@@ -71,9 +87,13 @@
 }
 
 std::optional<Fit> fit(const std::vector<Sample>& samples) {
-    if (samples.size() < kLeastPoints) return std::nullopt;
+    if (samples.size() < kLeastPoints) {
+        return std::nullopt;
+    }
     const auto line = least_squares(samples);
-    if (!line) return std::nullopt;
+    if (!line) {
+        return std::nullopt;
+    }
     return Fit{*line, is_straight(*line, samples), power_of(samples)};
 }
 
--- a/bench/scale/slope.hpp
+++ b/bench/scale/slope.hpp
@@ -15,7 +15,7 @@
     double intercept_error = 0, slope_error = 0;  // standard errors
     double largest_residual = 0;                  // absolute, in the unit of y
     double residual_deviation = 0;                // of the residuals, with n - 2 degrees of freedom
-    double mean_x = 0, squares_x = 0;             // what a prediction's error needs: see predicted_error()
+    double mean_x = 0, squares_x = 0;  // what a prediction's error needs: see predicted_error()
     int points = 0;
 
     double at(double x) const { return intercept + slope * x; }
@@ -30,8 +30,9 @@
 
 struct Fit {
     Line line;
-    // The line may be used past its points: no residual is over a tenth of the largest value nor over half of
-    // its own point's value, and the intercept is not below zero by more than two standard errors.
+    // The line may be used past its points: no residual is over a tenth of the largest value nor
+    // over half of its own point's value, and the intercept is not below zero by more than two
+    // standard errors.
     bool straight = false;
     std::optional<Power> power;  // absent where a point is not above zero
 };
--- a/bench/scale/sweep.cpp
+++ b/bench/scale/sweep.cpp
@@ -22,7 +22,7 @@
 constexpr int kServersAtSize = 56'000, kServicesAtSize = 1'100;
 
 template <class Value>
-Sweep vary(const WorldSpec& base, const char* name, Value WorldSpec::*parameter, const char* key,
+Sweep vary(const WorldSpec& base, const char* name, Value WorldSpec::* parameter, const char* key,
            const std::vector<Value>& values) {
     Sweep sweep{name, key, {}};
     for (const Value value : values) {
@@ -35,7 +35,9 @@
 
 // Each server is heard once a second, whatever their number.
 Sweep heard_each_second(Sweep sweep) {
-    for (WorldSpec& spec : sweep.points) spec.reports_per_second = spec.servers;
+    for (WorldSpec& spec : sweep.points) {
+        spec.reports_per_second = spec.servers;
+    }
     return sweep;
 }
 
@@ -70,8 +72,8 @@
 
 Sweep scenarios(WorldSpec base) {
     Sweep sweep{"scenarios", "", {}};
-    for (const Scenario scenario :
-         {Scenario::steady, Scenario::burst, Scenario::zone_loss, Scenario::release, Scenario::mass_join}) {
+    for (const Scenario scenario : {Scenario::steady, Scenario::burst, Scenario::zone_loss,
+                                    Scenario::release, Scenario::mass_join}) {
         base.scenario = scenario;
         sweep.points.push_back(base);
     }
@@ -82,8 +84,9 @@
                              const std::vector<int>& services) {
     Sweep sweep{"servers x services", "", {}};
     for (const int some_servers : servers) {
-        for (const int some_services : services)
+        for (const int some_services : services) {
             sweep.points.push_back(core_world(seed, 16, some_servers, some_services, true));
+        }
     }
     return sweep;
 }
@@ -110,7 +113,9 @@
 std::string processor_name() {
     std::ifstream file("/proc/cpuinfo");
     for (std::string line; std::getline(file, line);) {
-        if (line.starts_with("model name")) return line.substr(line.find(':') + 2);
+        if (line.starts_with("model name")) {
+            return line.substr(line.find(':') + 2);
+        }
     }
     return "unknown";
 }
@@ -124,23 +129,29 @@
 
 json assumptions() {
     return json::array(
-        {"services' numbers of servers, and of routes, follow Zipf's law with the exponent `skew`: at 0.9 "
+        {"services' numbers of servers, and of routes, follow Zipf's law with the exponent `skew`: "
+         "at 0.9 "
          "the "
          "largest of 1,100 services has 5,227 of 56,000 servers",
          "each service has a kind, and so a pool, of its own unless `pools` says otherwise",
-         "each server gets 12 RPCs a second, answers in 300 to 389 ms, and never fails; a report tells of "
+         "each server gets 12 RPCs a second, answers in 300 to 389 ms, and never fails; a report "
+         "tells of "
          "all RPCs "
          "since the last one on that server, from one zone",
-         "time is virtual: a turn each 100 ms, however long it takes; delivery times are world time plus the "
+         "time is virtual: a turn each 100 ms, however long it takes; delivery times are world "
+         "time plus the "
          "processor time of the turn that writes",
          "proxies answer each nonce in the next turn; demand of each service is told once a second",
-         "channel: 700 lines a second for all proxies of a planner, 22 s of it may wait; 22.4 s of grace, "
+         "channel: 700 lines a second for all proxies of a planner, 22 s of it may wait; 22.4 s of "
+         "grace, "
          "servers "
          "warm after 18 s",
-         "before the measured time there are `quiet_seconds` in which proxies are given tables and nothing "
+         "before the measured time there are `quiet_seconds` in which proxies are given tables and "
+         "nothing "
          "else happens, then "
          "`warmup_seconds` of the world as it is measured",
-         "delivery: of a server that some table held, from the list's word that it is gone or drains to the "
+         "delivery: of a server that some table held, from the list's word that it is gone or "
+         "drains to the "
          "line "
          "that withdraws it, for each proxy that is told"});
 }
@@ -168,25 +179,32 @@
     const double expected = expected_memory(spec);
     const double most =
         std::min(static_cast<double>(limits.memory_bytes), static_cast<double>(available_memory()));
-    if (expected <= most) return "";
-    return fmt::format("left out: may need {:.0f} MB, {:.0f} MB are free for it", expected / 1e6, most / 1e6);
+    if (expected <= most) {
+        return "";
+    }
+    return fmt::format("left out: may need {:.0f} MB, {:.0f} MB are free for it", expected / 1e6,
+                       most / 1e6);
 }
 
 std::string one_line(const WorldSpec& spec) {
-    if (spec.workload == Workload::routing)
+    if (spec.workload == Workload::routing) {
         return fmt::format("{} routes, {} tenants", spec.routes, spec.tenants);
-    return fmt::format("{} proxies, {} servers, {} services, {} changes/s, {} reports/s{}, {}", spec.proxies,
-                       spec.servers, spec.services, spec.changes_per_second, spec.reports_per_second,
-                       spec.demand ? "" : " without demand", json(spec.scenario).get<std::string>());
+    }
+    return fmt::format("{} proxies, {} servers, {} services, {} changes/s, {} reports/s{}, {}",
+                       spec.proxies, spec.servers, spec.services, spec.changes_per_second,
+                       spec.reports_per_second, spec.demand ? "" : " without demand",
+                       json(spec.scenario).get<std::string>());
 }
 
 std::string summary(const json& result) {
     const json measured = result.value("measured", json::object());
     std::string text = result.at("status").get<std::string>();
-    if (measured.contains("processor_share"))
+    if (measured.contains("processor_share")) {
         text += fmt::format(", {:.2f}% of a core, longest turn {:.1f} ms, {:.0f} MB",
                             100 * measured["processor_share"].get<double>(),
-                            measured["turn_ms_100"].get<double>(), measured["resident_mb"].get<double>());
+                            measured["turn_ms_100"].get<double>(),
+                            measured["resident_mb"].get<double>());
+    }
     return text;
 }
 
@@ -228,9 +246,13 @@
 std::vector<Sample> samples_of(const Sweep& sweep, const json& points, const std::string& measure) {
     std::vector<Sample> samples;
     for (const json& point : points) {
-        if (point.at("sweep") != sweep.name || point.at("status") != "done") continue;
+        if (point.at("sweep") != sweep.name || point.at("status") != "done") {
+            continue;
+        }
         const json& measured = point.at("measured");
-        if (!measured.contains(measure)) continue;
+        if (!measured.contains(measure)) {
+            continue;
+        }
         samples.push_back(
             {point.at("world").at(sweep.varied).get<double>(), measured.at(measure).get<double>()});
     }
@@ -254,9 +276,13 @@
     json slopes = json::array();
     for (const Sweep& sweep : sweeps) {
         for (const char* measure : kMeasures) {
-            if (sweep.varied.empty()) continue;
+            if (sweep.varied.empty()) {
+                continue;
+            }
             const auto fitted = fit(samples_of(sweep, points, measure));
-            if (!fitted) continue;
+            if (!fitted) {
+                continue;
+            }
             json slope{{"sweep", sweep.name}, {"varied", sweep.varied}, {"measure", measure}};
             slope.update(to_json(*fitted));
             slopes.push_back(std::move(slope));
@@ -274,12 +300,17 @@
     base.seconds = 7;
     std::vector<Sweep> sweeps{
         vary(base, "proxies", &WorldSpec::proxies, "proxies", {2, 4, 8, 16}),
-        heard_each_second(vary(base, "servers", &WorldSpec::servers, "servers", {60, 120, 240, 480})),
+        heard_each_second(
+            vary(base, "servers", &WorldSpec::servers, "servers", {60, 120, 240, 480})),
         vary(base, "services", &WorldSpec::services, "services", {1, 2, 4, 8}),
-        vary(base, "changes", &WorldSpec::changes_per_second, "changes_per_second", {0.0, 1.0, 2.0, 4.0}),
-        vary(base, "reports", &WorldSpec::reports_per_second, "reports_per_second", {0.0, 30.0, 60.0, 120.0}),
-        vary(routing_world(seed, 0, 0), "routes", &WorldSpec::routes, "routes", {100, 200, 400, 800}),
-        vary(routing_world(seed, 0, 0), "tenants", &WorldSpec::tenants, "tenants", {100, 200, 400, 800}),
+        vary(base, "changes", &WorldSpec::changes_per_second, "changes_per_second",
+             {0.0, 1.0, 2.0, 4.0}),
+        vary(base, "reports", &WorldSpec::reports_per_second, "reports_per_second",
+             {0.0, 30.0, 60.0, 120.0}),
+        vary(routing_world(seed, 0, 0), "routes", &WorldSpec::routes, "routes",
+             {100, 200, 400, 800}),
+        vary(routing_world(seed, 0, 0), "tenants", &WorldSpec::tenants, "tenants",
+             {100, 200, 400, 800}),
         scenarios(base)};
     return sweeps;
 }
@@ -289,15 +320,16 @@
     const WorldSpec not_heard = core_world(seed, 16, 1'000, 10, false);
     WorldSpec without_demand = core_world(seed, 16, 2'000, 40, true);
     without_demand.demand = false;
-    Sweep sizes{"named sizes",
-                "",
-                {not_heard, core_world(seed, 16, 2'000, 40, true), without_demand,
-                 core_world(seed, 64, 1'000, 50, true), brief(core_world(seed, 16, 8'000, 160, false)),
-                 brief(core_world(seed, 16, kServersAtSize, 1, false)),
-                 brief(core_world(seed, 16, kServersAtSize, kServicesAtSize, false))}};
+    Sweep sizes{
+        "named sizes",
+        "",
+        {not_heard, core_world(seed, 16, 2'000, 40, true), without_demand,
+         core_world(seed, 64, 1'000, 50, true), brief(core_world(seed, 16, 8'000, 160, false)),
+         brief(core_world(seed, 16, kServersAtSize, 1, false)),
+         brief(core_world(seed, 16, kServersAtSize, kServicesAtSize, false))}};
     return {vary(base, "proxies", &WorldSpec::proxies, "proxies", {4, 16, 64, 256, 1'024}),
-            heard_each_second(
-                vary(base, "servers", &WorldSpec::servers, "servers", {250, 500, 1'000, 2'000, 4'000})),
+            heard_each_second(vary(base, "servers", &WorldSpec::servers, "servers",
+                                   {250, 500, 1'000, 2'000, 4'000})),
             vary(base, "services", &WorldSpec::services, "services", {1, 5, 10, 20, 40}),
             vary(base, "changes", &WorldSpec::changes_per_second, "changes_per_second",
                  {0.0, 1.0, 2.0, 4.0, 8.0}),
@@ -317,7 +349,9 @@
 json run_sweeps(const std::vector<Sweep>& sweeps, const SweepOptions& options) {
     std::size_t all = 0, number = 0;
     for (const Sweep& sweep : sweeps) {
-        for (const WorldSpec& spec : sweep.points) check(spec);
+        for (const WorldSpec& spec : sweep.points) {
+            check(spec);
+        }
         all += sweep.points.size();
     }
     json results = describe(options);
@@ -338,7 +372,9 @@
 
 bool sound(const json& results) {
     for (const json& point : results.at("points")) {
-        if (point.at("status") == "failed" || !point.value("same_counts", true)) return false;
+        if (point.at("status") == "failed" || !point.value("same_counts", true)) {
+            return false;
+        }
     }
     return true;
 }
--- a/bench/scale/wire_channel.cpp
+++ b/bench/scale/wire_channel.cpp
@@ -37,7 +37,8 @@
 }  // namespace
 
 std::string LoopbackAddress::text() const {
-    return fmt::format("{}.{}.{}.{}:{}", host >> 24, (host >> 16) & 255, (host >> 8) & 255, host & 255, port);
+    return fmt::format("{}.{}.{}.{}:{}", host >> 24, (host >> 16) & 255, (host >> 8) & 255,
+                       host & 255, port);
 }
 
 Descriptor::Descriptor(Descriptor&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
@@ -48,49 +49,73 @@
 }
 
 Descriptor::~Descriptor() {
-    if (fd_ >= 0) ::close(fd_);
+    if (fd_ >= 0) {
+        ::close(fd_);
+    }
 }
 
 Descriptor listen_at(LoopbackAddress& address) {
     Descriptor socket(::socket(AF_INET, kSocketType, 0));
-    if (!socket.open()) fail("socket");
+    if (!socket.open()) {
+        fail("socket");
+    }
     const int on = 1;
     setsockopt(socket.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
     sockaddr_in in = socket_address(address);
-    if (bind(socket.get(), reinterpret_cast<sockaddr*>(&in), sizeof in) != 0) fail("bind " + address.text());
-    if (listen(socket.get(), kBacklog) != 0) fail("listen");
+    if (bind(socket.get(), reinterpret_cast<sockaddr*>(&in), sizeof in) != 0) {
+        fail("bind " + address.text());
+    }
+    if (listen(socket.get(), kBacklog) != 0) {
+        fail("listen");
+    }
     socklen_t length = sizeof in;
-    if (getsockname(socket.get(), reinterpret_cast<sockaddr*>(&in), &length) != 0) fail("getsockname");
+    if (getsockname(socket.get(), reinterpret_cast<sockaddr*>(&in), &length) != 0) {
+        fail("getsockname");
+    }
     address.port = ntohs(in.sin_port);
     return socket;
 }
 
 Descriptor begin_connect(const LoopbackAddress& address) {
     Descriptor socket(::socket(AF_INET, kSocketType, 0));
-    if (!socket.open()) return {};
+    if (!socket.open()) {
+        return {};
+    }
     set_no_delay(socket);
     const sockaddr_in in = socket_address(address);
     const int result = connect(socket.get(), reinterpret_cast<const sockaddr*>(&in), sizeof in);
-    if (result != 0 && errno != EINPROGRESS) return {};
+    if (result != 0 && errno != EINPROGRESS) {
+        return {};
+    }
     return socket;
 }
 
 Descriptor accept_from(const Descriptor& listener) {
     Descriptor socket(accept4(listener.get(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-    if (socket.open()) set_no_delay(socket);
+    if (socket.open()) {
+        set_no_delay(socket);
+    }
     return socket;
 }
 
 Channel::Channel(Loop& loop, Role role, Descriptor socket, bool connecting, ChannelOwner& owner)
-    : Handler(role), loop_(loop), owner_(owner), socket_(std::move(socket)), connecting_(connecting) {
+    : Handler(role),
+      loop_(loop),
+      owner_(owner),
+      socket_(std::move(socket)),
+      connecting_(connecting) {
     watched_ = connecting_ ? EPOLLOUT : EPOLLIN;
     token_ = loop_.watch(socket_.get(), watched_, *this);
 }
 
-Channel::~Channel() { close(); }
+Channel::~Channel() {
+    close();
+}
 
 void Channel::close() {
-    if (!socket_.open()) return;
+    if (!socket_.open()) {
+        return;
+    }
     loop_.leave(token_, socket_.get());
     socket_ = Descriptor{};
     texts_.clear();
@@ -98,23 +123,31 @@
 }
 
 void Channel::end() {
-    if (!socket_.open()) return;
+    if (!socket_.open()) {
+        return;
+    }
     close();
     owner_.ended();
 }
 
 void Channel::send(Text text) {
-    if (!socket_.open() || text->empty()) return;
+    if (!socket_.open() || text->empty()) {
+        return;
+    }
     queued_ += text->size();
     texts_.push_back(std::move(text));
     // A fault is seen again when the loop reads: the owner is never told from within its own call.
-    if (texts_.size() == 1 && !connecting_) write_some();
+    if (texts_.size() == 1 && !connecting_) {
+        write_some();
+    }
     watch();
 }
 
 void Channel::watch() {
     const std::uint32_t wanted = connecting_ || queued_ > 0 ? EPOLLIN | EPOLLOUT : EPOLLIN;
-    if (wanted == watched_ || !socket_.open()) return;
+    if (wanted == watched_ || !socket_.open()) {
+        return;
+    }
     watched_ = wanted;
     loop_.change(token_, socket_.get(), watched_);
 }
@@ -122,11 +155,16 @@
 bool Channel::write_some() {
     while (!texts_.empty()) {
         const std::string& text = *texts_.front();
-        const ssize_t sent = ::send(socket_.get(), text.data() + sent_, text.size() - sent_, MSG_NOSIGNAL);
-        if (sent < 0) return errno == EAGAIN || errno == EINTR;
+        const ssize_t sent =
+            ::send(socket_.get(), text.data() + sent_, text.size() - sent_, MSG_NOSIGNAL);
+        if (sent < 0) {
+            return errno == EAGAIN || errno == EINTR;
+        }
         sent_ += static_cast<std::size_t>(sent);
         queued_ -= static_cast<std::size_t>(sent);
-        if (sent_ < text.size()) continue;
+        if (sent_ < text.size()) {
+            continue;
+        }
         texts_.pop_front();
         sent_ = 0;
     }
@@ -137,10 +175,16 @@
     static char buffer[kReadBytes];  // one thread, and no call of received() reads again
     for (int i = 0; i < kReadsATurn && socket_.open(); ++i) {
         const ssize_t got = recv(socket_.get(), buffer, sizeof buffer, 0);
-        if (got < 0) return errno == EAGAIN || errno == EINTR;
-        if (got == 0) return false;
+        if (got < 0) {
+            return errno == EAGAIN || errno == EINTR;
+        }
+        if (got == 0) {
+            return false;
+        }
         owner_.received({buffer, static_cast<std::size_t>(got)});
-        if (static_cast<std::size_t>(got) < sizeof buffer) break;
+        if (static_cast<std::size_t>(got) < sizeof buffer) {
+            break;
+        }
     }
     return true;
 }
@@ -148,22 +192,34 @@
 bool Channel::finish_connect() {
     int error = 0;
     socklen_t length = sizeof error;
-    if (getsockopt(socket_.get(), SOL_SOCKET, SO_ERROR, &error, &length) != 0 || error != 0) return false;
+    if (getsockopt(socket_.get(), SOL_SOCKET, SO_ERROR, &error, &length) != 0 || error != 0) {
+        return false;
+    }
     connecting_ = false;
     owner_.connected();
     return true;
 }
 
 void Channel::ready(std::uint32_t events) {
-    if (connecting_ && !finish_connect()) return end();
-    if ((events & (EPOLLIN | EPOLLHUP | EPOLLERR)) != 0 && !read_some()) return end();
-    if (!socket_.open()) return;
-    if ((events & EPOLLOUT) != 0 && !write_some()) return end();
+    if (connecting_ && !finish_connect()) {
+        return end();
+    }
+    if ((events & (EPOLLIN | EPOLLHUP | EPOLLERR)) != 0 && !read_some()) {
+        return end();
+    }
+    if (!socket_.open()) {
+        return;
+    }
+    if ((events & EPOLLOUT) != 0 && !write_some()) {
+        return end();
+    }
     watch();
 }
 
 void drop(Loop& loop, std::unique_ptr<Channel>& channel) {
-    if (channel == nullptr) return;
+    if (channel == nullptr) {
+        return;
+    }
     channel->close();
     loop.retire(std::move(channel));
 }
@@ -175,7 +231,9 @@
       take_(std::move(take)),
       token_(loop_.watch(socket_.get(), EPOLLIN, *this)) {}
 
-Listener::~Listener() { loop_.leave(token_, socket_.get()); }
+Listener::~Listener() {
+    loop_.leave(token_, socket_.get());
+}
 
 void Listener::ready(std::uint32_t) {
     for (Descriptor socket = accept_from(socket_); socket.open(); socket = accept_from(socket_)) {
--- a/bench/scale/wire_channel.hpp
+++ b/bench/scale/wire_channel.hpp
@@ -40,7 +40,8 @@
 Descriptor begin_connect(const LoopbackAddress& address);  // not open if no socket could be had
 Descriptor accept_from(const Descriptor& listener);        // not open if nobody waits
 
-// Told of what happens on a channel. None of these may destroy the channel at once: see Loop::retire().
+// Told of what happens on a channel. None of these may destroy the channel at once: see
+// Loop::retire().
 class ChannelOwner {
  public:
     virtual ~ChannelOwner() = default;
@@ -112,9 +113,12 @@
     void feed(std::string_view bytes, const Line& line) {
         held_.append(bytes);
         std::size_t begin = 0;
-        for (std::size_t end; (end = held_.find('\n', begin)) != std::string::npos; begin = end + 1) {
+        for (std::size_t end; (end = held_.find('\n', begin)) != std::string::npos;
+             begin = end + 1) {
             std::string_view whole = std::string_view(held_).substr(begin, end - begin);
-            if (whole.ends_with('\r')) whole.remove_suffix(1);
+            if (whole.ends_with('\r')) {
+                whole.remove_suffix(1);
+            }
             line(whole);
         }
         held_.erase(0, begin);
--- a/bench/scale/wire_collectors.cpp
+++ b/bench/scale/wire_collectors.cpp
@@ -13,7 +13,8 @@
 
 class CollectorFleet::Collector : public ChannelOwner {
  public:
-    Collector(CollectorFleet& fleet, int planner, int zone) : fleet_(fleet), planner_(planner), zone_(zone) {}
+    Collector(CollectorFleet& fleet, int planner, int zone)
+        : fleet_(fleet), planner_(planner), zone_(zone) {}
 
     int zone() const { return zone_; }
     bool open() const { return channel_ != nullptr && channel_->open(); }
@@ -21,21 +22,30 @@
     void dial() {
         drop(fleet_.loop_, channel_);
         Descriptor socket = begin_connect(fleet_.planners_[static_cast<std::size_t>(planner_)]);
-        if (!socket.open()) return dial_later();
-        channel_ = std::make_unique<Channel>(fleet_.loop_, Role::collector, std::move(socket), true, *this);
+        if (!socket.open()) {
+            return dial_later();
+        }
+        channel_ = std::make_unique<Channel>(fleet_.loop_, Role::collector, std::move(socket), true,
+                                             *this);
     }
 
     // False: the planner has left too much unread.
     bool report(const Channel::Text& text, std::int64_t messages) {
-        if (!open()) return true;
-        if (channel_->queued() > kMostQueued) return false;
+        if (!open()) {
+            return true;
+        }
+        if (channel_->queued() > kMostQueued) {
+            return false;
+        }
         say(text, messages);
         return true;
     }
 
  private:
     void connected() override {
-        say(std::make_shared<const std::string>(fmt::format("agent az={}\r\n", World::zone_name(zone_))), 1);
+        say(std::make_shared<const std::string>(
+                fmt::format("agent az={}\r\n", World::zone_name(zone_))),
+            1);
     }
     void received(std::string_view bytes) override {  // nothing is ever written to a collector
         of(fleet_.traffic_[static_cast<std::size_t>(planner_)], Role::collector).bytes_out +=
@@ -59,7 +69,8 @@
     std::unique_ptr<Channel> channel_;
 };
 
-CollectorFleet::CollectorFleet(Loop& loop, World& world, const std::vector<LoopbackAddress>& planners,
+CollectorFleet::CollectorFleet(Loop& loop, World& world,
+                               const std::vector<LoopbackAddress>& planners,
                                std::vector<TrafficByRole>& traffic)
     : loop_(loop), world_(world), planners_(planners), traffic_(traffic) {
     const int zones = world.sizes().zones;
@@ -78,11 +89,14 @@
 CollectorFleet::~CollectorFleet() = default;
 
 void CollectorFleet::dial_all() {
-    for (const auto& collector : collectors_) collector->dial();
+    for (const auto& collector : collectors_) {
+        collector->dial();
+    }
 }
 
 std::int64_t CollectorFleet::connected() const {
-    return std::count_if(collectors_.begin(), collectors_.end(), [](const auto& one) { return one->open(); });
+    return std::count_if(collectors_.begin(), collectors_.end(),
+                         [](const auto& one) { return one->open(); });
 }
 
 void CollectorFleet::report_every_period(int zone) {
@@ -94,7 +108,9 @@
     const auto text = std::make_shared<const std::string>(world_.outcomes(zone));
     const std::int64_t messages = std::count(text->begin(), text->end(), '\n');
     for (const auto& collector : collectors_) {
-        if (collector->zone() == zone && !collector->report(text, messages)) ++dropped_;
+        if (collector->zone() == zone && !collector->report(text, messages)) {
+            ++dropped_;
+        }
     }
 }
 
--- a/bench/scale/wire_collectors.hpp
+++ b/bench/scale/wire_collectors.hpp
@@ -12,7 +12,8 @@
 
 class CollectorFleet {
  public:
-    // `planners` and `traffic` have an entry for each planner and outlive this object, as does `world`.
+    // `planners` and `traffic` have an entry for each planner and outlive this object, as does
+    // `world`.
     CollectorFleet(Loop& loop, World& world, const std::vector<LoopbackAddress>& planners,
                    std::vector<TrafficByRole>& traffic);
     ~CollectorFleet();
@@ -24,7 +25,8 @@
 
  private:
     class Collector;
-    static constexpr std::size_t kMostQueued = 4 * 1024 * 1024;  // bytes that a planner may leave unread
+    static constexpr std::size_t kMostQueued =
+        4 * 1024 * 1024;  // bytes that a planner may leave unread
 
     void report(int zone);
     void report_every_period(int zone);
--- a/bench/scale/wire_deployment.hpp
+++ b/bench/scale/wire_deployment.hpp
@@ -41,7 +41,8 @@
     static constexpr Milliseconds kPaceEvery{
         250};  // hollow planners write what real ones wrote in the last so long
 
-    // Starts all and waits until each proxy has its first message. Throws PointFailed or std::system_error.
+    // Starts all and waits until each proxy has its first message. Throws PointFailed or
+    // std::system_error.
     Deployment(const WireOptions& options, const WireWorld& sizes);
     ~Deployment();
 
@@ -64,7 +65,9 @@
     const std::vector<TrafficByRole>& traffic() const { return traffic_; }
     std::int64_t told() const { return told_; }  // server ends, once for each real planner
     double start_seconds() const { return start_seconds_; }
-    bool real(std::size_t planner) const { return planner < static_cast<std::size_t>(sizes_.real_planners); }
+    bool real(std::size_t planner) const {
+        return planner < static_cast<std::size_t>(sizes_.real_planners);
+    }
     std::vector<pid_t> real_processes() const;
     std::vector<pid_t> hollow_processes() const;
     HollowStatus hollow_status() const;  // as last told, over all hollow processes
--- a/bench/scale/wire_discovery.cpp
+++ b/bench/scale/wire_discovery.cpp
@@ -15,26 +15,35 @@
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 constexpr std::string_view kNotFound = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
 
-std::string chunk_of(std::string_view line) { return fmt::format("{:x}\r\n{}\n\r\n", line.size() + 1, line); }
+std::string chunk_of(std::string_view line) {
+    return fmt::format("{:x}\r\n{}\n\r\n", line.size() + 1, line);
+}
 
 std::string answer_of(std::string_view body) {
-    return fmt::format("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{}",
-                       body.size(), body);
+    return fmt::format(
+        "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{}",
+        body.size(), body);
 }
 
 // The target of "GET target HTTP/1.1"; empty: it is no such request.
 std::string_view target_of(std::string_view line) {
-    if (!line.starts_with("GET ")) return {};
+    if (!line.starts_with("GET ")) {
+        return {};
+    }
     line.remove_prefix(4);
     return line.substr(0, line.find(' '));
 }
 
 std::optional<std::int64_t> index_of(std::string_view target) {
-    if (!target.starts_with(kWatchTarget)) return std::nullopt;
+    if (!target.starts_with(kWatchTarget)) {
+        return std::nullopt;
+    }
     target.remove_prefix(kWatchTarget.size());
     std::int64_t index = 0;
     const auto [end, error] = std::from_chars(target.data(), target.data() + target.size(), index);
-    if (error != std::errc{} || end != target.data() + target.size()) return std::nullopt;
+    if (error != std::errc{} || end != target.data() + target.size()) {
+        return std::nullopt;
+    }
     return index;
 }
 
@@ -45,8 +54,8 @@
     Connection(DiscoveryAgents& agents, int planner, Descriptor socket)
         : agents_(agents),
           planner_(planner),
-          channel_(
-              std::make_unique<Channel>(agents.loop_, Role::discovery, std::move(socket), false, *this)) {}
+          channel_(std::make_unique<Channel>(agents.loop_, Role::discovery, std::move(socket),
+                                             false, *this)) {}
 
     ~Connection() override { wire::drop(agents_.loop_, channel_); }
 
@@ -54,7 +63,9 @@
     bool silent_for(Milliseconds time) const { return Clock::now() - written_ >= time; }
 
     void publish() {
-        if (version_ >= agents_.world_.version()) return;
+        if (version_ >= agents_.world_.version()) {
+            return;
+        }
         write(agents_.changes_after(version_));
         version_ = agents_.world_.version();
         agents_.note_told(planner_);
@@ -66,7 +77,9 @@
         traffic().bytes_out += static_cast<std::int64_t>(bytes.size());
         lines_.feed(bytes, [this](std::string_view line) {
             if (!line.empty()) {
-                if (target_.empty()) target_ = target_of(line);
+                if (target_.empty()) {
+                    target_ = target_of(line);
+                }
                 return;
             }
             ++traffic().messages_out;
@@ -82,7 +95,9 @@
             return;
         }
         const auto index = index_of(target);
-        if (!index) return write(std::make_shared<const std::string>(kNotFound));
+        if (!index) {
+            return write(std::make_shared<const std::string>(kNotFound));
+        }
         write(std::make_shared<const std::string>(kWatchHead));
         --traffic().messages_in;  // a head is no message
         if (*index < 1 || *index > agents_.world_.version()) {
@@ -101,7 +116,9 @@
         channel_->send(std::move(text));
     }
 
-    Traffic& traffic() { return of(agents_.traffic_[static_cast<std::size_t>(planner_)], Role::discovery); }
+    Traffic& traffic() {
+        return of(agents_.traffic_[static_cast<std::size_t>(planner_)], Role::discovery);
+    }
 
     DiscoveryAgents& agents_;
     const int planner_;
@@ -112,7 +129,8 @@
     TimePoint written_ = Clock::now();
 };
 
-DiscoveryAgents::DiscoveryAgents(Loop& loop, const World& world, std::vector<LoopbackAddress>& addresses,
+DiscoveryAgents::DiscoveryAgents(Loop& loop, const World& world,
+                                 std::vector<LoopbackAddress>& addresses,
                                  std::vector<TrafficByRole>& traffic, Told told)
     : loop_(loop),
       world_(world),
@@ -130,8 +148,8 @@
         const auto take_one = [this, planner](Descriptor socket) {
             take(static_cast<int>(planner), std::move(socket));
         };
-        listeners_.push_back(
-            std::make_unique<Listener>(loop_, Role::discovery, listen_at(addresses_[planner]), take_one));
+        listeners_.push_back(std::make_unique<Listener>(loop_, Role::discovery,
+                                                        listen_at(addresses_[planner]), take_one));
     }
 }
 
@@ -142,13 +160,17 @@
 
 void DiscoveryAgents::publish() {
     for (const auto& [key, connection] : connections_) {
-        if (connection->watching()) connection->publish();
+        if (connection->watching()) {
+            connection->publish();
+        }
     }
 }
 
 std::size_t DiscoveryAgents::watches() const {
     std::size_t number = 0;
-    for (const auto& [key, connection] : connections_) number += connection->watching() ? 1 : 0;
+    for (const auto& [key, connection] : connections_) {
+        number += connection->watching() ? 1 : 0;
+    }
     return number;
 }
 
@@ -164,7 +186,9 @@
 
 void DiscoveryAgents::sign_of_life() {
     for (const auto& [key, connection] : connections_) {
-        if (connection->watching() && connection->silent_for(kSignOfLife)) connection->sign_of_life();
+        if (connection->watching() && connection->silent_for(kSignOfLife)) {
+            connection->sign_of_life();
+        }
     }
 }
 
@@ -179,7 +203,9 @@
 
 void DiscoveryAgents::note_told(int planner) {
     std::int64_t& told = told_versions_[static_cast<std::size_t>(planner)];
-    if (told >= world_.version()) return;
+    if (told >= world_.version()) {
+        return;
+    }
     const std::int64_t before = std::exchange(told, world_.version());
     told_(planner, before, told);
 }
--- a/bench/scale/wire_discovery.hpp
+++ b/bench/scale/wire_discovery.hpp
@@ -1,4 +1,5 @@
-// The stand-in for discovery: an agent for each planner that serves the list and the watch over HTTP/1.1.
+// The stand-in for discovery: an agent for each planner that serves the list and the watch over
+// HTTP/1.1.
 #pragma once
 
 #include <functional>
@@ -15,7 +16,8 @@
 
 class DiscoveryAgents {
  public:
-    // Told when versions past the first and up to the second are written to a planner for the first time.
+    // Told when versions past the first and up to the second are written to a planner for the first
+    // time.
     using Told = std::function<void(int planner, std::int64_t after, std::int64_t upto)>;
 
     // `addresses` and `traffic` have an entry for each planner and outlive this object.
@@ -30,7 +32,8 @@
 
  private:
     class Connection;
-    static constexpr Milliseconds kSignOfLife{2'000};  // an empty line after so long without a change
+    static constexpr Milliseconds kSignOfLife{
+        2'000};  // an empty line after so long without a change
     static constexpr Milliseconds kLookEvery{250};
 
     void take(int planner, Descriptor socket);
--- a/bench/scale/wire_hollow.cpp
+++ b/bench/scale/wire_hollow.cpp
@@ -10,8 +10,8 @@
 #include <optional>
 #include <set>
 
-#include "protocol/http.hpp"
 #include "protocol/endpoint_list.hpp"
+#include "protocol/http.hpp"
 #include "wire_world.hpp"
 
 namespace micaroad::scale::wire {
@@ -27,9 +27,12 @@
 
 SymbolTable names_of_world(const WireWorld& sizes) {
     SymbolTable names;
-    for (int method = 0; method < sizes.methods; ++method)
+    for (int method = 0; method < sizes.methods; ++method) {
         names.methods.push_back(World::method_name(method));
-    for (int zone = 0; zone < sizes.zones; ++zone) names.zones.push_back(World::zone_name(zone));
+    }
+    for (int zone = 0; zone < sizes.zones; ++zone) {
+        names.zones.push_back(World::zone_name(zone));
+    }
     return names;
 }
 
@@ -50,7 +53,9 @@
         http_ = {};
         lists_.emplace(names_, protocol::EndpointListFraming::line, kLongestList);
         Descriptor socket = begin_connect(discovery_);
-        if (!socket.open()) return dial_later();
+        if (!socket.open()) {
+            return dial_later();
+        }
         channel_ = std::make_unique<Channel>(loop_, Role::planner, std::move(socket), true, *this);
     }
     void dial_later() {
@@ -63,19 +68,26 @@
     }
     void received(std::string_view bytes) override {
         http_.feed(bytes, [this](std::string_view body) {
-            lists_->feed(body, [this](const std::optional<protocol::EndpointListMessage>& said) { take(said); });
+            lists_->feed(body, [this](const std::optional<protocol::EndpointListMessage>& said) {
+                take(said);
+            });
         });
     }
     void ended() override { dial_later(); }
 
     void take(const std::optional<protocol::EndpointListMessage>& said) {
-        if (!said) return;  // an empty line: a heartbeat
-        if (said->list.form == event::EndpointListUpdate::Form::complete) listed_.clear();
+        if (!said) {
+            return;  // an empty line: a heartbeat
+        }
+        if (said->list.form == event::EndpointListUpdate::Form::complete) {
+            listed_.clear();
+        }
         for (const ListedEndpoint& server : said->list.servers) {
-            if (server.phase == EndpointPhase::gone)
+            if (server.phase == EndpointPhase::gone) {
                 listed_.erase(server.server.value);
-            else
+            } else {
                 listed_.insert(server.server.value);
+            }
         }
         version_ = said->version;
     }
@@ -127,8 +139,8 @@
  public:
     Peer(Planner& planner, Descriptor socket)
         : planner_(planner),
-          channel_(std::make_unique<Channel>(planner.loop_, Role::planner, std::move(socket), false, *this)) {
-    }
+          channel_(std::make_unique<Channel>(planner.loop_, Role::planner, std::move(socket), false,
+                                             *this)) {}
     ~Peer() override { wire::drop(planner_.loop_, channel_); }
 
     int proxy() const { return proxy_; }
@@ -146,7 +158,9 @@
     // Reports count for nothing here; what names the peer or answers a nonce does.
     void take(std::string_view line) {
         int proxy = -1, nonce = -1;
-        if (line == "probe") return channel_->send(std::string(kAlive));
+        if (line == "probe") {
+            return channel_->send(std::string(kAlive));
+        }
         const std::string text(line.substr(0, 100));
         if (std::sscanf(text.c_str(), "hello sidecar=%d", &proxy) == 1) {
             proxy_ = proxy;
@@ -170,12 +184,16 @@
 
 void Planner::drop(const Peer& peer) {
     const auto stream = streams_.find(peer.proxy());
-    if (stream != streams_.end() && stream->second == &peer) streams_.erase(stream);
+    if (stream != streams_.end() && stream->second == &peer) {
+        streams_.erase(stream);
+    }
     loop_.at(Clock::now(), Role::planner, [this, key = &peer] { peers_.erase(key); });
 }
 
 // A new stream of the same proxy may come before the old one is seen to end.
-void Planner::joined(int proxy, Peer& peer) { streams_[proxy] = &peer; }
+void Planner::joined(int proxy, Peer& peer) {
+    streams_[proxy] = &peer;
+}
 
 // The proxies have their turns one after the other, so that each gets its part over time.
 void Planner::write(const Pace& pace) {
@@ -184,7 +202,9 @@
     credit_.nonces += pace.nonces;
     while (credit_.messages >= 1 && !streams_.empty()) {
         auto turn = streams_.lower_bound(next_proxy_);
-        if (turn == streams_.end()) turn = streams_.begin();
+        if (turn == streams_.end()) {
+            turn = streams_.begin();
+        }
         next_proxy_ = turn->first + 1;
         write_one(*turn->second);
     }
@@ -197,7 +217,9 @@
         message_of(std::min(static_cast<std::size_t>(mean), kLongestMessage), with_nonce);
     credit_.messages -= 1;
     credit_.bytes -= static_cast<double>(message.size());
-    if (peer.unread()) return;  // a real planner would reset it: the run sees that it gets less
+    if (peer.unread()) {
+        return;  // a real planner would reset it: the run sees that it gets less
+    }
     if (with_nonce) {
         credit_.nonces -= 1;
         peer.await(next_nonce_);
@@ -207,30 +229,40 @@
     ++messages_written_;
 }
 
-// Lines on servers of the list, of just that length where the words allow it: the last weight is written out
-// longer.
+// Lines on servers of the list, of just that length where the words allow it: the last weight is
+// written out longer.
 std::string Planner::message_of(std::size_t bytes, bool with_nonce) {
     const std::string tail = (with_nonce ? fmt::format(" nonce_out={}", next_nonce_) : "") + "\r\n";
     std::string message = "push endpoints=";
     const auto& listed = watch_.listed();
-    if (listed.empty()) return "push" + tail;
+    if (listed.empty()) {
+        return "push" + tail;
+    }
     for (bool first = true;; first = false) {
         auto server = listed.lower_bound(next_server_);
-        if (server == listed.end()) server = listed.begin();
+        if (server == listed.end()) {
+            server = listed.begin();
+        }
         const std::string line = (first ? "" : ",") + *server + ":1";
-        if (!first && message.size() + line.size() + tail.size() > bytes) break;
+        if (!first && message.size() + line.size() + tail.size() > bytes) {
+            break;
+        }
         message += line;
         next_server_ = *server + '!';
     }
     const std::size_t length = message.size() + tail.size();
-    if (length + 2 <= bytes) message += '.' + std::string(bytes - length - 1, '0');
+    if (length + 2 <= bytes) {
+        message += '.' + std::string(bytes - length - 1, '0');
+    }
     return message + tail;
 }
 
 void Planner::add_to(HollowStatus& status) const {
     status.streams += static_cast<std::int64_t>(streams_.size());
     status.messages_written += messages_written_;
-    for (const auto& [proxy, peer] : streams_) status.nonces_open += peer->nonces_open();
+    for (const auto& [proxy, peer] : streams_) {
+        status.nonces_open += peer->nonces_open();
+    }
     status.listed = std::min(status.listed, static_cast<std::int64_t>(watch_.listed().size()));
     status.version = std::min(status.version, watch_.version());
 }
@@ -246,8 +278,12 @@
     void received(std::string_view bytes) override {
         lines_.feed(bytes, [this](std::string_view line) {
             const auto pace = read_pace(line);
-            if (!pace) return;
-            for (const auto& planner : planners_) planner->write(*pace);
+            if (!pace) {
+                return;
+            }
+            for (const auto& planner : planners_) {
+                planner->write(*pace);
+            }
             channel_.send(line_of(status()));
         });
     }
@@ -256,7 +292,9 @@
     HollowStatus status() const {
         HollowStatus status;
         status.listed = status.version = std::numeric_limits<std::int64_t>::max();
-        for (const auto& planner : planners_) planner->add_to(status);
+        for (const auto& planner : planners_) {
+            planner->add_to(status);
+        }
         return status;
     }
 
@@ -275,21 +313,23 @@
 std::optional<Pace> read_pace(std::string_view line) {
     Pace pace;
     const std::string text(line);
-    const int read = std::sscanf(text.c_str(), "pace %lf %lf %lf", &pace.messages, &pace.bytes, &pace.nonces);
+    const int read =
+        std::sscanf(text.c_str(), "pace %lf %lf %lf", &pace.messages, &pace.bytes, &pace.nonces);
     return read == 3 ? std::optional{pace} : std::nullopt;
 }
 
 std::string line_of(const HollowStatus& status) {
-    return fmt::format("status {} {} {} {} {}\n", status.streams, status.messages_written, status.nonces_open,
-                       status.listed, status.version);
+    return fmt::format("status {} {} {} {} {}\n", status.streams, status.messages_written,
+                       status.nonces_open, status.listed, status.version);
 }
 
 std::optional<HollowStatus> read_status(std::string_view line) {
     long streams = 0, written = 0, nonces = 0, listed = 0, version = 0;
     const std::string text(line);
-    const int read = std::sscanf(text.c_str(), "status %ld %ld %ld %ld %ld", &streams, &written, &nonces,
-                                 &listed, &version);
-    return read == 5 ? std::optional{HollowStatus{streams, written, nonces, listed, version}} : std::nullopt;
+    const int read = std::sscanf(text.c_str(), "status %ld %ld %ld %ld %ld", &streams, &written,
+                                 &nonces, &listed, &version);
+    return read == 5 ? std::optional{HollowStatus{streams, written, nonces, listed, version}}
+                     : std::nullopt;
 }
 
 int serve_hollow(std::vector<HollowPlanner> given, Descriptor control, const WireWorld& sizes) {
--- a/bench/scale/wire_hollow.hpp
+++ b/bench/scale/wire_hollow.hpp
@@ -1,5 +1,5 @@
-// Hollow planners: many in one process. They keep the state of the wire, write to their proxies at the pace
-// that a real planner was measured at, and decide nothing.
+// Hollow planners: many in one process. They keep the state of the wire, write to their proxies at
+// the pace that a real planner was measured at, and decide nothing.
 #pragma once
 
 #include <optional>
@@ -12,7 +12,8 @@
 
 namespace micaroad::scale::wire {
 
-// What a hollow planner is to write in all to its proxies: what a real one has written in the time just past.
+// What a hollow planner is to write in all to its proxies: what a real one has written in the time
+// just past.
 struct Pace {
     double messages = 0, bytes = 0, nonces = 0;
 };
@@ -37,8 +38,8 @@
     LoopbackAddress discovery;
 };
 
-// Serves until the other end of `control` closes, which gives a line of a pace now and then and is told a
-// status for each. For a process of its own: returns its exit code.
+// Serves until the other end of `control` closes, which gives a line of a pace now and then and is
+// told a status for each. For a process of its own: returns its exit code.
 int serve_hollow(std::vector<HollowPlanner> planners, Descriptor control, const WireWorld& sizes);
 
 }  // namespace micaroad::scale::wire
--- a/bench/scale/wire_loop.cpp
+++ b/bench/scale/wire_loop.cpp
@@ -41,16 +41,21 @@
 }
 
 Loop::Loop() : epoll_(epoll_create1(EPOLL_CLOEXEC)) {
-    if (epoll_ < 0) throw std::system_error(errno, std::generic_category(), "epoll_create1");
+    if (epoll_ < 0) {
+        throw std::system_error(errno, std::generic_category(), "epoll_create1");
+    }
 }
 
-Loop::~Loop() { close(epoll_); }
+Loop::~Loop() {
+    close(epoll_);
+}
 
 Loop::Token Loop::watch(int fd, std::uint32_t events, Handler& handler) {
     const Token token = next_++;
     epoll_event event = event_of(events, token);
-    if (epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event) != 0)
+    if (epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event) != 0) {
         throw std::system_error(errno, std::generic_category(), "epoll_ctl");
+    }
     handlers_[token] = &handler;
     return token;
 }
@@ -61,10 +66,14 @@
 }
 
 void Loop::leave(Token token, int fd) {
-    if (handlers_.erase(token) > 0) epoll_ctl(epoll_, EPOLL_CTL_DEL, fd, nullptr);
+    if (handlers_.erase(token) > 0) {
+        epoll_ctl(epoll_, EPOLL_CTL_DEL, fd, nullptr);
+    }
 }
 
-void Loop::retire(std::unique_ptr<Handler> handler) { retired_.push_back(std::move(handler)); }
+void Loop::retire(std::unique_ptr<Handler> handler) {
+    retired_.push_back(std::move(handler));
+}
 
 void Loop::at(TimePoint when, Role role, std::function<void()> task) {
     timers_.emplace(when, Timer{role, std::move(task)});
@@ -80,9 +89,13 @@
 
 bool Loop::run(const std::function<bool()>& done, TimePoint limit) {
     for (;;) {
-        if (done()) return true;
+        if (done()) {
+            return true;
+        }
         const auto left = std::chrono::ceil<Milliseconds>(limit - Clock::now());
-        if (left <= Milliseconds{0}) return false;
+        if (left <= Milliseconds{0}) {
+            return false;
+        }
         turn(left);
     }
 }
@@ -108,7 +121,9 @@
     const int ready = epoll_wait(epoll_, events, kMostEvents, static_cast<int>(longest.count()));
     for (int i = 0; i < ready; ++i) {
         const auto found = handlers_.find(events[i].data.u64);
-        if (found == handlers_.end()) continue;
+        if (found == handlers_.end()) {
+            continue;
+        }
         Handler& handler = *found->second;
         charge(handler.role(), [&handler, &events, i] { handler.ready(events[i].events); });
     }
--- a/bench/scale/wire_loop.hpp
+++ b/bench/scale/wire_loop.hpp
@@ -1,5 +1,5 @@
-// An event loop over epoll for the stand-ins of a scale run: sockets, timers, and the processor time of each
-// role.
+// An event loop over epoll for the stand-ins of a scale run: sockets, timers, and the processor
+// time of each role.
 #pragma once
 
 #include <array>
@@ -58,7 +58,9 @@
     bool run(const std::function<bool()>& done, TimePoint limit);
     void run_for(Milliseconds time);
 
-    std::chrono::nanoseconds processor_time(Role role) const { return time_[static_cast<std::size_t>(role)]; }
+    std::chrono::nanoseconds processor_time(Role role) const {
+        return time_[static_cast<std::size_t>(role)];
+    }
 
  private:
     struct Timer {
--- a/bench/scale/wire_options.cpp
+++ b/bench/scale/wire_options.cpp
@@ -14,8 +14,11 @@
 
 template <class Number>
 void expect_between(const char* name, Number value, Number least, Number most) {
-    if (value >= least && value <= most) return;
-    throw BadWireOptions(fmt::format("{} is {}: it has to be from {} to {}", name, value, least, most));
+    if (value >= least && value <= most) {
+        return;
+    }
+    throw BadWireOptions(
+        fmt::format("{} is {}: it has to be from {} to {}", name, value, least, most));
 }
 
 void expect_time(const char* name, std::chrono::milliseconds value, int least, int most) {
@@ -40,16 +43,21 @@
 
 const char* name_of(WireEvent event) {
     for (const auto& [name, known] : kEvents) {
-        if (known == event) return name;
+        if (known == event) {
+            return name;
+        }
     }
     return "?";
 }
 
 WireEvent wire_event_of(const std::string& name) {
     for (const auto& [known, event] : kEvents) {
-        if (name == known) return event;
+        if (name == known) {
+            return event;
+        }
     }
-    throw BadWireOptions("no event is named '" + name + "': burst, rack, zone, dial and discovery are");
+    throw BadWireOptions("no event is named '" + name +
+                         "': burst, rack, zone, dial and discovery are");
 }
 
 void vary_all(WireOptions& options) {
@@ -71,20 +79,36 @@
     for (const int planners : options.planners) {
         add("planners").hollow_planners = planners - options.base.real_planners;
     }
-    for (const int proxies : options.proxies) add("proxies").proxies = proxies;
-    for (const int servers : options.servers) add("servers").servers = servers;
-    for (const double changes : options.changes) add("changes").changes_per_second = changes;
-    for (const auto report_every : options.reports) add("reports").report_every = report_every;
+    for (const int proxies : options.proxies) {
+        add("proxies").proxies = proxies;
+    }
+    for (const int servers : options.servers) {
+        add("servers").servers = servers;
+    }
+    for (const double changes : options.changes) {
+        add("changes").changes_per_second = changes;
+    }
+    for (const auto report_every : options.reports) {
+        add("reports").report_every = report_every;
+    }
     return sizes;
 }
 
 void check(const WireOptions& options) {
-    if (access(options.planner_program.c_str(), X_OK) != 0)
-        throw BadWireOptions("--planner '" + options.planner_program + "' is no program that can be run");
-    if (options.seed == 0) throw BadWireOptions("--seed is 0: it has to be at least 1");
+    if (access(options.planner_program.c_str(), X_OK) != 0) {
+        throw BadWireOptions("--planner '" + options.planner_program +
+                             "' is no program that can be run");
+    }
+    if (options.seed == 0) {
+        throw BadWireOptions("--seed is 0: it has to be at least 1");
+    }
     expect_between("sizes", static_cast<int>(sizes_of(options).size()), 1, kMostSizes);
-    for (const WireSize& size : sizes_of(options)) check_world(size.world);
-    if (!options.events.empty()) expect_between("--burst", options.burst, 1, options.base.servers / 4);
+    for (const WireSize& size : sizes_of(options)) {
+        check_world(size.world);
+    }
+    if (!options.events.empty()) {
+        expect_between("--burst", options.burst, 1, options.base.servers / 4);
+    }
     expect_between("--bound", options.hollow_bound, 0.0, 1.0);
     expect_between("--hollow-per-process", options.hollow_per_process, 1, kMostPlanners);
     const int hollow_processes = kMostPlanners / options.hollow_per_process + 1;
--- a/bench/scale/wire_options.hpp
+++ b/bench/scale/wire_options.hpp
@@ -1,4 +1,5 @@
-// What the socket part of the scale run is told: the world, the sizes to vary and the bounds of the run.
+// What the socket part of the scale run is told: the world, the sizes to vary and the bounds of the
+// run.
 #pragma once
 
 #include <chrono>
@@ -9,14 +10,15 @@
 
 namespace micaroad::scale {
 
-// Thrown for a world or a flag that can't be used; the text names it. The program exits with kExitBadUsage
-// then.
+// Thrown for a world or a flag that can't be used; the text names it. The program exits with
+// kExitBadUsage then.
 struct BadWireOptions : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-inline constexpr int kExitBadUsage = 64;    // sysexits.h: EX_USAGE
-inline constexpr int kExitCheckFailed = 1;  // a check of the run failed, or a point could not be played
+inline constexpr int kExitBadUsage = 64;  // sysexits.h: EX_USAGE
+inline constexpr int kExitCheckFailed =
+    1;  // a check of the run failed, or a point could not be played
 inline constexpr int kMostPlanners = 400;
 inline constexpr int kMostProcesses = 200;
 inline constexpr int kMostStreams = 8'000;  // of proxies, over all planners
@@ -55,7 +57,8 @@
     std::vector<std::chrono::milliseconds> reports;
     std::vector<WireEvent> events;  // played on `base`, after its window
     int burst = 100;                // servers that drain at once
-    double hollow_bound = 0.10;     // part by which a hollow planner's traffic may differ from a real one's
+    double hollow_bound =
+        0.10;  // part by which a hollow planner's traffic may differ from a real one's
     int hollow_per_process = 64;
     std::chrono::milliseconds start_limit{60'000};  // until each proxy has its first message
     std::chrono::milliseconds settle{5'000}, window{10'000};
--- a/bench/scale/wire_point.cpp
+++ b/bench/scale/wire_point.cpp
@@ -26,7 +26,9 @@
 
 std::vector<ProcessUsage> usages_of(const std::vector<pid_t>& ids) {
     std::vector<ProcessUsage> usages;
-    for (const pid_t id : ids) usages.push_back(usage_of(id).value_or(ProcessUsage{}));
+    for (const pid_t id : ids) {
+        usages.push_back(usage_of(id).value_or(ProcessUsage{}));
+    }
     return usages;
 }
 
@@ -66,8 +68,8 @@
     int planners = 0;
 };
 
-void add_traffic(PlannerFigures& figures, const Snapshot& before, const Snapshot& after, const Group& group,
-                 Role role) {
+void add_traffic(PlannerFigures& figures, const Snapshot& before, const Snapshot& after,
+                 const Group& group, Role role) {
     const std::size_t end = group.first + static_cast<std::size_t>(group.planners);
     const auto at = static_cast<std::size_t>(role);
     Traffic sum;
@@ -79,7 +81,8 @@
     figures.all += figures.by_role[at];
 }
 
-void add_traffic(PlannerFigures& figures, const Snapshot& before, const Snapshot& after, const Group& group) {
+void add_traffic(PlannerFigures& figures, const Snapshot& before, const Snapshot& after,
+                 const Group& group) {
     for (const Role role : {Role::discovery, Role::collector, Role::proxy}) {
         add_traffic(figures, before, after, group, role);
     }
@@ -90,12 +93,14 @@
     return {std::move(figure), real, hollow, difference, difference <= bound};
 }
 
-void compare_rates(std::vector<Comparison>& comparisons, const std::string& who, const TrafficRates& real,
-                   const TrafficRates& hollow, double bound) {
+void compare_rates(std::vector<Comparison>& comparisons, const std::string& who,
+                   const TrafficRates& real, const TrafficRates& hollow, double bound) {
     comparisons.push_back(compare(who + " bytes in", real.bytes_in, hollow.bytes_in, bound));
     comparisons.push_back(compare(who + " bytes out", real.bytes_out, hollow.bytes_out, bound));
-    comparisons.push_back(compare(who + " messages in", real.messages_in, hollow.messages_in, bound));
-    comparisons.push_back(compare(who + " messages out", real.messages_out, hollow.messages_out, bound));
+    comparisons.push_back(
+        compare(who + " messages in", real.messages_in, hollow.messages_in, bound));
+    comparisons.push_back(
+        compare(who + " messages out", real.messages_out, hollow.messages_out, bound));
 }
 
 class Player {
@@ -110,15 +115,20 @@
     PointResult play(const std::vector<WireEvent>& events) {
         play_window();
         check_counts("after the window");
-        for (const WireEvent event : events) point_.events.push_back(play_event(event));
-        if (!events.empty()) check_counts("after the events");
+        for (const WireEvent event : events) {
+            point_.events.push_back(play_event(event));
+        }
+        if (!events.empty()) {
+            check_counts("after the events");
+        }
         check_events();
         point_.broken_streams = deployment_.proxies().broken();
         point_.unreadable_messages = deployment_.proxies().unreadable();
         point_.dropped_reports = deployment_.collectors().dropped();
         add_check("no stream broken, no message unreadable",
                   point_.broken_streams + point_.unreadable_messages == 0,
-                  fmt::format("{} broken, {} unreadable", point_.broken_streams, point_.unreadable_messages));
+                  fmt::format("{} broken, {} unreadable", point_.broken_streams,
+                              point_.unreadable_messages));
         return point_;
     }
 
@@ -137,13 +147,14 @@
         add_check("each change in force at each proxy", point_.changes.not_in_force == 0,
                   fmt::format("{} told, {} in force, {} not", point_.changes.told,
                               point_.changes.in_force.samples, point_.changes.not_in_force));
-        if (point_.world.changes_per_second > 0)
+        if (point_.world.changes_per_second > 0) {
             add_check("some change was told and came in force", point_.changes.in_force.samples > 0,
                       fmt::format("{} samples", point_.changes.in_force.samples));
+        }
     }
 
-    // A hollow planner writes what real ones wrote in the last pace: for its proxies the window begins and
-    // ends that much later.
+    // A hollow planner writes what real ones wrote in the last pace: for its proxies the window
+    // begins and ends that much later.
     struct Edge {
         Snapshot real, hollow;
     };
@@ -173,7 +184,9 @@
         for (int planner = 0; planner < sizes.real_planners; ++planner) {
             point_.mean_table += deployment_.proxies().mean_table(planner) / sizes.real_planners;
         }
-        if (sizes.hollow_planners > 0) compare_hollow();
+        if (sizes.hollow_planners > 0) {
+            compare_hollow();
+        }
     }
 
     void note_stand_ins(const Snapshot& before, const Snapshot& after) {
@@ -195,17 +208,20 @@
         const auto proxy = static_cast<std::size_t>(Role::proxy);
         const double bound = options_.hollow_bound;
         compare_rates(point_.comparisons, "all", point_.real.all, point_.hollow.all, bound);
-        compare_rates(point_.comparisons, "proxies", point_.real.by_role[proxy], point_.hollow.by_role[proxy],
-                      bound);
+        compare_rates(point_.comparisons, "proxies", point_.real.by_role[proxy],
+                      point_.hollow.by_role[proxy], bound);
         double most = 0;
-        for (const Comparison& comparison : point_.comparisons) most = std::max(most, comparison.difference);
+        for (const Comparison& comparison : point_.comparisons) {
+            most = std::max(most, comparison.difference);
+        }
         add_check("a hollow planner's traffic is a real one's", most <= bound,
                   fmt::format("largest difference {:.3f}, bound {:.3f}", most, bound));
     }
 
     // Since `told` was counted.
     ChangeFigures await_in_force(std::int64_t told) {
-        deployment_.run([this] { return deployment_.in_force().pending() == 0; }, options_.event_limit);
+        deployment_.run([this] { return deployment_.in_force().pending() == 0; },
+                        options_.event_limit);
         ChangeFigures figures;
         figures.told = deployment_.told() - told;
         figures.not_in_force = deployment_.in_force().pending();
@@ -223,7 +239,9 @@
         const Snapshot before = snapshot_of(deployment_);
         const std::vector<std::size_t> lost = begin(event);
         figures.servers = static_cast<std::int64_t>(lost.size());
-        if (event == WireEvent::dial) await_first_messages(figures);
+        if (event == WireEvent::dial) {
+            await_first_messages(figures);
+        }
         figures.changes = await_in_force(told);
         const Snapshot after = snapshot_of(deployment_);
         figures.seconds = seconds_between(before, after);
@@ -234,7 +252,9 @@
         figures.planner_traffic = real.all;
         figures.passed = figures.changes.not_in_force == 0 && figures.first_messages_missing == 0;
         const bool back = event == WireEvent::rack || event == WireEvent::zone;
-        if (back) bring_back(lost);
+        if (back) {
+            bring_back(lost);
+        }
         return figures;
     }
 
@@ -268,14 +288,17 @@
         deployment_.run_for(kDiscoveryDown);
         deployment_.discovery().open();
         const auto all_watch = [this] {
-            return deployment_.discovery().watches() == static_cast<std::size_t>(point_.world.planners());
+            return deployment_.discovery().watches() ==
+                   static_cast<std::size_t>(point_.world.planners());
         };
         deployment_.run(all_watch, options_.event_limit);
         return lost;
     }
 
     void await_first_messages(EventFigures& figures) {
-        const auto all_ordered = [this] { return deployment_.proxies().ordered(0) == point_.world.proxies; };
+        const auto all_ordered = [this] {
+            return deployment_.proxies().ordered(0) == point_.world.proxies;
+        };
         deployment_.run(all_ordered, options_.event_limit);
         figures.first_message = delays_of(deployment_.proxies().first_message_times(0));
         figures.first_messages_missing = point_.world.proxies - figures.first_message->samples;
@@ -294,8 +317,11 @@
             joined += deployment_.proxies().joined(planner);
         }
         const int proxies = sizes.planners() * sizes.proxies;
-        add_check("each proxy joined, " + when, joined == proxies, fmt::format("{} of {}", joined, proxies));
-        if (sizes.hollow_planners > 0) check_hollow(when);
+        add_check("each proxy joined, " + when, joined == proxies,
+                  fmt::format("{} of {}", joined, proxies));
+        if (sizes.hollow_planners > 0) {
+            check_hollow(when);
+        }
     }
 
     // What was written to hollow planners, and by them, may be on its way: it is waited for.
@@ -304,14 +330,16 @@
         const HollowStatus status = deployment_.hollow_status();
         add_check(
             "hollow planners agree with the stand-ins, " + when, hollow_agrees(),
-            fmt::format("{} streams, {} messages written and {} read, {} servers of {}, version {} of {}",
-                        status.streams, status.messages_written, messages_of_hollow(), status.listed,
-                        listed(), status.version, deployment_.world().version()));
+            fmt::format(
+                "{} streams, {} messages written and {} read, {} servers of {}, version {} of {}",
+                status.streams, status.messages_written, messages_of_hollow(), status.listed,
+                listed(), status.version, deployment_.world().version()));
     }
 
     bool hollow_agrees() {
         const HollowStatus status = deployment_.hollow_status();
-        return status.streams == std::int64_t{point_.world.hollow_planners} * point_.world.proxies &&
+        return status.streams ==
+                   std::int64_t{point_.world.hollow_planners} * point_.world.proxies &&
                status.messages_written == messages_of_hollow() && status.nonces_open == 0 &&
                status.listed == listed() && status.version == deployment_.world().version();
     }
@@ -320,23 +348,26 @@
         std::int64_t messages = 0;
         for (std::size_t planner = 0; planner < deployment_.traffic().size(); ++planner) {
             TrafficByRole traffic = deployment_.traffic()[planner];
-            if (!deployment_.real(planner)) messages += of(traffic, Role::proxy).messages_out;
+            if (!deployment_.real(planner)) {
+                messages += of(traffic, Role::proxy).messages_out;
+            }
         }
         return messages;
     }
 
     std::int64_t listed() {
         const auto& servers = deployment_.world().servers();
-        return std::count_if(servers.begin(), servers.end(),
-                             [](const Server& server) { return server.state != ServerState::removed; });
+        return std::count_if(servers.begin(), servers.end(), [](const Server& server) {
+            return server.state != ServerState::removed;
+        });
     }
 
     void check_events() {
         for (const EventFigures& event : point_.events) {
             add_check(fmt::format("event {}", name_of(event.event)), event.passed,
-                      fmt::format("{} servers, {} in force, {} not, {} first messages missing", event.servers,
-                                  event.changes.in_force.samples, event.changes.not_in_force,
-                                  event.first_messages_missing));
+                      fmt::format("{} servers, {} in force, {} not, {} first messages missing",
+                                  event.servers, event.changes.in_force.samples,
+                                  event.changes.not_in_force, event.first_messages_missing));
         }
     }
 
@@ -351,8 +382,8 @@
 
 }  // namespace
 
-PointResult play_point(const WireOptions& options, const std::string& varied, const WireWorld& sizes,
-                       const std::vector<WireEvent>& events) {
+PointResult play_point(const WireOptions& options, const std::string& varied,
+                       const WireWorld& sizes, const std::vector<WireEvent>& events) {
     return Player(options, varied, sizes).play(events);
 }
 
--- a/bench/scale/wire_process.cpp
+++ b/bench/scale/wire_process.cpp
@@ -26,11 +26,17 @@
 pid_t fork_or_throw() {
     const pid_t parent = getpid();
     const pid_t id = fork();
-    if (id < 0) throw std::system_error(errno, std::generic_category(), "fork");
-    if (id > 0) return id;
+    if (id < 0) {
+        throw std::system_error(errno, std::generic_category(), "fork");
+    }
+    if (id > 0) {
+        return id;
+    }
     // Whatever becomes of the run, it leaves no process behind.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (getppid() != parent) _exit(kCantRun);
+    if (getppid() != parent) {
+        _exit(kCantRun);
+    }
     return 0;
 }
 
@@ -40,7 +46,9 @@
         open.push_back(std::atoi(entry.path().filename().c_str()));
     }
     for (const int fd : open) {
-        if (fd > STDERR_FILENO && std::find(kept.begin(), kept.end(), fd) == kept.end()) close(fd);
+        if (fd > STDERR_FILENO && std::find(kept.begin(), kept.end(), fd) == kept.end()) {
+            close(fd);
+        }
     }
 }
 
@@ -48,52 +56,76 @@
 std::int64_t kibibytes_in(const std::string& path, const std::string& name) {
     std::ifstream file(path);
     for (std::string line; std::getline(file, line);) {
-        if (line.starts_with(name + ":")) return std::atoll(line.c_str() + name.size() + 1);
+        if (line.starts_with(name + ":")) {
+            return std::atoll(line.c_str() + name.size() + 1);
+        }
     }
     return 0;
 }
 
 }  // namespace
 
-ChildProcess ChildProcess::run_planner(const std::string& program, const std::filesystem::path& start_file,
+ChildProcess ChildProcess::run_planner(const std::string& program,
+                                       const std::filesystem::path& start_file,
                                        const std::filesystem::path& log) {
     const pid_t id = fork_or_throw();
-    if (id > 0) return ChildProcess(id);
+    if (id > 0) {
+        return ChildProcess(id);
+    }
     const int to = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
-    if (to < 0 || dup2(to, STDERR_FILENO) < 0) _exit(kCantRun);
+    if (to < 0 || dup2(to, STDERR_FILENO) < 0) {
+        _exit(kCantRun);
+    }
     close_all_but({});
     setenv("LB_CONFIG", start_file.c_str(), 1);
-    for (const char* variable : {"LB_NAME", "LB_LISTEN", "LB_DISCOVERY"}) unsetenv(variable);
+    for (const char* variable : {"LB_NAME", "LB_LISTEN", "LB_DISCOVERY"}) {
+        unsetenv(variable);
+    }
     execl(program.c_str(), program.c_str(), nullptr);
     _exit(kCantRun);
 }
 
-ChildProcess ChildProcess::fork_with(const std::vector<int>& kept, const std::function<int()>& work) {
+ChildProcess ChildProcess::fork_with(const std::vector<int>& kept,
+                                     const std::function<int()>& work) {
     const pid_t id = fork_or_throw();
-    if (id > 0) return ChildProcess(id);
+    if (id > 0) {
+        return ChildProcess(id);
+    }
     close_all_but(kept);
     int code = kCantRun;
     try {
         code = work();
-    } catch (const std::exception& failed) { fmt::print(stderr, "hollow planners: {}\n", failed.what()); }
+    } catch (const std::exception& failed) {
+        fmt::print(stderr, "hollow planners: {}\n", failed.what());
+    }
     _exit(code);
 }
 
 ChildProcess::ChildProcess(ChildProcess&& other) noexcept : id_(std::exchange(other.id_, 0)) {}
 
 bool ChildProcess::running() {
-    if (id_ == 0) return false;
-    if (waitpid(id_, nullptr, WNOHANG) == 0) return true;
+    if (id_ == 0) {
+        return false;
+    }
+    if (waitpid(id_, nullptr, WNOHANG) == 0) {
+        return true;
+    }
     id_ = 0;
     return false;
 }
 
 ChildProcess::~ChildProcess() {
-    if (!running()) return;
+    if (!running()) {
+        return;
+    }
     kill(id_, SIGTERM);
     const auto limit = std::chrono::steady_clock::now() + kEndLimit;
-    while (running() && std::chrono::steady_clock::now() < limit) std::this_thread::sleep_for(kLookEvery);
-    if (id_ == 0) return;
+    while (running() && std::chrono::steady_clock::now() < limit) {
+        std::this_thread::sleep_for(kLookEvery);
+    }
+    if (id_ == 0) {
+        return;
+    }
     kill(id_, SIGKILL);
     waitpid(id_, nullptr, 0);
 }
@@ -102,10 +134,14 @@
 std::optional<ProcessUsage> usage_of(pid_t id) {
     clockid_t clock{};
     timespec spent{};
-    if (clock_getcpuclockid(id, &clock) != 0 || clock_gettime(clock, &spent) != 0) return std::nullopt;
+    if (clock_getcpuclockid(id, &clock) != 0 || clock_gettime(clock, &spent) != 0) {
+        return std::nullopt;
+    }
     ProcessUsage usage;
-    usage.processor_seconds = static_cast<double>(spent.tv_sec) + static_cast<double>(spent.tv_nsec) / 1e9;
-    usage.proportional_bytes = kibibytes_in(fmt::format("/proc/{}/smaps_rollup", id), "Pss") * kKibibyte;
+    usage.processor_seconds =
+        static_cast<double>(spent.tv_sec) + static_cast<double>(spent.tv_nsec) / 1e9;
+    usage.proportional_bytes =
+        kibibytes_in(fmt::format("/proc/{}/smaps_rollup", id), "Pss") * kKibibyte;
     return usage;
 }
 
@@ -117,12 +153,16 @@
 std::string processor_name() {
     std::ifstream file("/proc/cpuinfo");
     for (std::string line; std::getline(file, line);) {
-        if (line.starts_with("model name")) return line.substr(std::min(line.find(':') + 2, line.size()));
+        if (line.starts_with("model name")) {
+            return line.substr(std::min(line.find(':') + 2, line.size()));
+        }
     }
     return "unknown";
 }
 
-int processors() { return static_cast<int>(std::thread::hardware_concurrency()); }
+int processors() {
+    return static_cast<int>(std::thread::hardware_concurrency());
+}
 
 std::int64_t raise_file_limit() {
     rlimit limit{};
--- a/bench/scale/wire_process.hpp
+++ b/bench/scale/wire_process.hpp
@@ -18,9 +18,11 @@
  public:
     // Runs `program` with LB_CONFIG naming `start_file` and its standard error in `log`. Throws
     // std::system_error.
-    static ChildProcess run_planner(const std::string& program, const std::filesystem::path& start_file,
+    static ChildProcess run_planner(const std::string& program,
+                                    const std::filesystem::path& start_file,
                                     const std::filesystem::path& log);
-    // Runs `work` in a copy of this process, which keeps of its files only the standard ones and `kept`.
+    // Runs `work` in a copy of this process, which keeps of its files only the standard ones and
+    // `kept`.
     static ChildProcess fork_with(const std::vector<int>& kept, const std::function<int()>& work);
 
     ChildProcess(ChildProcess&& other) noexcept;
--- a/bench/scale/wire_proxies.cpp
+++ b/bench/scale/wire_proxies.cpp
@@ -15,14 +15,20 @@
 
 // The part of a line that is read for a proxy whose table nobody follows.
 std::optional<PushPart> read_frame(std::string_view line) {
-    if (!line.starts_with("push")) return std::nullopt;
+    if (!line.starts_with("push")) {
+        return std::nullopt;
+    }
     PushPart part;
     part.continued = line.find(kContinuedWord) != std::string_view::npos;
     const std::size_t nonce = line.find(kNonceWord);
-    if (nonce == std::string_view::npos) return part;
+    if (nonce == std::string_view::npos) {
+        return part;
+    }
     const char* const begin = line.data() + nonce + kNonceWord.size();
     int value = 0;
-    if (std::from_chars(begin, line.data() + line.size(), value).ec != std::errc{}) return std::nullopt;
+    if (std::from_chars(begin, line.data() + line.size(), value).ec != std::errc{}) {
+        return std::nullopt;
+    }
     part.nonce = value;
     return part;
 }
@@ -47,13 +53,19 @@
         parts_.clear();
         lines_.clear();
         dialled_ = Clock::now();
-        Descriptor socket = begin_connect(fleet_.planners_[static_cast<std::size_t>(identity_.planner)]);
-        if (!socket.open()) return dial_later();
-        channel_ = std::make_unique<Channel>(fleet_.loop_, Role::proxy, std::move(socket), true, *this);
+        Descriptor socket =
+            begin_connect(fleet_.planners_[static_cast<std::size_t>(identity_.planner)]);
+        if (!socket.open()) {
+            return dial_later();
+        }
+        channel_ =
+            std::make_unique<Channel>(fleet_.loop_, Role::proxy, std::move(socket), true, *this);
     }
 
     void report() {
-        if (!joined()) return;
+        if (!joined()) {
+            return;
+        }
         say(fleet_.world_.demand(identity_), fleet_.world_.sizes().methods);
     }
 
@@ -77,7 +89,9 @@
     }
 
     void take(std::string_view line) {
-        if (!joined()) return;  // the stream was reset by a line before
+        if (!joined()) {
+            return;  // the stream was reset by a line before
+        }
         auto part = followed_ ? read_push(line, fleet_.world_) : read_frame(line);
         if (!part) {
             ++fleet_.unreadable_;
@@ -86,36 +100,53 @@
         }
         const bool whole = !part->continued;
         parts_.push_back(std::move(*part));
-        if (whole) apply();
+        if (whole) {
+            apply();
+        }
     }
 
     void apply() {
         const TimePoint now = Clock::now();
-        if (first_message_ <= dialled_) first_message_ = now;
+        if (first_message_ <= dialled_) {
+            first_message_ = now;
+        }
         ever_ordered_ = true;
         ++traffic().messages_out;
         for (const PushPart& part : parts_) {
-            if (followed_) table_.apply(part);
-            if (part.nonce) answer(*part.nonce);
+            if (followed_) {
+                table_.apply(part);
+            }
+            if (part.nonce) {
+                answer(*part.nonce);
+            }
         }
         parts_.clear();
-        if (followed_) note_in_force(now);
+        if (followed_) {
+            note_in_force(now);
+        }
     }
 
     void answer(int nonce) {
         ++traffic().nonces_out;
-        say(fmt::format("ack sidecar={} version={} lag_ms={:.1f}\r\n", identity_.number, nonce, kAnswerLagMs),
+        say(fmt::format("ack sidecar={} version={} lag_ms={:.1f}\r\n", identity_.number, nonce,
+                        kAnswerLagMs),
             1);
     }
 
     void note_in_force(TimePoint now) {
         const auto* awaited = fleet_.in_force_.awaited(identity_.number);
-        if (awaited == nullptr) return;
+        if (awaited == nullptr) {
+            return;
+        }
         std::vector<std::size_t> closed;
         for (const auto& [server, told] : *awaited) {
-            if (!table_.in_use(server)) closed.push_back(server);
+            if (!table_.in_use(server)) {
+                closed.push_back(server);
+            }
+        }
+        for (const std::size_t server : closed) {
+            fleet_.in_force_.closed(identity_.number, server, now);
         }
-        for (const std::size_t server : closed) fleet_.in_force_.closed(identity_.number, server, now);
     }
 
     void say(std::string text, int messages) {
@@ -126,7 +157,9 @@
 
     void dial_later() {
         fleet_.loop_.at(Clock::now() + wait_, Role::proxy, [this] {
-            if (!joined()) dial();
+            if (!joined()) {
+                dial();
+            }
         });
         wait_ = std::min(2 * wait_, kLongestRedial);
     }
@@ -151,7 +184,8 @@
                        int real_planners, std::vector<TrafficByRole>& traffic, InForce& in_force)
     : loop_(loop), world_(world), planners_(planners), traffic_(traffic), in_force_(in_force) {
     for (const ProxyIdentity& identity : world.proxies()) {
-        proxies_.push_back(std::make_unique<Proxy>(*this, identity, identity.planner < real_planners));
+        proxies_.push_back(
+            std::make_unique<Proxy>(*this, identity, identity.planner < real_planners));
     }
     loop_.every(world.sizes().report_every / kSlots, Role::proxy, [this] {
         report(next_slot_);
@@ -165,11 +199,15 @@
 void ProxyFleet::each_of(int planner, const Task& task) const {
     const auto each = static_cast<std::size_t>(world_.sizes().proxies);
     const std::size_t first = each * static_cast<std::size_t>(planner);
-    for (std::size_t i = first; i < first + each; ++i) task(*proxies_[i]);
+    for (std::size_t i = first; i < first + each; ++i) {
+        task(*proxies_[i]);
+    }
 }
 
 void ProxyFleet::dial_all() {
-    for (const auto& proxy : proxies_) proxy->dial();
+    for (const auto& proxy : proxies_) {
+        proxy->dial();
+    }
 }
 
 void ProxyFleet::redial(int planner) {
@@ -177,8 +215,9 @@
 }
 
 void ProxyFleet::report(int slot) {
-    for (std::size_t i = static_cast<std::size_t>(slot); i < proxies_.size(); i += kSlots)
+    for (std::size_t i = static_cast<std::size_t>(slot); i < proxies_.size(); i += kSlots) {
         proxies_[i]->report();
+    }
 }
 
 void ProxyFleet::told(int planner, const std::vector<std::size_t>& ended, TimePoint now) {
@@ -192,7 +231,9 @@
 std::vector<double> ProxyFleet::first_message_times(int planner) const {
     std::vector<double> times;
     each_of(planner, [&times](const Proxy& proxy) {
-        if (proxy.ordered()) times.push_back(proxy.first_message_ms());
+        if (proxy.ordered()) {
+            times.push_back(proxy.first_message_ms());
+        }
     });
     std::sort(times.begin(), times.end());
     return times;
--- a/bench/scale/wire_proxy_table.cpp
+++ b/bench/scale/wire_proxy_table.cpp
@@ -17,7 +17,9 @@
 std::optional<Number> number_of(std::string_view text) {
     Number number{};
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
-    if (error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
+    if (error != std::errc{} || end != text.data() + text.size()) {
+        return std::nullopt;
+    }
     return number;
 }
 
@@ -30,18 +32,23 @@
     methods = 0;
     while (!routes.empty()) {
         const int method = world.method_of(cut(routes, '+'));
-        if (method < 0) return false;
+        if (method < 0) {
+            return false;
+        }
         methods |= std::uint64_t{1} << method;
     }
     return methods != 0;
 }
 
-bool read_endpoints(std::string_view list, const World& world, std::vector<PushPart::Endpoint>& endpoints) {
+bool read_endpoints(std::string_view list, const World& world,
+                    std::vector<PushPart::Endpoint>& endpoints) {
     while (!list.empty()) {
         std::string_view endpoint = cut(list, ',');
         const std::ptrdiff_t server = world.find(cut(endpoint, ':'));
         const auto weight = number_of<double>(endpoint);
-        if (server < 0 || !weight || !(*weight >= 0)) return false;
+        if (server < 0 || !weight || !(*weight >= 0)) {
+            return false;
+        }
         endpoints.push_back({static_cast<std::size_t>(server), *weight > 0});
     }
     return true;
@@ -50,7 +57,9 @@
 bool read_servers(std::string_view list, const World& world, std::vector<std::size_t>& servers) {
     while (!list.empty()) {
         const std::ptrdiff_t server = world.find(cut(list, ','));
-        if (server < 0) return false;
+        if (server < 0) {
+            return false;
+        }
         servers.push_back(static_cast<std::size_t>(server));
     }
     return true;
@@ -62,44 +71,69 @@
 }
 
 bool read_word(std::string_view name, std::string_view value, const World& world, PushPart& part) {
-    if (name == "routes") return read_routes(value, world, part.methods);
-    if (name == "endpoints") return read_endpoints(value, world, part.endpoints);
-    if (name == "eject") return read_servers(value, world, part.ejected);
-    if (name == "restore") return read_servers(value, world, part.restored);
-    if (name == "full") return part.full = value == "1", value == "0" || value == "1";
-    if (name == "continued") return part.continued = value == "1", value == "0" || value == "1";
-    if (name == "nonce_out") return (part.nonce = number_of<int>(value)).has_value();
-    if (name == "admit" || name == "policy") return not_negative(value);
+    if (name == "routes") {
+        return read_routes(value, world, part.methods);
+    }
+    if (name == "endpoints") {
+        return read_endpoints(value, world, part.endpoints);
+    }
+    if (name == "eject") {
+        return read_servers(value, world, part.ejected);
+    }
+    if (name == "restore") {
+        return read_servers(value, world, part.restored);
+    }
+    if (name == "full") {
+        return part.full = value == "1", value == "0" || value == "1";
+    }
+    if (name == "continued") {
+        return part.continued = value == "1", value == "0" || value == "1";
+    }
+    if (name == "nonce_out") {
+        return (part.nonce = number_of<int>(value)).has_value();
+    }
+    if (name == "admit" || name == "policy") {
+        return not_negative(value);
+    }
     return false;
 }
 
 }  // namespace
 
 std::optional<PushPart> read_push(std::string_view line, const World& world) {
-    if (cut(line, ' ') != "push") return std::nullopt;
+    if (cut(line, ' ') != "push") {
+        return std::nullopt;
+    }
     PushPart part;
     part.methods = all_methods(world);
     while (!line.empty()) {
         std::string_view value = cut(line, ' ');
         const std::string_view name = cut(value, '=');
-        if (!read_word(name, value, world, part)) return std::nullopt;
+        if (!read_word(name, value, world, part)) {
+            return std::nullopt;
+        }
     }
     return part;
 }
 
 void ProxyTable::reach(std::size_t server) {
-    if (server < methods_.size()) return;
+    if (server < methods_.size()) {
+        return;
+    }
     methods_.resize(server + 1);
     ejected_.resize(server + 1);
 }
 
 void ProxyTable::apply(const PushPart& part) {
     if (part.full) {
-        for (std::uint64_t& methods : methods_) methods &= ~part.methods;
+        for (std::uint64_t& methods : methods_) {
+            methods &= ~part.methods;
+        }
     }
     for (const auto& [server, in_use] : part.endpoints) {
         reach(server);
-        methods_[server] = in_use ? methods_[server] | part.methods : methods_[server] & ~part.methods;
+        methods_[server] =
+            in_use ? methods_[server] | part.methods : methods_[server] & ~part.methods;
     }
     for (const std::size_t server : part.ejected) {
         reach(server);
@@ -117,7 +151,9 @@
 
 std::size_t ProxyTable::servers_in_use() const {
     std::size_t number = 0;
-    for (std::size_t server = 0; server < methods_.size(); ++server) number += in_use(server) ? 1 : 0;
+    for (std::size_t server = 0; server < methods_.size(); ++server) {
+        number += in_use(server) ? 1 : 0;
+    }
     return number;
 }
 
--- a/bench/scale/wire_proxy_table.hpp
+++ b/bench/scale/wire_proxy_table.hpp
@@ -36,7 +36,8 @@
  private:
     void reach(std::size_t server);
 
-    std::vector<std::uint64_t> methods_;  // by server: a bit for each method that has a line with it
+    std::vector<std::uint64_t>
+        methods_;  // by server: a bit for each method that has a line with it
     std::vector<bool> ejected_;
 };
 
--- a/bench/scale/wire_result.cpp
+++ b/bench/scale/wire_result.cpp
@@ -76,15 +76,17 @@
 template <class Items>
 json list_of(const Items& items) {
     json list = json::array();
-    for (const auto& item : items) list.push_back(to_json(item));
+    for (const auto& item : items) {
+        list.push_back(to_json(item));
+    }
     return list;
 }
 
 }  // namespace
 
 Delays delays_of(const std::vector<double>& sorted) {
-    return {static_cast<std::int64_t>(sorted.size()), percentile(sorted, 50), percentile(sorted, 99),
-            percentile(sorted, 100)};
+    return {static_cast<std::int64_t>(sorted.size()), percentile(sorted, 50),
+            percentile(sorted, 99), percentile(sorted, 100)};
 }
 
 TrafficRates& TrafficRates::operator+=(const TrafficRates& other) {
@@ -97,13 +99,15 @@
 
 TrafficRates rates_of(const Traffic& traffic, double seconds, int planners) {
     const double divisor = seconds * std::max(planners, 1);
-    return {static_cast<double>(traffic.bytes_in) / divisor, static_cast<double>(traffic.bytes_out) / divisor,
+    return {static_cast<double>(traffic.bytes_in) / divisor,
+            static_cast<double>(traffic.bytes_out) / divisor,
             static_cast<double>(traffic.messages_in) / divisor,
             static_cast<double>(traffic.messages_out) / divisor};
 }
 
 bool PointResult::passed() const {
-    return std::all_of(checks.begin(), checks.end(), [](const Check& check) { return check.passed; });
+    return std::all_of(checks.begin(), checks.end(),
+                       [](const Check& check) { return check.passed; });
 }
 
 json to_json(const WireWorld& world) {
@@ -121,7 +125,8 @@
 json to_json(const PointResult& point) {
     json stand_ins = json::object();
     for (const StandInFigures& figures : point.stand_ins) {
-        stand_ins[name_of(figures.role)] = {{"number", figures.number}, {"processor_share", figures.share}};
+        stand_ins[name_of(figures.role)] = {{"number", figures.number},
+                                            {"processor_share", figures.share}};
     }
     return {{"varied", point.varied},
             {"world", to_json(point.world)},
--- a/bench/scale/wire_result.hpp
+++ b/bench/scale/wire_result.hpp
@@ -25,7 +25,8 @@
 };
 TrafficRates rates_of(const Traffic& traffic, double seconds, int planners);
 
-// A group of planners: the real ones or the hollow ones. Shares are of one core, bytes proportional.
+// A group of planners: the real ones or the hollow ones. Shares are of one core, bytes
+// proportional.
 struct PlannerFigures {
     int planners = 0;
     int processes = 0;
@@ -61,8 +62,8 @@
     bool passed = true;
 };
 
-// A hollow planner's rate beside a real one's. Within the bound if it differs by no more than that part of
-// the real one's.
+// A hollow planner's rate beside a real one's. Within the bound if it differs by no more than that
+// part of the real one's.
 struct Comparison {
     std::string figure;
     double real = 0, hollow = 0;
@@ -82,7 +83,8 @@
     double start_seconds = 0, window_seconds = 0;
     PlannerFigures real, hollow;
     std::vector<StandInFigures> stand_ins;
-    double stand_ins_share = 0;  // of one core, of their process; times are in doubt where it is near 1
+    double stand_ins_share =
+        0;  // of one core, of their process; times are in doubt where it is near 1
     std::int64_t stand_ins_bytes = 0;
     double mean_table = 0;  // servers that a proxy of a real planner uses
     ChangeFigures changes;
--- a/bench/scale/wire_run.cpp
+++ b/bench/scale/wire_run.cpp
@@ -42,39 +42,48 @@
     const double needed = estimated_bytes(world);
     const double room =
         std::min<double>(memory.total_bytes / 2.0, static_cast<double>(memory.available_bytes));
-    if (needed > room)
-        return fmt::format("it is taken to need {:.0f} MiB, and {:.0f} MiB may be used", needed / kMebibyte,
-                           room / kMebibyte);
+    if (needed > room) {
+        return fmt::format("it is taken to need {:.0f} MiB, and {:.0f} MiB may be used",
+                           needed / kMebibyte, room / kMebibyte);
+    }
     const std::int64_t sockets =
         std::int64_t{world.planners()} * (world.proxies + world.zones + 3) + kFilesKept;
-    if (sockets > files) return fmt::format("it needs {} open files, {} are allowed", sockets, files);
+    if (sockets > files) {
+        return fmt::format("it needs {} open files, {} are allowed", sockets, files);
+    }
     return {};
 }
 
 std::string text_of(const WireWorld& world) {
-    return fmt::format("{} real and {} hollow planners, {} proxies each, {} servers, {} changes a second",
-                       world.real_planners, world.hollow_planners, world.proxies, world.servers,
-                       world.changes_per_second);
+    return fmt::format(
+        "{} real and {} hollow planners, {} proxies each, {} servers, {} changes a second",
+        world.real_planners, world.hollow_planners, world.proxies, world.servers,
+        world.changes_per_second);
 }
 
 void say_point(const PointResult& point) {
     fmt::print(stderr,
-               "  real planner: {:.1f}% of a core, {:.1f} MiB, {:.0f} B/s in, {:.0f} B/s out; in force after "
+               "  real planner: {:.1f}% of a core, {:.1f} MiB, {:.0f} B/s in, {:.0f} B/s out; in "
+               "force after "
                "{:.0f}, {:.0f}, {:.0f} ms (50, 99, 100 of 100); stand-ins {:.0f}% of a core\n",
-               100 * point.real.share_mean, point.real.bytes_mean / kMebibyte, point.real.all.bytes_in,
-               point.real.all.bytes_out, point.changes.in_force.p50, point.changes.in_force.p99,
-               point.changes.in_force.p100, 100 * point.stand_ins_share);
+               100 * point.real.share_mean, point.real.bytes_mean / kMebibyte,
+               point.real.all.bytes_in, point.real.all.bytes_out, point.changes.in_force.p50,
+               point.changes.in_force.p99, point.changes.in_force.p100,
+               100 * point.stand_ins_share);
     for (const EventFigures& event : point.events) {
         const Delays& delays = event.first_message ? *event.first_message : event.changes.in_force;
-        fmt::print(stderr, "  {}: {} servers, {} samples, {:.0f}, {:.0f}, {:.0f} ms\n", name_of(event.event),
-                   event.servers, delays.samples, delays.p50, delays.p99, delays.p100);
+        fmt::print(stderr, "  {}: {} servers, {} samples, {:.0f}, {:.0f}, {:.0f} ms\n",
+                   name_of(event.event), event.servers, delays.samples, delays.p50, delays.p99,
+                   delays.p100);
     }
     for (const Comparison& comparison : point.comparisons) {
         fmt::print(stderr, "  {}: real {:.1f}, hollow {:.1f} a second{}\n", comparison.figure,
-                   comparison.real, comparison.hollow, comparison.within ? "" : " BEYOND THE BOUND");
+                   comparison.real, comparison.hollow,
+                   comparison.within ? "" : " BEYOND THE BOUND");
     }
     for (const Check& check : point.checks) {
-        fmt::print(stderr, "  {}: {} ({})\n", check.passed ? "passed" : "FAILED", check.name, check.seen);
+        fmt::print(stderr, "  {}: {} ({})\n", check.passed ? "passed" : "FAILED", check.name,
+                   check.seen);
     }
 }
 
@@ -114,8 +123,9 @@
 
  private:
     void play(const WireSize& size) {
-        if (const std::string why = obstacle_to(size.world, files_); !why.empty())
+        if (const std::string why = obstacle_to(size.world, files_); !why.empty()) {
             return leave_out(size, why);
+        }
         try {
             const PointResult point = play_point(options_, size.varied, size.world, size.events);
             say_point(point);
@@ -145,7 +155,9 @@
     }
     std::ofstream file(path);
     file << results.dump(2) << std::endl;
-    if (!file) throw std::system_error(errno, std::generic_category(), path);
+    if (!file) {
+        throw std::system_error(errno, std::generic_category(), path);
+    }
 }
 
 }  // namespace
--- a/bench/scale/wire_traffic.cpp
+++ b/bench/scale/wire_traffic.cpp
@@ -30,14 +30,20 @@
         ++result_.not_holding;
         return;
     }
-    if (awaited_[proxy].try_emplace(server, now).second) ++pending_;
+    if (awaited_[proxy].try_emplace(server, now).second) {
+        ++pending_;
+    }
 }
 
 void InForce::closed(int proxy, std::size_t server, TimePoint now) {
     const auto servers = awaited_.find(proxy);
-    if (servers == awaited_.end()) return;
+    if (servers == awaited_.end()) {
+        return;
+    }
     const auto found = servers->second.find(server);
-    if (found == servers->second.end()) return;
+    if (found == servers->second.end()) {
+        return;
+    }
     const std::chrono::duration<double, std::milli> took = now - found->second;
     result_.milliseconds.push_back(took.count());
     servers->second.erase(found);
@@ -64,7 +70,9 @@
 }
 
 double percentile(const std::vector<double>& sorted, double percent) {
-    if (sorted.empty()) return 0;
+    if (sorted.empty()) {
+        return 0;
+    }
     const double rank = std::ceil(percent / 100 * static_cast<double>(sorted.size()));
     return sorted[static_cast<std::size_t>(std::max(1.0, rank)) - 1];
 }
--- a/bench/scale/wire_traffic.hpp
+++ b/bench/scale/wire_traffic.hpp
@@ -1,5 +1,5 @@
-// What passes between a planner and those around it, counted where the stand-ins send and receive it, and how
-// long a change takes until it is in force.
+// What passes between a planner and those around it, counted where the stand-ins send and receive
+// it, and how long a change takes until it is in force.
 #pragma once
 
 #include <array>
@@ -24,7 +24,9 @@
 
 // Of one planner, by the role at the other end.
 using TrafficByRole = std::array<Traffic, kRoles>;
-inline Traffic& of(TrafficByRole& traffic, Role role) { return traffic[static_cast<std::size_t>(role)]; }
+inline Traffic& of(TrafficByRole& traffic, Role role) {
+    return traffic[static_cast<std::size_t>(role)];
+}
 
 // From a server's end told to a planner until a proxy of that planner sends it nothing any more.
 class InForce {
--- a/bench/scale/wire_world.cpp
+++ b/bench/scale/wire_world.cpp
@@ -58,12 +58,18 @@
     return "?";
 }
 
-std::string World::zone_name(int zone) { return fmt::format("z{}", zone); }
-std::string World::method_name(int method) { return fmt::format("method{}", method); }
+std::string World::zone_name(int zone) {
+    return fmt::format("z{}", zone);
+}
+std::string World::method_name(int method) {
+    return fmt::format("method{}", method);
+}
 
 int World::method_of(std::string_view name) const {
     constexpr std::string_view kPrefix = "method";
-    if (!name.starts_with(kPrefix)) return -1;
+    if (!name.starts_with(kPrefix)) {
+        return -1;
+    }
     name.remove_prefix(kPrefix.size());
     int method = -1;
     const auto [end, error] = std::from_chars(name.data(), name.data() + name.size(), method);
@@ -111,9 +117,13 @@
 void World::remove_drained(std::vector<std::size_t>& changed) {
     const std::int64_t now = unix_ms();
     std::erase_if(draining_, [&](const Draining& draining) {
-        if (now - draining.since_ms < kDrainMilliseconds) return false;
+        if (now - draining.since_ms < kDrainMilliseconds) {
+            return false;
+        }
         Server& server = servers_[draining.server];
-        if (server.state != ServerState::draining) return true;  // it was lost, or came back
+        if (server.state != ServerState::draining) {
+            return true;  // it was lost, or came back
+        }
         server.state = ServerState::removed;
         changed.push_back(draining.server);
         return true;
@@ -123,7 +133,9 @@
 std::vector<std::size_t> World::replace_some(int count) {
     std::vector<std::size_t> up;
     for (std::size_t i = 0; i < servers_.size(); ++i) {
-        if (servers_[i].state == ServerState::up) up.push_back(i);
+        if (servers_[i].state == ServerState::up) {
+            up.push_back(i);
+        }
     }
     std::vector<std::size_t> drained;
     std::sample(up.begin(), up.end(), std::back_inserter(drained), count, random_);
@@ -142,7 +154,9 @@
 std::vector<std::size_t> World::lose(const std::function<bool(const Server&)>& lost) {
     std::vector<std::size_t> gone;
     for (std::size_t i = 0; i < servers_.size(); ++i) {
-        if (servers_[i].state == ServerState::removed || !lost(servers_[i])) continue;
+        if (servers_[i].state == ServerState::removed || !lost(servers_[i])) {
+            continue;
+        }
         servers_[i].state = ServerState::removed;
         gone.push_back(i);
     }
@@ -171,28 +185,36 @@
 std::string World::whole_list() const {
     json entries = json::array();
     for (const Server& server : servers_) {
-        if (server.state != ServerState::removed) entries.push_back(entry_of(server));
+        if (server.state != ServerState::removed) {
+            entries.push_back(entry_of(server));
+        }
     }
     return list_of(version_, true, std::move(entries)).dump();
 }
 
 std::string World::changes_since(std::int64_t version) const {
     std::set<std::size_t> changed;
-    for (auto change = changes_.rbegin(); change != changes_.rend() && change->version > version; ++change) {
+    for (auto change = changes_.rbegin(); change != changes_.rend() && change->version > version;
+         ++change) {
         changed.insert(change->servers.begin(), change->servers.end());
     }
     json entries = json::array();
-    for (const std::size_t i : changed) entries.push_back(entry_of(servers_[i]));
+    for (const std::size_t i : changed) {
+        entries.push_back(entry_of(servers_[i]));
+    }
     return list_of(version_, false, std::move(entries)).dump();
 }
 
-std::string World::start_file(int planner, const std::string& listen, const std::string& discovery) const {
+std::string World::start_file(int planner, const std::string& listen,
+                              const std::string& discovery) const {
     json methods = json::array(), local = json::array(), zones = json::array();
     for (int method = 0; method < sizes_.methods; ++method) {
         methods.push_back({{"name", method_name(method)}, {"aim_us", 1'500'000}, {"credit", 3.0}});
         local.push_back(false);
     }
-    for (int zone = 0; zone < sizes_.zones; ++zone) zones.push_back(zone_name(zone));
+    for (int zone = 0; zone < sizes_.zones; ++zone) {
+        zones.push_back(zone_name(zone));
+    }
     const double rate = std::max(kLeastChannelRate, sizes_.lines_per_proxy * sizes_.proxies);
     const std::int64_t report_us = std::chrono::microseconds(sizes_.report_every).count();
     const json family = {{"admission", "share"},
@@ -230,15 +252,20 @@
 std::string World::outcomes(int zone) {
     const auto window = static_cast<double>(sizes_.report_every.count());
     double demand = 0;
-    for (const ProxyIdentity& proxy : proxies_) demand += proxy.requests_per_second;
+    for (const ProxyIdentity& proxy : proxies_) {
+        demand += proxy.requests_per_second;
+    }
     const double tries = std::max(1.0, demand * window / 1'000 / sizes_.servers);
     std::string lines;
     for (std::size_t i = static_cast<std::size_t>(zone); i < servers_.size();
          i += static_cast<std::size_t>(sizes_.zones)) {
-        if (servers_[i].state == ServerState::removed) continue;
+        if (servers_[i].state == ServerState::removed) {
+            continue;
+        }
         fmt::format_to(std::back_inserter(lines),
-                       "outcomes az={} host={} n={:.0f} bad=0 avg={:.1f} window={:.1f}\r\n", zone_name(zone),
-                       servers_[i].id, tries, draw(kLeastAnswerMs, kMostAnswerMs), window);
+                       "outcomes az={} host={} n={:.0f} bad=0 avg={:.1f} window={:.1f}\r\n",
+                       zone_name(zone), servers_[i].id, tries, draw(kLeastAnswerMs, kMostAnswerMs),
+                       window);
     }
     return lines;
 }
--- a/bench/scale/wire_world.hpp
+++ b/bench/scale/wire_world.hpp
@@ -1,5 +1,5 @@
-// The deployment of one point, drawn by seed: servers and their changes as discovery tells them, proxies, and
-// the start file of each planner.
+// The deployment of one point, drawn by seed: servers and their changes as discovery tells them,
+// proxies, and the start file of each planner.
 #pragma once
 
 #include <cstdint>
@@ -62,8 +62,10 @@
     // JSON objects of the wire. A change object names each server once, as it stands now.
     std::string whole_list() const;
     std::string changes_since(std::int64_t version) const;
-    std::string start_file(int planner, const std::string& listen, const std::string& discovery) const;
-    // Lines of the collector of a zone: one on each server of which it is the reporter, CRLF included.
+    std::string start_file(int planner, const std::string& listen,
+                           const std::string& discovery) const;
+    // Lines of the collector of a zone: one on each server of which it is the reporter, CRLF
+    // included.
     std::string outcomes(int zone);
     std::string demand(const ProxyIdentity& proxy) const;
 
@@ -89,7 +91,9 @@
     };
     struct TextHash {
         using is_transparent = void;
-        std::size_t operator()(std::string_view text) const { return std::hash<std::string_view>{}(text); }
+        std::size_t operator()(std::string_view text) const {
+            return std::hash<std::string_view>{}(text);
+        }
     };
 
     const WireWorld sizes_;
--- a/bench/scale/world.cpp
+++ b/bench/scale/world.cpp
@@ -14,12 +14,18 @@
 constexpr double kLongestWindow = 60;       // seconds that one report may cover
 
 void require(bool sound, const char* parameter, const char* bounds) {
-    if (!sound) throw BadWorld(fmt::format("{} must be {}", parameter, bounds));
+    if (!sound) {
+        throw BadWorld(fmt::format("{} must be {}", parameter, bounds));
+    }
 }
 
-int pools_of(const WorldSpec& spec) { return spec.pools == 0 ? spec.services : spec.pools; }
+int pools_of(const WorldSpec& spec) {
+    return spec.pools == 0 ? spec.services : spec.pools;
+}
 
-double seconds_between_reports(const WorldSpec& spec) { return spec.servers / spec.reports_per_second; }
+double seconds_between_reports(const WorldSpec& spec) {
+    return spec.servers / spec.reports_per_second;
+}
 
 }  // namespace
 
@@ -27,18 +33,21 @@
     require(spec.proxies >= 1 && spec.proxies <= 100'000, "proxies", "1 to 100,000");
     require(spec.planners >= 1 && spec.planners <= 100'000, "planners", "1 to 100,000");
     require(spec.servers >= 1 && spec.servers <= 1'000'000, "servers", "1 to 1,000,000");
-    require(spec.services >= 1 && spec.services <= spec.servers, "services", "1 to the number of servers");
+    require(spec.services >= 1 && spec.services <= spec.servers, "services",
+            "1 to the number of servers");
     require(spec.pools >= 0 && spec.pools <= spec.services, "pools", "0 to the number of services");
     require(spec.skew >= 0 && spec.skew <= 3, "skew", "0 to 3");
     require(spec.zones >= 1 && spec.zones <= 1'000, "zones", "1 to 1,000");
     require(spec.changes_per_second >= 0 && spec.changes_per_second <= spec.servers, "changes",
             "0 to the number of servers");
-    require(spec.reports_per_second >= 0 && spec.reports_per_second <= 1e6, "reports", "0 to 1,000,000");
-    require(spec.reports_per_second == 0 || seconds_between_reports(spec) <= kLongestWindow, "reports",
-            "0, or one on each server in 60 s at least");
+    require(spec.reports_per_second >= 0 && spec.reports_per_second <= 1e6, "reports",
+            "0 to 1,000,000");
+    require(spec.reports_per_second == 0 || seconds_between_reports(spec) <= kLongestWindow,
+            "reports", "0, or one on each server in 60 s at least");
     require(spec.routes >= 0 && spec.routes <= 1'000'000, "routes", "0 to 1,000,000");
     require(spec.tenants >= 0 && spec.tenants <= 10'000'000, "tenants", "0 to 10,000,000");
-    require(spec.lines_per_second > 0 && spec.lines_per_second <= 1e6, "lines", "over 0, to 1,000,000");
+    require(spec.lines_per_second > 0 && spec.lines_per_second <= 1e6, "lines",
+            "over 0, to 1,000,000");
     require(spec.quiet_seconds >= 0 && spec.quiet_seconds <= 600, "quiet", "0 to 600 s");
     require(spec.warmup_seconds >= 0 && spec.warmup_seconds <= 600, "warmup", "0 to 600 s");
     require(spec.seconds >= 1 && spec.seconds <= 3'600, "seconds", "1 to 3,600");
@@ -47,13 +56,15 @@
 std::vector<int> zipf_sizes(int all, int parts, double exponent) {
     std::vector<double> weights(static_cast<std::size_t>(parts));
     double sum = 0;
-    for (int i = 0; i < parts; ++i)
+    for (int i = 0; i < parts; ++i) {
         sum += weights[static_cast<std::size_t>(i)] = std::pow(i + 1.0, -exponent);
+    }
     std::vector<int> sizes;
     int left = all;
     for (int i = 0; i < parts; ++i) {
         const int least_of_rest = parts - i - 1;
-        const int wanted = static_cast<int>(std::lround(all * weights[static_cast<std::size_t>(i)] / sum));
+        const int wanted =
+            static_cast<int>(std::lround(all * weights[static_cast<std::size_t>(i)] / sum));
         sizes.push_back(std::clamp(wanted, 1, left - least_of_rest));
         left -= sizes.back();
     }
@@ -62,10 +73,12 @@
 }
 
 double expected_memory(const WorldSpec& spec) {
-    constexpr double kProgram = 64e6, kServer = 4'096, kRowsPerServer = 10, kLine = 32, kRoute = 4'096,
-                     kTenant = 2'048;
+    constexpr double kProgram = 64e6, kServer = 4'096, kRowsPerServer = 10, kLine = 32,
+                     kRoute = 4'096, kTenant = 2'048;
     const double servers = spec.servers;
-    if (spec.workload == Workload::routing) return kProgram + spec.routes * kRoute + spec.tenants * kTenant;
+    if (spec.workload == Workload::routing) {
+        return kProgram + spec.routes * kRoute + spec.tenants * kTenant;
+    }
     const double rows = servers * pools_of(spec) * sizeof(double) * kRowsPerServer;
     const double tables = std::min(1.0 * spec.proxies, 100.0) * servers * kLine;
     return kProgram + servers * kServer + rows + tables;
@@ -76,8 +89,9 @@
     check(spec_);
     sizes_ = zipf_sizes(spec_.servers, pools_of(spec_), spec_.skew);
     for (int kind = 0; kind < std::ssize(sizes_); ++kind) {
-        for (int i = 0; i < sizes_[static_cast<std::size_t>(kind)]; ++i)
+        for (int i = 0; i < sizes_[static_cast<std::size_t>(kind)]; ++i) {
             servers_.push_back(fresh(made_ % spec_.zones, kind, std::nullopt));
+        }
     }
     std::shuffle(servers_.begin(), servers_.end(), random_);
 }
@@ -109,45 +123,57 @@
 
 SymbolTable World::names() const {
     SymbolTable names;
-    for (int service = 0; service < spec_.services; ++service)
+    for (int service = 0; service < spec_.services; ++service) {
         names.methods.push_back(fmt::format("m{}", service));
-    for (int zone = 0; zone < spec_.zones; ++zone) names.zones.push_back(fmt::format("z{}", zone));
-    for (int kind = 0; kind < pools_of(spec_); ++kind) names.kinds.push_back(fmt::format("k{}", kind));
+    }
+    for (int zone = 0; zone < spec_.zones; ++zone) {
+        names.zones.push_back(fmt::format("z{}", zone));
+    }
+    for (int kind = 0; kind < pools_of(spec_); ++kind) {
+        names.kinds.push_back(fmt::format("k{}", kind));
+    }
     return names;
 }
 
 World::Server World::fresh(int zone, int kind, std::optional<TimePoint> started) {
     const int number = made_++;
-    const std::string id = fmt::format("s-{:08x}", static_cast<std::uint32_t>(number) * 2'654'435'761U);
+    const std::string id =
+        fmt::format("s-{:08x}", static_cast<std::uint32_t>(number) * 2'654'435'761U);
     return {id, zone, kind, number / kServersPerCell, EndpointPhase::ready, started};
 }
 
 std::string World::entry(const Server& server) const {
     const char* const state = server.phase == EndpointPhase::ready      ? "up"
                               : server.phase == EndpointPhase::draining ? "draining"
-                                                                : "removed";
+                                                                        : "removed";
     std::string text = fmt::format(
         R"({{"id":"{}","addr":"127.0.0.1:9","zone":"z{}","kind":"k{}","cell":{},"weight":{},"state":"{}")",
         server.id, server.zone, server.kind, server.cell, kWeight, state);
-    if (server.started)
+    if (server.started) {
         text += fmt::format(R"(,"started_ms":{})", server.started->time_since_epoch().count() / 10);
+    }
     return text + "}";
 }
 
 std::string World::list_of(const std::vector<Server>& changed, bool complete) {
     std::string text = fmt::format(R"({{"version":{},"full":{},"servers":[)", ++version_, complete);
     for (const Server& server : changed) {
-        if (text.back() != '[') text += ',';
+        if (text.back() != '[') {
+            text += ',';
+        }
         text += entry(server);
     }
     return text + "]}";
 }
 
-std::string World::whole_list() { return list_of(servers_, true); }
+std::string World::whole_list() {
+    return list_of(servers_, true);
+}
 
 std::string World::join_line(int proxy) const {
     const double rate = kTriesPerServer * spec_.servers / spec_.proxies;
-    return fmt::format("hello sidecar={} az=z{} share={:.3f} standing=1", proxy, proxy % spec_.zones, rate);
+    return fmt::format("hello sidecar={} az=z{} share={:.3f} standing=1", proxy,
+                       proxy % spec_.zones, rate);
 }
 
 std::string World::answer_line(int proxy, int nonce) {
@@ -159,11 +185,14 @@
     const double window = spec_.reports_per_second > 0 ? seconds_between_reports(spec_) : 0;
     for (std::size_t looked = 0; std::ssize(lines) < number && looked < servers_.size(); ++looked) {
         const Server& server = servers_[next_reported_++ % servers_.size()];
-        if (server.phase != EndpointPhase::ready) continue;
+        if (server.phase != EndpointPhase::ready) {
+            continue;
+        }
         const unsigned mean_ms = 300 + random_() % 90;
         const unsigned from = random_() % static_cast<unsigned>(spec_.zones);
-        lines.push_back(fmt::format("outcomes host={} az=z{} n={:.3f} bad=0 avg={} window={:.1f}", server.id,
-                                    from, kTriesPerServer * window, mean_ms, window * 1'000));
+        lines.push_back(fmt::format("outcomes host={} az=z{} n={:.3f} bad=0 avg={} window={:.1f}",
+                                    server.id, from, kTriesPerServer * window, mean_ms,
+                                    window * 1'000));
     }
     return lines;
 }
@@ -175,9 +204,10 @@
         const std::size_t proxy = next_demanded_++ % static_cast<std::size_t>(spec_.proxies);
         const std::size_t pool = service % sizes_.size();
         // Services that share a pool share its RPCs evenly.
-        const double sharing = std::ceil(1.0 * (spec_.services - static_cast<int>(pool)) / pools_of(spec_));
-        lines.push_back(fmt::format("demand sidecar={} kind=m{} n={:.3f} bad=0 window=1000", proxy, service,
-                                    kTriesPerServer * sizes_[pool] / sharing));
+        const double sharing =
+            std::ceil(1.0 * (spec_.services - static_cast<int>(pool)) / pools_of(spec_));
+        lines.push_back(fmt::format("demand sidecar={} kind=m{} n={:.3f} bad=0 window=1000", proxy,
+                                    service, kTriesPerServer * sizes_[pool] / sharing));
     }
     return lines;
 }
@@ -185,8 +215,10 @@
 // Guards against a world without ready servers: then any is taken.
 std::size_t World::any_ready() {
     std::size_t at = random_() % servers_.size();
-    for (std::size_t tries = 0; tries < servers_.size() && servers_[at].phase != EndpointPhase::ready; ++tries)
+    for (std::size_t tries = 0;
+         tries < servers_.size() && servers_[at].phase != EndpointPhase::ready; ++tries) {
         at = (at + 1) % servers_.size();
+    }
     return at;
 }
 
@@ -211,7 +243,9 @@
     std::vector<Server> changed;
     for (int i = 0; i < number; ++i) {
         Server& server = servers_[any_ready()];
-        if (server.phase != EndpointPhase::ready) break;
+        if (server.phase != EndpointPhase::ready) {
+            break;
+        }
         server.phase = EndpointPhase::draining;
         change.gone.push_back(server.id);
         changed.push_back(server);
@@ -224,7 +258,9 @@
     Change change;
     std::vector<Server> changed;
     for (Server& server : servers_) {
-        if (server.phase != EndpointPhase::draining) continue;
+        if (server.phase != EndpointPhase::draining) {
+            continue;
+        }
         Server gone = server;
         gone.phase = EndpointPhase::gone;
         server = fresh(gone.zone, gone.kind, now);
@@ -238,8 +274,9 @@
 World::Change World::lose_zone(int zone) {
     Change change;
     std::vector<Server> changed;
-    const auto first_lost = std::stable_partition(
-        servers_.begin(), servers_.end(), [zone](const Server& server) { return server.zone != zone; });
+    const auto first_lost =
+        std::stable_partition(servers_.begin(), servers_.end(),
+                              [zone](const Server& server) { return server.zone != zone; });
     lost_.assign(first_lost, servers_.end());
     servers_.erase(first_lost, servers_.end());
     for (Server server : lost_) {
@@ -253,7 +290,9 @@
 
 World::Change World::restore_zone(TimePoint now) {
     std::vector<Server> changed;
-    for (const Server& server : lost_) changed.push_back(fresh(server.zone, server.kind, now));
+    for (const Server& server : lost_) {
+        changed.push_back(fresh(server.zone, server.kind, now));
+    }
     servers_.insert(servers_.end(), changed.begin(), changed.end());
     lost_.clear();
     return {list_of(changed, false), {}};
--- a/bench/scale/world.hpp
+++ b/bench/scale/world.hpp
@@ -1,5 +1,5 @@
-// A deployment drawn by seed, in the words of its wire: discovery's lists, collectors' reports, proxies'
-// messages.
+// A deployment drawn by seed, in the words of its wire: discovery's lists, collectors' reports,
+// proxies' messages.
 #pragma once
 
 #include <cstdint>
@@ -48,36 +48,38 @@
     int planners = 1;  // the deployment has so many times as many proxies
     int servers = 1'000;
     int services = 10;
-    int pools = 0;                  // services share so many; 0: each has its own
-    double skew = 0.9;              // Zipf exponent of the services' numbers of servers, and of their routes
-    int zones = 3;                  // servers and proxies are spread evenly over them
-    double changes_per_second = 1;  // servers replaced: one leaves for good, a fresh one comes
+    int pools = 0;      // services share so many; 0: each has its own
+    double skew = 0.9;  // Zipf exponent of the services' numbers of servers, and of their routes
+    int zones = 3;      // servers and proxies are spread evenly over them
+    double changes_per_second = 1;      // servers replaced: one leaves for good, a fresh one comes
     double reports_per_second = 1'000;  // by collectors, on one server each; 0: nothing is heard
-    bool demand = true;                 // where reports come: demand of each service is told once a second
-    double lines_per_second = 700;      // the planner's channel; 20 bytes each: half of a budget of 28 KB/s
+    bool demand = true;  // where reports come: demand of each service is told once a second
+    double lines_per_second =
+        700;  // the planner's channel; 20 bytes each: half of a budget of 28 KB/s
     int routes = 0;
     int tenants = 0;
-    // Of world time. Quiet: proxies are given their tables, nothing changes or is heard. Warm-up: all goes
-    // on, nothing is measured. A step of the module's weights takes 4 s.
+    // Of world time. Quiet: proxies are given their tables, nothing changes or is heard. Warm-up:
+    // all goes on, nothing is measured. A step of the module's weights takes 4 s.
     int quiet_seconds = 20;
     int warmup_seconds = 4;
     int seconds = 8;
 };
 
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(WorldSpec, workload, scenario, seed, proxies, planners,
-                                                servers, services, pools, skew, zones, changes_per_second,
-                                                reports_per_second, demand, lines_per_second, routes, tenants,
-                                                quiet_seconds, warmup_seconds, seconds)
+NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(WorldSpec, workload, scenario, seed, proxies,
+                                                planners, servers, services, pools, skew, zones,
+                                                changes_per_second, reports_per_second, demand,
+                                                lines_per_second, routes, tenants, quiet_seconds,
+                                                warmup_seconds, seconds)
 
 // Throws BadWorld.
 void check(const WorldSpec& spec);
 
-// How many of `all` each of `parts` gets, by Zipf's law with this exponent; at least one each, `all` in sum.
-// `all` must be no less than `parts`.
+// How many of `all` each of `parts` gets, by Zipf's law with this exponent; at least one each,
+// `all` in sum. `all` must be no less than `parts`.
 std::vector<int> zipf_sizes(int all, int parts, double exponent);
 
-// What a core is expected to need at most, in bytes: rows over all pools for each server in six places of the
-// module, entries by name, and messages on their way.
+// What a core is expected to need at most, in bytes: rows over all pools for each server in six
+// places of the module, entries by name, and messages on their way.
 double expected_memory(const WorldSpec& spec);
 
 class World {
--- a/fuzz/replay.cpp
+++ b/fuzz/replay.cpp
@@ -1,5 +1,5 @@
-// Plays the files that are named, or those in folders that are, through the fuzz target: what CI does with
-// the corpus.
+// Plays the files that are named, or those in folders that are, through the fuzz target: what CI
+// does with the corpus.
 #include <cstdint>
 #include <cstdio>
 #include <filesystem>
@@ -13,11 +13,15 @@
     namespace fs = std::filesystem;
     std::vector<fs::path> files;
     for (int i = 1; i < argc; ++i) {
-        if (!fs::is_directory(argv[i]))
+        if (!fs::is_directory(argv[i])) {
             files.emplace_back(argv[i]);
-        else
-            for (const auto& entry : fs::recursive_directory_iterator(argv[i]))
-                if (entry.is_regular_file()) files.push_back(entry.path());
+        } else {
+            for (const auto& entry : fs::recursive_directory_iterator(argv[i])) {
+                if (entry.is_regular_file()) {
+                    files.push_back(entry.path());
+                }
+            }
+        }
     }
     for (const auto& file : files) {
         std::ifstream in(file, std::ios::binary);
--- a/include/micaroad/event.hpp
+++ b/include/micaroad/event.hpp
@@ -1,4 +1,5 @@
-/// Events: everything a planner is told. Reports are counted over a window that ends when they are received.
+/// Events: everything a planner is told. Reports are counted over a window that ends when they are
+/// received.
 #pragma once
 
 #include <optional>
@@ -119,9 +120,9 @@
 
 }  // namespace event
 
-using Event = std::variant<event::EndpointListUpdate, event::TimerExpired, event::ProxyJoined, event::ProxyLeft,
-                           event::Acknowledgement, event::EndpointLoadReport, event::DemandReport,
-                           event::SliceDemandReport, event::SliceAssigned, event::SliceOwnerReported,
-                           event::HealthCheckResult, event::PeerMessage>;
+using Event = std::variant<event::EndpointListUpdate, event::TimerExpired, event::ProxyJoined,
+                           event::ProxyLeft, event::Acknowledgement, event::EndpointLoadReport,
+                           event::DemandReport, event::SliceDemandReport, event::SliceAssigned,
+                           event::SliceOwnerReported, event::HealthCheckResult, event::PeerMessage>;
 
 }  // namespace micaroad
--- a/include/micaroad/order.hpp
+++ b/include/micaroad/order.hpp
@@ -38,7 +38,8 @@
     RetryPolicy retry_policy = RetryPolicy::never;
 };
 
-/// Withdraws a server from every table at once, or reinstates it. Weights stay as they were ordered.
+/// Withdraws a server from every table at once, or reinstates it. Weights stay as they were
+/// ordered.
 struct SetWithdrawn {
     ServerId server;
     bool withdrawn = true;
@@ -77,8 +78,9 @@
 
 }  // namespace order
 
-using Order = std::variant<order::SetTableEntry, order::ClearTable, order::BindProxy, order::SetAdmission,
-                           order::SetWithdrawn, order::SendNonce, order::StartTimer, order::CheckHealth,
-                           order::Subscribe, order::FetchList, order::SendPeerMessage, order::LogLine>;
+using Order =
+    std::variant<order::SetTableEntry, order::ClearTable, order::BindProxy, order::SetAdmission,
+                 order::SetWithdrawn, order::SendNonce, order::StartTimer, order::CheckHealth,
+                 order::Subscribe, order::FetchList, order::SendPeerMessage, order::LogLine>;
 
 }  // namespace micaroad
--- a/include/micaroad/types.hpp
+++ b/include/micaroad/types.hpp
@@ -1,5 +1,6 @@
-/// Identifiers, time types and the settings of a deployment: the vocabulary that the planner shares with
-/// whatever hosts it. Nothing here knows a protocol; adapters translate wire words to these types and back.
+/// Identifiers, time types and the settings of a deployment: the vocabulary that the planner shares
+/// with whatever hosts it. Nothing here knows a protocol; adapters translate wire words to these
+/// types and back.
 #pragma once
 
 #include <chrono>
@@ -11,7 +12,8 @@
 
 namespace micaroad {
 
-/// A value that only compares with identifiers of the same kind. `Tag` makes the kinds distinct types.
+/// A value that only compares with identifiers of the same kind. `Tag` makes the kinds distinct
+/// types.
 template <class Tag, class Rep>
 struct Id {
     Rep value{};
@@ -74,12 +76,12 @@
 
 /// What a deployment tells a planner once, at its start. Only what the planner reads.
 ///
-/// A "line" is the unit in which the platform counts the load of the control channel from a planner to its
-/// proxies: one table entry, admission rate or withdrawal in a message to one proxy.
+/// A "line" is the unit in which the platform counts the load of the control channel from a planner
+/// to its proxies: one table entry, admission rate or withdrawal in a message to one proxy.
 struct DeploymentSettings {
     std::vector<Method> methods;
     int zone_count = 1;
-    int proxy_count = 1;    ///< over all planners
+    int proxy_count = 1;  ///< over all planners
     int planner_count = 1;
 
     double channel_lines_per_second = 1;    ///< throughput of a healthy channel
@@ -90,20 +92,22 @@
     Duration report_interval{1};   ///< time between two load reports; at least one unit
     Duration max_message_delay{};  ///< the longest time that a message travels
 
-    Duration drain_grace{};             ///< time within which all traffic must have left a draining server
-    Duration warm_up_duration{};        ///< age at which a restarted server counts as warm
-    double cold_capacity_fraction = 1;  ///< least fraction of its capacity that a server starts with
-    double overload_factor = 1;         ///< a cold server that gets more than this multiple of its capacity,
-    Duration overload_window{};         ///< for so long, fails
-    bool unlisted_may_serve = false;    ///< a server that a list merely omits may stay in tables
+    Duration drain_grace{};  ///< time within which all traffic must have left a draining server
+    Duration warm_up_duration{};  ///< age at which a restarted server counts as warm
+    double cold_capacity_fraction =
+        1;  ///< least fraction of its capacity that a server starts with
+    double overload_factor =
+        1;  ///< a cold server that gets more than this multiple of its capacity,
+    Duration overload_window{};       ///< for so long, fails
+    bool unlisted_may_serve = false;  ///< a server that a list merely omits may stay in tables
 
     AdmissionKind admission_kind = AdmissionKind::none;
     RetryPolicy default_retry_policy = RetryPolicy::never;  ///< what proxies do until they are told
-    bool subscription_required = false;                     ///< the planner has to ask for endpoint lists
+    bool subscription_required = false;  ///< the planner has to ask for endpoint lists
 
     int slice_count = 0;        ///< slices of the key space; 0: the deployment has no slices
     bool single_owner = false;  ///< a slice may have one owner at a time
-    Duration owner_lease{};     ///< time for which an owner may go on without hearing of its removal
+    Duration owner_lease{};  ///< time for which an owner may go on without hearing of its removal
     Duration write_lifetime{};  ///< time after which a write that was accepted can take no effect
 };
 
--- a/src/background/turns.hpp
+++ b/src/background/turns.hpp
@@ -1,9 +1,9 @@
-// Whose turn it is among background jobs, within budgets of bytes and of processor time. Free of I/O, threads
-// and clocks.
+// Whose turn it is among background jobs, within budgets of bytes and of processor time. Free of
+// I/O, threads and clocks.
 //
-// Guards against slow work that takes the disk or the core from decisions: what was spent over the budget is
-// waited for, and a job of lower priority gets nothing while one of higher has work. It should not starve for
-// good: a job that has waited for kLongestWait goes before all others once.
+// Guards against slow work that takes the disk or the core from decisions: what was spent over the
+// budget is waited for, and a job of lower priority gets nothing while one of higher has work. It
+// should not starve for good: a job that has waited for kLongestWait goes before all others once.
 #pragma once
 
 #include <algorithm>
@@ -43,17 +43,27 @@
     // It has work.
     void wake(JobId job, TimePoint now) {
         const auto at = jobs_.find(job);
-        if (at != jobs_.end() && !at->second.waits_since) at->second.waits_since = now;
+        if (at != jobs_.end() && !at->second.waits_since) {
+            at->second.waits_since = now;
+        }
     }
     // Who works now; absent: nobody may, or nobody has work.
     std::optional<JobId> next(TimePoint now) {
         refill(now);
-        if (bytes_ < 0 || seconds_ < 0) return std::nullopt;
+        if (bytes_ < 0 || seconds_ < 0) {
+            return std::nullopt;
+        }
         std::optional<JobId> best;
         for (const auto& [job, state] : jobs_) {
-            if (!state.waits_since) continue;
-            if (now - *state.waits_since >= kLongestWait) return job;
-            if (!best || state.priority > jobs_.at(*best).priority) best = job;
+            if (!state.waits_since) {
+                continue;
+            }
+            if (now - *state.waits_since >= kLongestWait) {
+                return job;
+            }
+            if (!best || state.priority > jobs_.at(*best).priority) {
+                best = job;
+            }
         }
         return best;
     }
@@ -61,13 +71,15 @@
         refill(now);
         bytes_ -= what.bytes, seconds_ -= what.processor_seconds;
         const auto at = jobs_.find(job);
-        if (at == jobs_.end()) return;
+        if (at == jobs_.end()) {
+            return;
+        }
         at->second.waits_since = what.more ? std::optional(now) : std::nullopt;
     }
     // When the budget allows anything again; `now` where it does already.
     TimePoint free_at(TimePoint now) const {
-        const double wait =
-            std::max({0.0, -bytes_ / budget_.bytes_per_second, -seconds_ / budget_.processor_share});
+        const double wait = std::max(
+            {0.0, -bytes_ / budget_.bytes_per_second, -seconds_ / budget_.processor_share});
         return now + std::chrono::ceil<Duration>(std::chrono::duration<double>(wait));
     }
 
@@ -79,8 +91,10 @@
     void refill(TimePoint now) {
         const double passed = std::max(0.0, std::chrono::duration<double>(now - since_).count());
         since_ = std::max(since_, now);
-        bytes_ = std::min(bytes_ + passed * budget_.bytes_per_second, kBurst * budget_.bytes_per_second);
-        seconds_ = std::min(seconds_ + passed * budget_.processor_share, kBurst * budget_.processor_share);
+        bytes_ =
+            std::min(bytes_ + passed * budget_.bytes_per_second, kBurst * budget_.bytes_per_second);
+        seconds_ =
+            std::min(seconds_ + passed * budget_.processor_share, kBurst * budget_.processor_share);
     }
 
     const Budget budget_;
--- a/src/background/worker.cpp
+++ b/src/background/worker.cpp
@@ -43,7 +43,9 @@
 void Worker::stop() {
     {
         const std::lock_guard lock(mutex_);
-        if (std::exchange(stopping_, true)) return;
+        if (std::exchange(stopping_, true)) {
+            return;
+        }
     }
     wake_.notify_one();
     threads_.wait();
@@ -74,8 +76,10 @@
         turns_.spent(*job, spent, clock_());
     }
     lock.unlock();
-    for (const auto& [job, work] : work_)
-        while (work().more) {}
+    for (const auto& [job, work] : work_) {
+        while (work().more) {
+        }
+    }
 }
 
 }  // namespace micaroad::background
--- a/src/background/worker.hpp
+++ b/src/background/worker.hpp
@@ -1,5 +1,5 @@
-// The one thread of background work: jobs take turns on it, within a budget, at low priority for the system's
-// scheduler.
+// The one thread of background work: jobs take turns on it, within a budget, at low priority for
+// the system's scheduler.
 #pragma once
 
 #include <condition_variable>
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -24,7 +24,8 @@
 StartConfiguration start_of(const routing::Plan& plan, TimePoint now) {
     const routing::Roster roster(plan);
     DeploymentSettings base;
-    base.admission_kind = AdmissionKind::fraction, base.default_retry_policy = RetryPolicy::once_if_not_executed;
+    base.admission_kind = AdmissionKind::fraction,
+    base.default_retry_policy = RetryPolicy::once_if_not_executed;
     StartConfiguration start;
     start.name = plan.service.name, start.listen = plan.service.listen;
     start.seed = std::random_device{}();
@@ -53,7 +54,8 @@
           worker({1'024.0 * wish.kib_per_second, wish.processor_percent / 100.0}, clock) {
         record::Keeping keeping;
         keeping.segment_bytes = static_cast<std::uint64_t>(wish.segment_mb) << 20;
-        keeping.all_bytes = static_cast<std::uint64_t>(wish.all_mb) << 20, keeping.all_age = wish.keep;
+        keeping.all_bytes = static_cast<std::uint64_t>(wish.all_mb) << 20,
+        keeping.all_age = wish.keep;
         recorder = std::make_unique<record::Recorder>(
             *disk, keeping,
             record::head_of(start.settings, start.names, start.seed, start.name, kVersion, clock()),
@@ -67,7 +69,8 @@
 
 Served::Served(const routing::Plan& plan, StartConfiguration start, Clock clock, Log& log)
     : log_(log),
-      kept_(plan.recording.path.empty() ? nullptr : std::make_unique<Kept>(plan.recording, start, clock)),
+      kept_(plan.recording.path.empty() ? nullptr
+                                        : std::make_unique<Kept>(plan.recording, start, clock)),
       program_(start, clock, log, kept_ ? kept_->recorder.get() : nullptr),
       health_(
           plan, clock,
@@ -83,16 +86,20 @@
 Served::~Served() = default;
 
 int Served::run() {
-    if (kept_ && !kept_->worker.start()) log_.error("no thread to record with: nothing is recorded");
-    if (!health_.start()) log_.error("no thread to probe servers: the list stands as the file has it");
+    if (kept_ && !kept_->worker.start()) {
+        log_.error("no thread to record with: nothing is recorded");
+    }
+    if (!health_.start()) {
+        log_.error("no thread to probe servers: the list stands as the file has it");
+    }
     const int code = program_.run();
     health_.stop();
     if (kept_) {
         kept_->worker.stop();
         kept_->recorder->close();
         const auto counts = kept_->recorder->counts();
-        log_.info("recording: {} turns, {} lost, {} bytes in {} segments, {} failures", counts.turns,
-                  counts.lost, counts.bytes, counts.segments, counts.failures);
+        log_.info("recording: {} turns, {} lost, {} bytes in {} segments, {} failures",
+                  counts.turns, counts.lost, counts.bytes, counts.segments, counts.failures);
     }
     return code;
 }
@@ -101,30 +108,44 @@
     signal(SIGPIPE, SIG_IGN);
     sigset_t heard;
     sigemptyset(&heard);
-    for (const int signal : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&heard, signal);
+    for (const int signal : {SIGTERM, SIGINT, SIGHUP}) {
+        sigaddset(&heard, signal);
+    }
     pthread_sigmask(SIG_BLOCK, &heard, nullptr);
     const operators::Reading reading = operators::read_file(file);
-    for (const auto& fault : reading.faults) fmt::print(stderr, "{}\n", fault.text());
-    if (!reading.faults.empty()) return kUnusable;
+    for (const auto& fault : reading.faults) {
+        fmt::print(stderr, "{}\n", fault.text());
+    }
+    if (!reading.faults.empty()) {
+        return kUnusable;
+    }
     Log log(STDERR_FILENO);
-    for (const auto& notice : reading.notices) log.warn("{}: {}", file, notice);
+    for (const auto& notice : reading.notices) {
+        log.warn("{}: {}", file, notice);
+    }
     Served served(reading.plan, clock_from_now(), log);
     std::thread ear([&] {
         int signal = 0;
         while (sigwait(&heard, &signal) == 0 && signal == SIGHUP) {
             const operators::Reading again = operators::read_file(file);
-            for (const auto& fault : again.faults) log.error("reload: {}", fault.text());
-            if (!again.faults.empty())
+            for (const auto& fault : again.faults) {
+                log.error("reload: {}", fault.text());
+            }
+            if (!again.faults.empty()) {
                 log.error("reload: nothing is changed");
-            else if (!served.replace(again.plan))
-                log.error("reload: nothing is changed: its pools are others, which a start takes in");
-            else
+            } else if (!served.replace(again.plan)) {
+                log.error(
+                    "reload: nothing is changed: its pools are others, which a start takes in");
+            } else {
                 log.info("reload: {} is served", file);
+            }
         }
         served.stop();
     });
     const int code = served.run();
-    if (code != 0) pthread_kill(ear.native_handle(), SIGTERM);
+    if (code != 0) {
+        pthread_kill(ear.native_handle(), SIGTERM);
+    }
     ear.join();
     return code;
 }
--- a/src/command/serve.hpp
+++ b/src/command/serve.hpp
@@ -1,5 +1,5 @@
-// The daemon from an operator's file alone: its pools are the planner's methods, its servers the list, kept
-// by the pools' health rules. SIGHUP reads the file again; SIGTERM and SIGINT end it.
+// The daemon from an operator's file alone: its pools are the planner's methods, its servers the
+// list, kept by the pools' health rules. SIGHUP reads the file again; SIGTERM and SIGINT end it.
 #pragma once
 
 #include <memory>
--- a/src/daemon/clock.hpp
+++ b/src/daemon/clock.hpp
@@ -5,8 +5,8 @@
 
 namespace micaroad {
 
-// Instants count from the Unix epoch, as list entries do, but go on evenly when the system's clock is set:
-// the system's clock is read once, now.
+// Instants count from the Unix epoch, as list entries do, but go on evenly when the system's clock
+// is set: the system's clock is read once, now.
 Clock clock_from_now();
 
 }  // namespace micaroad
--- a/src/daemon/planner_process.cpp
+++ b/src/daemon/planner_process.cpp
@@ -26,19 +26,22 @@
 
 net::Address address_or_throw(const std::string& text, const char* key) {
     const auto address = net::address_of(text);
-    if (!address) throw ConfigurationError(std::string("'") + key + "' is no address and port: " + text);
+    if (!address) {
+        throw ConfigurationError(std::string("'") + key + "' is no address and port: " + text);
+    }
     return *address;
 }
 
 }  // namespace
 
-PlannerProcess::PlannerProcess(StartConfiguration start, Clock clock, Log& log, Observer* observer, SyncPoints* sync,
-                 net::WatchPatience patience)
+PlannerProcess::PlannerProcess(StartConfiguration start, Clock clock, Log& log, Observer* observer,
+                               SyncPoints* sync, net::WatchPatience patience)
     : start_(std::move(start)),
       clock_(std::move(clock)),
       log_(log),
       listen_(address_or_throw(start_.listen, "listen")),
-      limits_(Limits::of(start_.memory_mb, start_.sockets, static_cast<std::size_t>(start_.settings.proxy_count),
+      limits_(Limits::of(start_.memory_mb, start_.sockets,
+                         static_cast<std::size_t>(start_.settings.proxy_count),
                          start_.names.zones.size())),
       reading_(kReaders),
       lines_(limits_.line_buffers),
@@ -48,8 +51,10 @@
                 limits_.connections, limits_.unidentified),
       prober_(reading_, inbox_, clock_, sync),
       watch_(start_.discovery,
-             start_.discovery.empty() ? net::Address{} : address_or_throw(start_.discovery, "discovery"),
-             start_.names, start_.known.version, limits_.list_bytes, reading_, inbox_, log_, patience, sync),
+             start_.discovery.empty() ? net::Address{}
+                                      : address_or_throw(start_.discovery, "discovery"),
+             start_.names, start_.known.version, limits_.list_bytes, reading_, inbox_, log_,
+             patience, sync),
       core_(start_.settings, start_.names, start_.seed, *this, log_, observer),
       sync_(sync) {}
 
@@ -58,13 +63,17 @@
     log_.info("planner {}: {}", start_.name, name_of(stage));
 }
 
-void PlannerProcess::stop() { inbox_.put(core_event::StopRequested{}); }
+void PlannerProcess::stop() {
+    inbox_.put(core_event::StopRequested{});
+}
 
 void PlannerProcess::reload(const Environment& environment) try {
     ReloadedConfiguration reread = reload_configuration(environment, start_);
     (void)address_or_throw(reread.discovery, "discovery");
     inbox_.put(core_event::ConfigurationReloaded{std::move(reread)});
-} catch (const std::exception& bad) { log_.error("reload: nothing is changed: {}", bad.what()); }
+} catch (const std::exception& bad) {
+    log_.error("reload: nothing is changed: {}", bad.what());
+}
 
 void PlannerProcess::follow(const std::string& discovery) {
     watch_.follow(discovery, address_or_throw(discovery, "discovery"));
@@ -75,13 +84,14 @@
     enter(Stage::hearing_known);
     log_.info("room for {} connections, {} unidentified peers among them", limits_.connections,
               limits_.unidentified);
-    if (!limits_.enough)
+    if (!limits_.enough) {
         log_.warn("'limits' don't suffice for {} proxies at once: who comes last is turned away",
                   start_.settings.proxy_count);
+    }
     {
         std::vector<Inbox::Item> known;
-        known.push_back(
-            {clock_(), core_event::EndpointListReceived{std::move(start_.known)}});  // it may be large: no copy stays
+        known.push_back({clock_(), core_event::EndpointListReceived{std::move(
+                                       start_.known)}});  // it may be large: no copy stays
         core_.turn(known, clock_());
     }
     if (!start_.discovery.empty() && !watch_.start()) {
@@ -98,7 +108,9 @@
         return 1;
     }
     enter(Stage::serving);
-    if (!core_thread_.start([this] { decide_on(); })) broken_ = true;
+    if (!core_thread_.start([this] { decide_on(); })) {
+        broken_ = true;
+    }
     core_thread_.wait();
     reach(sync_, SyncPoint::core_heard_stop);
     enter(Stage::ending);
--- a/src/daemon/planner_process.hpp
+++ b/src/daemon/planner_process.hpp
@@ -1,4 +1,5 @@
-// The program from start to exit, as one object whose stages have names. The core has a thread of its own.
+// The program from start to exit, as one object whose stages have names. The core has a thread of
+// its own.
 #pragma once
 
 #include <atomic>
@@ -19,14 +20,16 @@
 
 class PlannerProcess : private Transport {
  public:
-    PlannerProcess(StartConfiguration start, Clock clock, Log& log, Observer* observer = nullptr, SyncPoints* sync = nullptr,
-            net::WatchPatience patience = {});
+    PlannerProcess(StartConfiguration start, Clock clock, Log& log, Observer* observer = nullptr,
+                   SyncPoints* sync = nullptr, net::WatchPatience patience = {});
 
     // Serves until stop() is called, by any thread. The program's exit code.
     int run();
     void stop();
     // A list from elsewhere than discovery, which `start.discovery` leaves empty then. Any thread.
-    void handle(protocol::EndpointListMessage said) { inbox_.put(core_event::EndpointListReceived{std::move(said)}); }
+    void handle(protocol::EndpointListMessage said) {
+        inbox_.put(core_event::EndpointListReceived{std::move(said)});
+    }
     // Reads the start file again, on the caller's thread. One that can't be used changes nothing.
     void reload(const Environment& environment);
     Stage stage() const { return stage_; }
@@ -36,9 +39,13 @@
     static constexpr std::size_t kCoreStack = 1024 * 1024;
     static constexpr std::size_t kReaders = 64;  // the event loop, discovery, probes
 
-    void write(StreamId stream, std::string_view message) override { acceptor_.write(stream, message); }
+    void write(StreamId stream, std::string_view message) override {
+        acceptor_.write(stream, message);
+    }
     void close(StreamId stream) override { acceptor_.close(stream); }
-    void probe(const ServerId& server, const std::string& address) override { prober_.ask(server, address); }
+    void probe(const ServerId& server, const std::string& address) override {
+        prober_.ask(server, address);
+    }
     void fetch_list() override { watch_.fetch(); }
     void follow(const std::string& discovery) override;
     void enter(Stage stage);
--- a/src/daemon/start_configuration.hpp
+++ b/src/daemon/start_configuration.hpp
@@ -1,4 +1,5 @@
-// What a planner is told at its start: the file that LB_CONFIG names, and the variables that go before it.
+// What a planner is told at its start: the file that LB_CONFIG names, and the variables that go
+// before it.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +9,8 @@
 #include <string>
 
 #include "planner/ports.hpp"
-#include "protocol/message.hpp"
 #include "protocol/endpoint_list.hpp"
+#include "protocol/message.hpp"
 #include "settings/deployment_settings.hpp"
 
 namespace micaroad {
@@ -27,17 +28,22 @@
     SymbolTable names;
     protocol::Bounds bounds;
     protocol::EndpointListMessage known;
-    std::map<std::string, std::string> rest;  // keys that a new reading does not change, as they were told
+    std::map<std::string, std::string>
+        rest;  // keys that a new reading does not change, as they were told
 };
 
 using Environment = std::function<const char*(const char*)>;
 
-StartConfiguration parse_start_configuration(const std::string& text, const Environment& environment);  // throws ConfigurationError
-StartConfiguration load_start_configuration(const Environment& environment);                           // throws ConfigurationError
-
-// The same file while the program serves. Its address of discovery counts, whatever LB_DISCOVERY held at the
-// start: a process can't be told a new variable.
-ReloadedConfiguration parse_reloaded_configuration(const std::string& text, const StartConfiguration& start);         // throws ConfigurationError
-ReloadedConfiguration reload_configuration(const Environment& environment, const StartConfiguration& start);  // throws ConfigurationError
+StartConfiguration parse_start_configuration(
+    const std::string& text, const Environment& environment);  // throws ConfigurationError
+StartConfiguration load_start_configuration(
+    const Environment& environment);  // throws ConfigurationError
+
+// The same file while the program serves. Its address of discovery counts, whatever LB_DISCOVERY
+// held at the start: a process can't be told a new variable.
+ReloadedConfiguration parse_reloaded_configuration(
+    const std::string& text, const StartConfiguration& start);  // throws ConfigurationError
+ReloadedConfiguration reload_configuration(
+    const Environment& environment, const StartConfiguration& start);  // throws ConfigurationError
 
 }  // namespace micaroad
--- a/src/decision/mailbox.hpp
+++ b/src/decision/mailbox.hpp
@@ -8,8 +8,8 @@
 
 namespace micaroad::decision {
 
-/// Holds the messages to one component until it is their turn. Messages are delivered in the order in which
-/// they were posted. Not thread-safe: all components of a planner run on one thread.
+/// Holds the messages to one component until it is their turn. Messages are delivered in the order
+/// in which they were posted. Not thread-safe: all components of a planner run on one thread.
 template <class... Messages>
 class Mailbox {
  public:
@@ -18,13 +18,9 @@
     /// Keeps memory for `capacity_kept` messages while the mailbox is empty.
     explicit Mailbox(std::size_t capacity_kept = kCapacityKept) : capacity_kept_(capacity_kept) {}
 
-    void post(Message message) {
-        waiting_.push_back(std::move(message));
-    }
+    void post(Message message) { waiting_.push_back(std::move(message)); }
 
-    bool empty() const {
-        return waiting_.empty();
-    }
+    bool empty() const { return waiting_.empty(); }
 
     /// Calls `handle(message)` for each message, also for those that are posted meanwhile.
     template <class Handle>
--- a/src/decision/messages.hpp
+++ b/src/decision/messages.hpp
@@ -1,5 +1,5 @@
-/// Messages between the components of the decision package. docs/decision-messages.md says who sends what to
-/// whom, and in which order the components run.
+/// Messages between the components of the decision package. docs/decision-messages.md says who
+/// sends what to whom, and in which order the components run.
 #pragma once
 
 #include <cstddef>
@@ -43,11 +43,10 @@
     double bad = 0;
     double answer_seconds = 0;
     double window = 0;
-    bool steady = false;  ///< ready since the first list and no start known: nobody had a reason to withdraw it
+    bool steady = false;  ///< ready since the first list and no start known: nobody had a reason to
+                          ///< withdraw it
 
-    bool gone() const {
-        return !open && entry.phase == EndpointPhase::gone;
-    }
+    bool gone() const { return !open && entry.phase == EndpointPhase::gone; }
 };
 
 /// A load report with the zone of the server that it is about.
@@ -63,7 +62,7 @@
     std::vector<std::pair<std::size_t, double>> shares;  ///< by pool; shares of 0 are left out
     bool steady = false;                                 ///< as EndpointStatus::steady
     bool cold = false;                                   ///< still warming up
-    bool last = false;                                   ///< the server is gone; no further message names it
+    bool last = false;  ///< the server is gone; no further message names it
 };
 
 /// Follows the DesiredWeights of all servers whose figures have changed.
@@ -79,7 +78,8 @@
     double weight = 0;
 };
 
-/// Methods that are open to the same servers share a pool; its table; the zone of its proxies if it has one.
+/// Methods that are open to the same servers share a pool; its table; the zone of its proxies if it
+/// has one.
 struct PoolBinding {
     TableId table;
     std::vector<MethodId> methods;
@@ -88,9 +88,9 @@
 
 /// The traffic of all proxies, as far as this planner can tell.
 struct DemandEstimate {
-    RealVector rates;            ///< admitted RPCs of this planner's proxies, by method
-    double all_over_ours = 1;    ///< load of all planners' proxies over that of this planner's
-    double announced = 0;        ///< RPCs per second that all proxies announced as they joined
+    RealVector rates;          ///< admitted RPCs of this planner's proxies, by method
+    double all_over_ours = 1;  ///< load of all planners' proxies over that of this planner's
+    double announced = 0;      ///< RPCs per second that all proxies announced as they joined
 };
 
 /// The fraction of its RPCs that each method is to admit.
--- a/src/decision/planner.cpp
+++ b/src/decision/planner.cpp
@@ -1,5 +1,5 @@
-/// Hands events to the components of the decision package and collects their orders. It decides nothing
-/// itself; docs/decision-messages.md shows what goes where.
+/// Hands events to the components of the decision package and collects their orders. It decides
+/// nothing itself; docs/decision-messages.md shows what goes where.
 #include "micaroad/planner.hpp"
 
 #include <algorithm>
@@ -30,9 +30,7 @@
         }
     }
 
-    void handle(Event event) {
-        events_.push_back(std::move(event));
-    }
+    void handle(Event event) { events_.push_back(std::move(event)); }
 
     std::vector<Order> decide(TimePoint now) {
         context_.now = now;
@@ -47,8 +45,8 @@
  private:
     static constexpr TimerId kTimer{1};
 
-    // Trackers run first, in the order in which they got their first message, and the scheduler last: it acts
-    // once everything else has been said.
+    // Trackers run first, in the order in which they got their first message, and the scheduler
+    // last: it acts once everything else has been said.
     void deliver_messages() {
         for (EndpointTracker* tracker : std::exchange(trackers_with_messages_, {})) {
             deliver(*tracker);
@@ -151,9 +149,7 @@
         scheduler_.mailbox.post(acknowledgement);
     }
 
-    void dispatch(const event::SliceAssigned& assigned) {
-        slice_assigner_.mailbox.post(assigned);
-    }
+    void dispatch(const event::SliceAssigned& assigned) { slice_assigner_.mailbox.post(assigned); }
 
     void dispatch(const event::SliceOwnerReported& reported) {
         slice_assigner_.mailbox.post(reported);
--- a/src/decision/queue_model.hpp
+++ b/src/decision/queue_model.hpp
@@ -1,4 +1,5 @@
-/// Predicts what a set of servers costs at a load, and how that cost changes with the load of each server.
+/// Predicts what a set of servers costs at a load, and how that cost changes with the load of each
+/// server.
 #pragma once
 
 #include <valarray>
@@ -22,6 +23,7 @@
 };
 
 /// Rates and capacities are RPCs per second, one of each a server.
-QueuePrediction predict_queues(const RealVector& rate, const RealVector& capacity, TailPenalty tail);
+QueuePrediction predict_queues(const RealVector& rate, const RealVector& capacity,
+                               TailPenalty tail);
 
 }  // namespace micaroad::decision
--- a/src/decision/routing_tables.hpp
+++ b/src/decision/routing_tables.hpp
@@ -1,6 +1,6 @@
-// What the shared tables hold of each server and what they are to hold, and the ordered plan of changes:
-// containers that are kept by changes, so that nobody has to walk all servers or all pools. They decide
-// nothing: what is wanted, planned and sent is set by balance.hpp.
+// What the shared tables hold of each server and what they are to hold, and the ordered plan of
+// changes: containers that are kept by changes, so that nobody has to walk all servers or all
+// pools. They decide nothing: what is wanted, planned and sent is set by balance.hpp.
 #pragma once
 
 #include <algorithm>
@@ -10,8 +10,8 @@
 #include <utility>
 #include <vector>
 
-#include "decision/pool_membership.hpp"
 #include "decision/messages.hpp"
+#include "decision/pool_membership.hpp"
 
 namespace micaroad::decision {
 
@@ -31,7 +31,8 @@
     bool few = false;  ///< bound to a table of its own with a few servers of the subset
 };
 
-// Rank (0: can't wait, 1: learnt, 2: tidies up), size, server, pool (below 0: it leaves or comes back).
+// Rank (0: can't wait, 1: learnt, 2: tidies up), size, server, pool (below 0: it leaves or comes
+// back).
 using PendingChange = std::tuple<int, double, ServerId, int>;
 
 // A change's place in the plan; rank below 0: it is not in it.
@@ -52,23 +53,27 @@
 struct RoutingEntry {
     const ServerId* id = nullptr;
     std::vector<std::pair<std::size_t, TableEntry*>> lines{};  // by pool, in their order
-    bool out = false, shaky = false, cold = false;       // withdrawn; may be shut out at a proxy that joins
-    bool live = true, queued = false, leaving = false;   // spoken of; in the lists of these
+    bool out = false, shaky = false,
+         cold = false;  // withdrawn; may be shut out at a proxy that joins
+    bool live = true, queued = false, leaving = false;  // spoken of; in the lists of these
     int known_to = 0;  // the last to join of the proxies that were told that it is out
     ZoneId zone{};
     std::size_t subset = 0;
-    TimePoint due{}, left{}, wished{};  // since when it should be out, when first it was, last heard of
-    double ok = 1;                    // part of the latest tries
-    PlannedChange turn{};                   // its way out or back
+    TimePoint due{}, left{},
+        wished{};          // since when it should be out, when first it was, last heard of
+    double ok = 1;         // part of the latest tries
+    PlannedChange turn{};  // its way out or back
 
     double share() const { return sum(&TableEntry::share); }
     double wanted() const { return sum(&TableEntry::wanted); }
     double sent() const { return sum(&TableEntry::sent); }
 
  private:
-    double sum(double TableEntry::*figure) const {
+    double sum(double TableEntry::* figure) const {
         double sum = 0;
-        for (const auto& [pool, line] : lines) sum += line->*figure;
+        for (const auto& [pool, line] : lines) {
+            sum += line->*figure;
+        }
         return sum;
     }
 };
@@ -84,15 +89,17 @@
 struct Subset {
     std::optional<ZoneId> zone{};
     RealVector dealt{}, held{};  // by pool: servers, and shares
-    double rate = 0;      // RPCs a second of its proxies
-    double fit = 0;       // below 0: its servers are jammed
+    double rate = 0;             // RPCs a second of its proxies
+    double fit = 0;              // below 0: its servers are jammed
     std::set<ProxyId> all{};
 };
 
 class RoutingTables {
  public:
     struct ByName {
-        bool operator()(const RoutingEntry* one, const RoutingEntry* other) const { return *one->id < *other->id; }
+        bool operator()(const RoutingEntry* one, const RoutingEntry* other) const {
+            return *one->id < *other->id;
+        }
     };
     using Entries = std::set<RoutingEntry*, ByName>;
     using Since = std::set<std::pair<TimePoint, RoutingEntry*>>;
@@ -102,15 +109,17 @@
     std::vector<Subset> subsets;
     std::map<ProxyId, BoundProxy> bound;
     std::set<PendingChange> plan;
-    Entries unsent;                   // no table holds a line of them
-    Entries cold, jammed;             // jammed: kept out though shares are published, until the next are
-    Entries turning, repeated;        // on their way out or back; of whom a withdrawal is repeated
-    Entries failing;                  // fewer of their tries are ok than of a jammed server's
-    Since leaving;                    // on their way out, since it is due
-    Since withdrawn;                  // lately, by when
-    Since departed;                   // that nobody speaks of any more, since then
-    std::set<std::size_t> unsettled;  // pools whose wanted shares the next plan scales, published anew or not
-    std::set<std::size_t> scaled;     // pools whose wanted shares are not what the last published ones gave
+    Entries unsent;             // no table holds a line of them
+    Entries cold, jammed;       // jammed: kept out though shares are published, until the next are
+    Entries turning, repeated;  // on their way out or back; of whom a withdrawal is repeated
+    Entries failing;            // fewer of their tries are ok than of a jammed server's
+    Since leaving;              // on their way out, since it is due
+    Since withdrawn;            // lately, by when
+    Since departed;             // that nobody speaks of any more, since then
+    std::set<std::size_t>
+        unsettled;  // pools whose wanted shares the next plan scales, published anew or not
+    std::set<std::size_t>
+        scaled;  // pools whose wanted shares are not what the last published ones gave
 
     RoutingEntry& entry(const ServerId& server) {
         const auto [at, added] = servers.try_emplace(server);
@@ -120,9 +129,14 @@
         }
         return at->second;
     }
-    void set_shares(RoutingEntry& entry, const std::vector<std::pair<std::size_t, double>>& shares) {
-        for (const auto& [pool, line] : entry.lines) line->share = 0;
-        for (const auto& [pool, share] : shares) line_in(pool, entry).share = share;
+    void set_shares(RoutingEntry& entry,
+                    const std::vector<std::pair<std::size_t, double>>& shares) {
+        for (const auto& [pool, line] : entry.lines) {
+            line->share = 0;
+        }
+        for (const auto& [pool, share] : shares) {
+            line_in(pool, entry).share = share;
+        }
         touch(entry);
     }
     // `heard`: for the last time, where it is not live.
@@ -130,7 +144,9 @@
         departed.erase({entry.wished, &entry});
         entry.live = live;
         entry.wished = heard;
-        if (!live) departed.emplace(heard, &entry);
+        if (!live) {
+            departed.emplace(heard, &entry);
+        }
     }
     void set_cold(RoutingEntry& entry, bool is) {
         entry.cold = is;
@@ -142,23 +158,33 @@
 
     // Its pools are to be looked at in the next plan, and itself.
     void touch(RoutingEntry& entry) {
-        for (const auto& [pool, line] : entry.lines) touched_.insert(pool);
+        for (const auto& [pool, line] : entry.lines) {
+            touched_.insert(pool);
+        }
         queue(entry);
     }
     void queue(RoutingEntry& entry) {
-        if (!std::exchange(entry.queued, true)) queued_.push_back(&entry);
+        if (!std::exchange(entry.queued, true)) {
+            queued_.push_back(&entry);
+        }
     }
     void queue(const Entries& entries) {
-        for (RoutingEntry* const entry : entries) queue(*entry);
+        for (RoutingEntry* const entry : entries) {
+            queue(*entry);
+        }
     }
     std::vector<RoutingEntry*> take_queued() {
-        for (RoutingEntry* const entry : queued_) entry->queued = false;
+        for (RoutingEntry* const entry : queued_) {
+            entry->queued = false;
+        }
         return std::exchange(queued_, {});
     }
     // The pools to look at; `fresh`: shares were published, what was jammed is looked at anew.
     std::set<std::size_t> take_touched(bool fresh) {
         if (fresh) {
-            for (RoutingEntry* const entry : std::exchange(jammed, {})) touch(*entry);
+            for (RoutingEntry* const entry : std::exchange(jammed, {})) {
+                touch(*entry);
+            }
         }
         std::set<std::size_t> pools = std::exchange(touched_, {});
         const auto& more = fresh ? scaled : unsettled;
@@ -178,22 +204,31 @@
         subsets.assign(number, {});
         for (int p = 0; p < std::ssize(subsets); ++p) {
             Subset& subset = subsets[static_cast<std::size_t>(p)];
-            if (zones > 1) subset.zone = ZoneId{p % zones};
+            if (zones > 1) {
+                subset.zone = ZoneId{p % zones};
+            }
             subset.dealt = subset.held = RealVector(pools.size());
         }
         all_held_ = RealVector(pools.size());
-        for (TablePool& pool : pools) pool.bind_lines.assign(number, 0);
-        for (auto& [id, entry] : servers) entry.subset = std::min(entry.subset, number - 1);
+        for (TablePool& pool : pools) {
+            pool.bind_lines.assign(number, 0);
+        }
+        for (auto& [id, entry] : servers) {
+            entry.subset = std::min(entry.subset, number - 1);
+        }
     }
     // What each subset holds of these pools, anew.
     void add_up(const std::set<std::size_t>& pools) {
-        for (const std::size_t k : pools) add_up(k);
+        for (const std::size_t k : pools) {
+            add_up(k);
+        }
         held_part_.clear();
     }
     // `sign` -1 takes it out again.
     void count_dealt(const RoutingEntry& entry, double sign) {
-        for (const auto& [k, line] : entry.lines)
+        for (const auto& [k, line] : entry.lines) {
             subsets[entry.subset].dealt[k] += line->wanted > 0 ? sign : 0;
+        }
     }
     // What a subset holds of a pool that a zone's proxies use: the least part of any.
     double held_part(std::size_t subset, ZoneId zone) {
@@ -201,7 +236,9 @@
         double& least = at->second;
         for (std::size_t k = 0; added && subsets.size() > 1 && k < pools.size(); ++k) {
             const bool used = pools[k].binding.zone.value_or(zone) == zone;
-            if (used && all_held_[k] > 0) least = std::min(least, subsets[subset].held[k] / all_held_[k]);
+            if (used && all_held_[k] > 0) {
+                least = std::min(least, subsets[subset].held[k] / all_held_[k]);
+            }
         }
         return least;
     }
@@ -214,7 +251,9 @@
     }
     void release(ProxyId proxy) {
         const auto at = bound.extract(proxy);
-        if (!at) return;
+        if (!at) {
+            return;
+        }
         Subset& its = subsets[at.mapped().subset];
         its.all.erase(proxy);
         its.rate -= at.mapped().rate;
@@ -223,21 +262,29 @@
     // It should be out since then; absent: it is not on its way out.
     void set_leaving(RoutingEntry& entry, bool is, TimePoint due) {
         leaving.erase({std::exchange(entry.due, due), &entry});
-        if (is) leaving.emplace(due, &entry);
+        if (is) {
+            leaving.emplace(due, &entry);
+        }
     }
     // It is withdrawn or back now.
     void set_left(RoutingEntry& entry, TimePoint now) {
         leaving.erase({entry.due, &entry});
         withdrawn.erase({std::exchange(entry.left, now), &entry});
-        if (entry.out) withdrawn.emplace(now, &entry);
+        if (entry.out) {
+            withdrawn.emplace(now, &entry);
+        }
     }
     // Nobody asks any more about those who were withdrawn by then.
     void drop_withdrawn(TimePoint until) {
-        while (!withdrawn.empty() && withdrawn.begin()->first <= until) withdrawn.erase(withdrawn.begin());
+        while (!withdrawn.empty() && withdrawn.begin()->first <= until) {
+            withdrawn.erase(withdrawn.begin());
+        }
     }
 
     void plan_turn(RoutingEntry& entry, int rank, double size) {
-        for (const auto& [pool, line] : entry.lines) drop(line->planned, *entry.id, static_cast<int>(pool));
+        for (const auto& [pool, line] : entry.lines) {
+            drop(line->planned, *entry.id, static_cast<int>(pool));
+        }
         plan_at(entry.turn, {rank, size, *entry.id, -1});
         turning.insert(&entry);
     }
@@ -247,21 +294,26 @@
     }
     void plan_at(PlannedChange& planned, const PendingChange& change) {
         const auto& [rank, size, server, pool] = change;
-        if (planned.rank == rank && planned.size == size) return;
+        if (planned.rank == rank && planned.size == size) {
+            return;
+        }
         drop(planned, server, pool);
         planned = {rank, size};
         plan.insert(change);
     }
     void drop(PlannedChange& planned, const ServerId& server, int pool) {
-        if (planned.rank >= 0) plan.erase({planned.rank, planned.size, server, pool});
+        if (planned.rank >= 0) {
+            plan.erase({planned.rank, planned.size, server, pool});
+        }
         planned = {};
     }
     // Takes the first change off the plan; who it is about.
     RoutingEntry& take_first() {
         const auto [rank, size, server, pool] = *plan.begin();
         RoutingEntry& entry = servers.at(server);
-        pool < 0 ? drop_turn(entry)
-                 : drop(pools[static_cast<std::size_t>(pool)].lines.at(entry.id).planned, server, pool);
+        pool < 0
+            ? drop_turn(entry)
+            : drop(pools[static_cast<std::size_t>(pool)].lines.at(entry.id).planned, server, pool);
         return entry;
     }
 
@@ -269,7 +321,9 @@
     void drop_empty_lines(RoutingEntry& entry) {
         std::erase_if(entry.lines, [&](const auto& at) {
             const auto& [pool, line] = at;
-            if (line->share != 0 || line->wanted != 0 || line->sent != 0) return false;
+            if (line->share != 0 || line->wanted != 0 || line->sent != 0) {
+                return false;
+            }
             drop(line->planned, *entry.id, static_cast<int>(pool));
             pools[pool].lines.erase(entry.id);
             return true;
@@ -283,11 +337,15 @@
             pools[pool].lines.erase(entry.id);
             touched_.insert(pool);
         }
-        for (Entries* entries : {&unsent, &cold, &jammed, &repeated, &failing}) entries->erase(&entry);
+        for (Entries* entries : {&unsent, &cold, &jammed, &repeated, &failing}) {
+            entries->erase(&entry);
+        }
         leaving.erase({entry.due, &entry});
         withdrawn.erase({entry.left, &entry});
         departed.erase({entry.wished, &entry});
-        if (entry.queued) std::erase(queued_, &entry);
+        if (entry.queued) {
+            std::erase(queued_, &entry);
+        }
         servers.erase(servers.find(*entry.id));
     }
 
@@ -301,21 +359,28 @@
         return at->second;
     }
     void add_up(std::size_t k) {
-        for (Subset& subset : subsets) subset.dealt[k] = subset.held[k] = 0;
+        for (Subset& subset : subsets) {
+            subset.dealt[k] = subset.held[k] = 0;
+        }
         for (const auto& [id, line] : pools[k].lines) {
-            if (line.entry->sent() == 0) continue;
+            if (line.entry->sent() == 0) {
+                continue;
+            }
             Subset& its = subsets[line.entry->subset];
             its.held[k] += line.wanted;
             its.dealt[k] += line.wanted > 0;
         }
         all_held_[k] = 0;
-        for (const Subset& subset : subsets) all_held_[k] += subset.held[k];
+        for (const Subset& subset : subsets) {
+            all_held_[k] += subset.held[k];
+        }
     }
     // Who is out is shut out with its line; who may be shut out at a proxy is let back.
     void count(RoutingEntry& entry, double sign) {
         for (const auto& [pool, line] : entry.lines) {
-            if (line->sent > 0)
+            if (line->sent > 0) {
                 pools[pool].bind_lines[entry.subset] += sign * (entry.out || entry.shaky ? 2 : 1);
+            }
         }
     }
 
