--- a/src/decision/send_window.hpp
+++ b/src/decision/send_window.hpp
@@ -1,10 +1,11 @@
-// What may still wait in a planner's channel: arithmetic over what was charged and what was answered. It decides
-// nothing; how fast a channel surely sends is told by the module.
+// What may still wait in a planner's channel: arithmetic over what was charged and what was
+// answered. It decides nothing; how fast a channel surely sends is told by the module.
 //
-// Two counts, of which the larger holds. By answers: messages leave in order, so an answer proves that its message
-// and all before it are gone; what was charged for these is credited, no more. By time: a channel sends no faster than
-// its pace. Answers alone would credit too much after proxies died: what went to them holds up nobody, so that
-// answers come past it, while it stays counted as waiting.
+// Two counts, of which the larger holds. By answers: messages leave in order, so an answer proves
+// that its message and all before it are gone; what was charged for these is credited, no more. By
+// time: a channel sends no faster than its pace. Answers alone would credit too much after proxies
+// died: what went to them holds up nobody, so that answers come past it, while it stays counted as
+// waiting.
 #pragma once
 
 #include <algorithm>
@@ -26,8 +27,12 @@
     }
     // The mark of all that was charged since the last; absent: nothing was.
     std::optional<Nonce> mark() {
-        while (!marks_.empty() && end_of(marks_.begin()->second) <= passed_) marks_.erase(marks_.begin());
-        if (open_.charged.empty()) return std::nullopt;
+        while (!marks_.empty() && end_of(marks_.begin()->second) <= passed_) {
+            marks_.erase(marks_.begin());
+        }
+        if (open_.charged.empty()) {
+            return std::nullopt;
+        }
         const Nonce mark{next_ % kNumbers};
         marks_[next_++] = std::exchange(open_, {ordered_, {}, 0});
         marks_.erase(next_ - kNumbers);
@@ -36,9 +41,13 @@
     bool answered(ProxyId proxy, Nonce mark) {
         const int newer = (next_ - 1 - mark.value % kNumbers + kNumbers) % kNumbers;
         const auto at = marks_.find(next_ - 1 - newer);
-        if (at == marks_.end()) return false;
+        if (at == marks_.end()) {
+            return false;
+        }
         Marked& its = at->second;
-        if (const auto charge = its.charged.extract(proxy)) its.answered += charge.mapped();
+        if (const auto charge = its.charged.extract(proxy)) {
+            its.answered += charge.mapped();
+        }
         passed_ = std::max(passed_, its.before + its.answered);
         return true;
     }
@@ -49,10 +58,12 @@
             orphaned_ += its == mark.charged.end() ? 0 : its->second;
         }
     }
-    // `pace`: lines that went at most; `sure`: at least, which is all that counts while some wait for the dead, and
-    // where `silent`: no answer tells any more.
+    // `pace`: lines that went at most; `sure`: at least, which is all that counts while some wait
+    // for the dead, and where `silent`: no answer tells any more.
     void pass(double pace, double sure, bool silent) {
-        if (silent) passed_ += sure;
+        if (silent) {
+            passed_ += sure;
+        }
         passed_ = std::min(passed_, ordered_);
         at_pace_ = std::max(0.0, at_pace_ - (orphaned_ > 0 ? sure : pace));
         orphaned_ = std::max(0.0, orphaned_ - sure);
@@ -67,7 +78,9 @@
     };
     static double end_of(const Marked& mark) {
         double sum = mark.before + mark.answered;
-        for (const auto& [proxy, lines] : mark.charged) sum += lines;
+        for (const auto& [proxy, lines] : mark.charged) {
+            sum += lines;
+        }
         return sum;
     }
 
--- a/src/decision/validation.hpp
+++ b/src/decision/validation.hpp
@@ -19,7 +19,8 @@
 }
 
 inline bool is_valid(const event::DemandReport& report, const DeploymentSettings& settings) {
-    const bool known = report.method.value >= 0 && report.method.value < std::ssize(settings.methods);
+    const bool known =
+        report.method.value >= 0 && report.method.value < std::ssize(settings.methods);
     return known && is_count(report.requests, report.unanswered);
 }
 
--- a/src/haproxy/acl.hpp
+++ b/src/haproxy/acl.hpp
@@ -1,5 +1,5 @@
-// ACLs and the conditions made of them, as routing::Match. An ACL declared several times holds where any of
-// its lines does.
+// ACLs and the conditions made of them, as routing::Match. An ACL declared several times holds
+// where any of its lines does.
 #pragma once
 
 #include <map>
@@ -34,8 +34,8 @@
  public:
     Acls(const std::vector<const Statement*>& declarations, Scope scope, Findings& findings);
 
-    // `if a !b or { path /x }`: words from the "if" or "unless" on; none: always. A use is a line that comes
-    // after a declaration.
+    // `if a !b or { path /x }`: words from the "if" or "unless" on; none: always. A use is a line
+    // that comes after a declaration.
     Translated condition(const Statement& statement, std::size_t from);
 
  private:
--- a/src/haproxy/files.cpp
+++ b/src/haproxy/files.cpp
@@ -12,12 +12,15 @@
 
 std::vector<std::string> files_of(const std::string& name) {
     std::error_code failed;
-    if (!fs::is_directory(name, failed)) return {name};
+    if (!fs::is_directory(name, failed)) {
+        return {name};
+    }
     std::vector<std::string> files;
     for (const auto& entry : fs::directory_iterator(name, failed)) {
         const std::string file = entry.path().filename().string();
-        if (file.ends_with(".cfg") && !file.starts_with('.') && entry.is_regular_file(failed))
+        if (file.ends_with(".cfg") && !file.starts_with('.') && entry.is_regular_file(failed)) {
             files.push_back(entry.path().string());
+        }
     }
     std::sort(files.begin(), files.end());
     return files;
@@ -30,7 +33,9 @@
     std::vector<Trouble> unread;
     for (const std::string& name : names) {
         const auto files = files_of(name);
-        if (files.empty()) unread.push_back({name, 0, 0, "no file in it ends in .cfg"});
+        if (files.empty()) {
+            unread.push_back({name, 0, 0, "no file in it ends in .cfg"});
+        }
         for (const std::string& file : files) {
             std::error_code failed;
             const auto size = fs::file_size(file, failed);
@@ -38,7 +43,9 @@
             std::ostringstream text;
             if (failed || size > kLongestFile || !in || !(text << in.rdbuf()).good()) {
                 // An empty file gives nothing to read, and is sound.
-                if (!failed && size == 0 && in) continue;
+                if (!failed && size == 0 && in) {
+                    continue;
+                }
                 unread.push_back(
                     {file, 0, 0, !failed && size > kLongestFile ? "over 64 MiB" : "can't be read"});
                 continue;
--- a/src/haproxy/files.hpp
+++ b/src/haproxy/files.hpp
@@ -1,5 +1,5 @@
-// Which files a command line's names mean, in the original's order: files as given, of a directory those that
-// end in .cfg, by name; then read into one tree.
+// Which files a command line's names mean, in the original's order: files as given, of a directory
+// those that end in .cfg, by name; then read into one tree.
 #pragma once
 
 #include <string>
--- a/src/haproxy/findings.cpp
+++ b/src/haproxy/findings.cpp
@@ -19,7 +19,8 @@
 }
 
 std::size_t Findings::line(const Line& line, std::string keyword) {
-    rows_.push_back({{line.file, line.number, std::move(keyword), Verdict::refused, ""}, false, false, ""});
+    rows_.push_back(
+        {{line.file, line.number, std::move(keyword), Verdict::refused, ""}, false, false, ""});
     return rows_.size() - 1;
 }
 
--- a/src/haproxy/findings.hpp
+++ b/src/haproxy/findings.hpp
@@ -1,5 +1,5 @@
-// What is said of each line of the input: exactly one verdict a line, the gravest of all that were given to
-// it.
+// What is said of each line of the input: exactly one verdict a line, the gravest of all that were
+// given to it.
 #pragma once
 
 #include <map>
@@ -26,11 +26,11 @@
  public:
     // To be called for each line with words, in order. Returns its number.
     std::size_t line(const Line& line, std::string keyword);
-    // Adds to what is said of a line. A graver verdict takes the place of a lighter one, with its words;
-    // alike ones join.
+    // Adds to what is said of a line. A graver verdict takes the place of a lighter one, with its
+    // words; alike ones join.
     void say(std::size_t number, Verdict verdict, const std::string& says);
-    // A setting counts only if some section goes by it; what is said holds once it was used, else that it has
-    // no effect.
+    // A setting counts only if some section goes by it; what is said holds once it was used, else
+    // that it has no effect.
     void use(std::size_t number) { rows_[number].used = true; }
     void set_aside(std::size_t number, std::string unless_used) {
         rows_[number].unless_used = std::move(unless_used);
--- a/src/haproxy/keywords.cpp
+++ b/src/haproxy/keywords.cpp
@@ -35,7 +35,8 @@
     {"http-error", {kNone, kAnswers}},
     {"compression", {kNone, kAnswers}},
     {"http-after-response", {kNone, kAnswers}},
-    {"http-response", {kNone, "what is done to answers does not route; what it refused passes now"}},
+    {"http-response",
+     {kNone, "what is done to answers does not route; what it refused passes now"}},
     {"tcp-response", {kNone, "what is done to answers does not route; what it refused passes now"}},
     {"http-reuse", {kNone, kConnections}},
     {"max-keep-alive-queue", {kNone, kConnections}},
@@ -53,18 +54,23 @@
     {"server-state-file-name", {kNone, "the planner starts from the list"}},
     {"monitor-uri",
      {kRefused, "a request for a sign of life passes like others here: answer it at the proxies"}},
-    {"monitor", {kRefused, "a request for a sign of life passes like others here: answer it at the proxies"}},
+    {"monitor",
+     {kRefused, "a request for a sign of life passes like others here: answer it at the proxies"}},
     {"monitor-net",
      {kRefused, "a request for a sign of life passes like others here: answer it at the proxies"}},
-    {"rate-limit", {kRefused, "levels follow what the fleet bears, not a rate: limit connections instead"}},
-    {"hash-balance-factor", {kRefused, "a key's server takes no more than its limit: set maxconn instead"}},
+    {"rate-limit",
+     {kRefused, "levels follow what the fleet bears, not a rate: limit connections instead"}},
+    {"hash-balance-factor",
+     {kRefused, "a key's server takes no more than its limit: set maxconn instead"}},
     {"hash-preserve-affinity", {kRefused, "a key's server is left while it may not be used"}},
     {"dispatch", {kRefused, "an address without health or weight: write a server line"}},
-    {"transparent", {kRefused, "an RPC goes to a listed server, never to where its client meant it"}},
+    {"transparent",
+     {kRefused, "an RPC goes to a listed server, never to where its client meant it"}},
     {"source", {kRefused, "the proxies' own addresses are used"}},
     {"filter", {kRefused, "filters have no equal here"}},
     {"external-check", {kRefused, "no program is run to probe a server: use httpchk"}},
-    {"force-persist", {kRefused, "a server that is down is left unless its pool says `option persist`"}},
+    {"force-persist",
+     {kRefused, "a server that is down is left unless its pool says `option persist`"}},
     {"ignore-persist", {kRefused, "stickiness is by pool: route these RPCs to a pool without it"}},
     {"persist", {kRefused, "RDP's cookie is not read"}},
     {"appsession", {kRefused, "gone from the original: use `cookie` or `balance hdr()`"}},
@@ -123,23 +129,32 @@
     {"http-restrict-req-hdr-names", {kNone, "what a sound request is, is the proxies' matter"}},
     {"abortonclose", {kNone, "whoever left no longer waits, here always"}},
     {"disable-h2-upgrade", {kNone, kConnections}},
-    {"http_proxy", {kRefused, "an RPC goes to a listed server, never to where its client meant it"}},
-    {"transparent", {kRefused, "an RPC goes to a listed server, never to where its client meant it"}},
+    {"http_proxy",
+     {kRefused, "an RPC goes to a listed server, never to where its client meant it"}},
+    {"transparent",
+     {kRefused, "an RPC goes to a listed server, never to where its client meant it"}},
     {"external-check", {kRefused, "no program is run to probe a server: use httpchk"}},
     {"mysql-check",
-     {kRefused, "probes connect, or ask by HTTP; until then servers that are checked are only connected to"}},
+     {kRefused,
+      "probes connect, or ask by HTTP; until then servers that are checked are only connected to"}},
     {"pgsql-check",
-     {kRefused, "probes connect, or ask by HTTP; until then servers that are checked are only connected to"}},
+     {kRefused,
+      "probes connect, or ask by HTTP; until then servers that are checked are only connected to"}},
     {"redis-check",
-     {kRefused, "probes connect, or ask by HTTP; until then servers that are checked are only connected to"}},
+     {kRefused,
+      "probes connect, or ask by HTTP; until then servers that are checked are only connected to"}},
     {"ldap-check",
-     {kRefused, "probes connect, or ask by HTTP; until then servers that are checked are only connected to"}},
+     {kRefused,
+      "probes connect, or ask by HTTP; until then servers that are checked are only connected to"}},
     {"smtpchk",
-     {kRefused, "probes connect, or ask by HTTP; until then servers that are checked are only connected to"}},
+     {kRefused,
+      "probes connect, or ask by HTTP; until then servers that are checked are only connected to"}},
     {"spop-check",
-     {kRefused, "probes connect, or ask by HTTP; until then servers that are checked are only connected to"}},
+     {kRefused,
+      "probes connect, or ask by HTTP; until then servers that are checked are only connected to"}},
     {"ssl-hello-chk",
-     {kRefused, "probes connect, or ask by HTTP; until then servers that are checked are only connected to"}},
+     {kRefused,
+      "probes connect, or ask by HTTP; until then servers that are checked are only connected to"}},
 };
 
 const std::set<std::string> kGlobal{"51degrees-data-file",
@@ -253,25 +268,49 @@
 
 FixedVerdict global_verdict(const Statement& statement) {
     const std::string& word = statement.word(0);
-    if (word.starts_with("tune.")) return {kNone, kProcess};
-    if (word == "maxconn")
+    if (word.starts_with("tune.")) {
+        return {kNone, kProcess};
+    }
+    if (word == "maxconn") {
         return {kRefused, "there is no limit of the process: set connections_most at listeners"};
-    if (word == "maxconnrate" || word == "maxsessrate")
+    }
+    if (word == "maxconnrate" || word == "maxsessrate") {
         return {kRefused, "there is no limit by rate: set connections_most at listeners"};
-    if (kGlobal.contains(word)) return {kNone, kProcess};
+    }
+    if (kGlobal.contains(word)) {
+        return {kNone, kProcess};
+    }
     return {kRefused, "no keyword of this section that is known here"};
 }
 
 FixedVerdict other_section_verdict(const std::string& kind) {
-    if (kind == "peers") return {kNone, "nothing is stored that peers would share: keys are spread by hash"};
-    if (kind == "resolvers") return {kRefused, "no names are looked up here: list addresses"};
-    if (kind == "userlist") return {kNone, "who a client is does not route"};
-    if (kind == "program") return {kNone, "other programs are not started from here"};
-    if (kind == "cache") return {kNone, "no answers are kept"};
-    if (kind == "ring" || kind == "log-forward") return {kNone, kLogs};
-    if (kind == "mailers") return {kNone, "nobody is written to"};
-    if (kind == "http-errors") return {kNone, kAnswers};
-    if (kind == "crt-store") return {kNone, "certificates are the proxies' own"};
+    if (kind == "peers") {
+        return {kNone, "nothing is stored that peers would share: keys are spread by hash"};
+    }
+    if (kind == "resolvers") {
+        return {kRefused, "no names are looked up here: list addresses"};
+    }
+    if (kind == "userlist") {
+        return {kNone, "who a client is does not route"};
+    }
+    if (kind == "program") {
+        return {kNone, "other programs are not started from here"};
+    }
+    if (kind == "cache") {
+        return {kNone, "no answers are kept"};
+    }
+    if (kind == "ring" || kind == "log-forward") {
+        return {kNone, kLogs};
+    }
+    if (kind == "mailers") {
+        return {kNone, "nobody is written to"};
+    }
+    if (kind == "http-errors") {
+        return {kNone, kAnswers};
+    }
+    if (kind == "crt-store") {
+        return {kNone, "certificates are the proxies' own"};
+    }
     return {kRefused, "this section has no equal here"};
 }
 
--- a/src/haproxy/keywords.hpp
+++ b/src/haproxy/keywords.hpp
@@ -1,4 +1,5 @@
-// Keywords whose verdict does not depend on their values. docs/haproxy-import.md prints these tables.
+// Keywords whose verdict does not depend on their values. docs/haproxy-import.md prints these
+// tables.
 #pragma once
 
 #include <optional>
--- a/src/haproxy/lexer.hpp
+++ b/src/haproxy/lexer.hpp
@@ -1,10 +1,11 @@
-// Bytes of a configuration to lines of words, by the quoting rules of the format's manual (2.8, section 2.2).
-// Fed in any pieces, it knows no file; a line is handed over once it has ended.
+// Bytes of a configuration to lines of words, by the quoting rules of the format's manual (2.8,
+// section 2.2). Fed in any pieces, it knows no file; a line is handed over once it has ended.
 //
-// Outside quotes and within "weak" ones a backslash protects the next character or names one (\n, \r, \t,
-// \xHH); within 'strong' quotes nothing is special; $NAME and ${NAME} stand for the environment within weak
-// quotes alone, "${NAME[*]}" for as many words as it has; # outside quotes begins a comment. A backslash at
-// the end of a line joins the next one to it.
+// Outside quotes and within "weak" ones a backslash protects the next character or names one (\n,
+// \r, \t,
+// \xHH); within 'strong' quotes nothing is special; $NAME and ${NAME} stand for the environment
+// within weak quotes alone, "${NAME[*]}" for as many words as it has; # outside quotes begins a
+// comment. A backslash at the end of a line joins the next one to it.
 #pragma once
 
 #include <cstdint>
@@ -41,7 +42,8 @@
     static constexpr std::size_t kLongestLine = 256 * 1024;  // with the lines joined to it
     using Taken = std::function<void(Line&&)>;
 
-    // The environment is looked at when a line ends, so that a line may change it for those that follow.
+    // The environment is looked at when a line ends, so that a line may change it for those that
+    // follow.
     Lexer(std::string file, const Environment& environment, Taken taken);
 
     void feed(std::string_view bytes);
--- a/src/haproxy/pools.cpp
+++ b/src/haproxy/pools.cpp
@@ -24,19 +24,21 @@
     const std::string text = expression.substr(0, expression.find(','));
     const auto open = text.find('(');
     const std::string name = text.substr(0, open);
-    const std::string argument =
-        open != std::string::npos && text.ends_with(')') ? text.substr(open + 1, text.size() - open - 2) : "";
+    const std::string argument = open != std::string::npos && text.ends_with(')')
+                                     ? text.substr(open + 1, text.size() - open - 2)
+                                     : "";
     routing::Stickiness to;
-    if (name == "src")
+    if (name == "src") {
         to.by = By::source;
-    else if (name == "path")
+    } else if (name == "path") {
         to.by = By::path;
-    else if ((name == "hdr" || name == "req.hdr" || name == "req.fhdr") && !argument.empty())
+    } else if ((name == "hdr" || name == "req.hdr" || name == "req.fhdr") && !argument.empty()) {
         to.by = By::header, to.name = argument;
-    else if ((name == "url_param" || name == "urlp") && !argument.empty())
+    } else if ((name == "url_param" || name == "urlp") && !argument.empty()) {
         to.by = By::query, to.name = argument;
-    else
+    } else {
         return std::nullopt;
+    }
     return to;
 }
 
@@ -51,22 +53,32 @@
     say(header, Verdict::translated, fmt::format("pool {}", pool.name));
     const auto timeout = [&](const char* name) -> std::optional<Duration> {
         const auto at = settings.timeouts.find(name);
-        return at == settings.timeouts.end() ? std::nullopt : std::optional(at->second.get(findings_));
+        return at == settings.timeouts.end() ? std::nullopt
+                                             : std::optional(at->second.get(findings_));
     };
     const auto connect = timeout("connect"), answer = timeout("server"), queue = timeout("queue"),
                check = timeout("check");
-    const auto unlimited = [](std::optional<Duration> time) { return !time || *time == Duration{}; };
-    if (unlimited(connect) || unlimited(answer))
+    const auto unlimited = [](std::optional<Duration> time) {
+        return !time || *time == Duration{};
+    };
+    if (unlimited(connect) || unlimited(answer)) {
         say(header, Verdict::changed,
-            "without `timeout connect` or `timeout server` the original waits without end; here 5 s and 30 "
+            "without `timeout connect` or `timeout server` the original waits without end; here 5 "
+            "s and 30 "
             "s");
-    if (!unlimited(connect)) pool.connect_within = *connect, pool.queue_patience = *connect;
-    if (!unlimited(answer)) pool.answer_within = *answer;
-    if (queue && *queue == Duration{})
+    }
+    if (!unlimited(connect)) {
+        pool.connect_within = *connect, pool.queue_patience = *connect;
+    }
+    if (!unlimited(answer)) {
+        pool.answer_within = *answer;
+    }
+    if (queue && *queue == Duration{}) {
         say(settings.timeouts.at("queue").line(), Verdict::changed,
             "nobody waits without end: as long as for a connection");
-    else if (queue)
+    } else if (queue) {
         pool.queue_patience = *queue;
+    }
 
     const Balance balance = settings.balance.get_or(Balance{}, findings_);
     balance_[pool.name] = balance.kind;
@@ -75,7 +87,8 @@
     const Redispatch redispatch = settings.redispatch.get_or(Redispatch{}, findings_);
     pool.further.most = retry_on.first ? settings.retries.get_or(kRetries, findings_) : 0;
     using routing::FurtherTries;
-    pool.further.proof = retry_on.second ? FurtherTries::Proof::any_failure : FurtherTries::Proof::never_ran;
+    pool.further.proof =
+        retry_on.second ? FurtherTries::Proof::any_failure : FurtherTries::Proof::never_ran;
     pool.further.where = !redispatch.on             ? FurtherTries::Where::same
                          : redispatch.interval == 1 ? FurtherTries::Where::other
                                                     : FurtherTries::Where::other_at_last;
@@ -85,18 +98,29 @@
             pool.health.kind = routing::HealthRule::Kind::http;
             pool.health.http_method = rule.method, pool.health.http_path = rule.path,
             pool.health.http_host = rule.host;
-            pool.health.status_least = rule.status_least, pool.health.status_most = rule.status_most;
+            pool.health.status_least = rule.status_least,
+            pool.health.status_most = rule.status_most;
         }
     }
-    if (check) pool.health.patience = *check;
+    if (check) {
+        pool.health.patience = *check;
+    }
     stickiness(draft, balance, pool);
-    if (settings.hash_type && by_hash(balance)) settings.hash_type.get(findings_);
+    if (settings.hash_type && by_hash(balance)) {
+        settings.hash_type.get(findings_);
+    }
     names_.clear();
-    for (const ServerAt& at : draft.servers) servers(at, draft, pool);
-    if (pool.servers.empty())
+    for (const ServerAt& at : draft.servers) {
+        servers(at, draft, pool);
+    }
+    if (pool.servers.empty()) {
         say(header, Verdict::changed, "the pool has no servers: what is sent there is turned away");
-    if (draft.disabled)
-        for (routing::Server& server : pool.servers) server.state = routing::State::disabled;
+    }
+    if (draft.disabled) {
+        for (routing::Server& server : pool.servers) {
+            server.state = routing::State::disabled;
+        }
+    }
     pools_.push_back(std::move(pool));
 }
 
@@ -104,17 +128,26 @@
     using By = routing::Stickiness::By;
     const Settings& settings = draft.settings;
     routing::Stickiness to;
-    if (balance.kind == "source") to.by = By::source;
-    if (balance.kind == "uri")
+    if (balance.kind == "source") {
+        to.by = By::source;
+    }
+    if (balance.kind == "uri") {
         to.by = By::path, to.path_depth = balance.depth, to.path_length = balance.length,
         to.with_query = balance.whole;
-    if (balance.kind == "url_param") to.by = By::query, to.name = balance.argument;
-    if (balance.kind == "hdr") to.by = By::header, to.name = balance.argument;
+    }
+    if (balance.kind == "url_param") {
+        to.by = By::query, to.name = balance.argument;
+    }
+    if (balance.kind == "hdr") {
+        to.by = By::header, to.name = balance.argument;
+    }
     bool taken = false;
     if (settings.cookie) {
-        if (to.by != By::none)
+        if (to.by != By::none) {
             say(settings.balance.line(), Verdict::changed,
-                fmt::format("in pool {} the cookie decides; RPCs without it spread by weight", pool.name));
+                fmt::format("in pool {} the cookie decides; RPCs without it spread by weight",
+                            pool.name));
+        }
         to = {}, to.by = By::cookie, to.name = settings.cookie.get(findings_).name;
         to.keeps_down = settings.persist.get_or(false, findings_);
         taken = true;
@@ -124,19 +157,25 @@
         const auto by = on > 0 ? sticky_by(stick->word(on)) : std::nullopt;
         if (!by) {
             say(stick->number, Verdict::refused,
-                on > 0 ? fmt::format("'{}' is nothing that RPCs are kept together by here", stick->word(on))
+                on > 0 ? fmt::format("'{}' is nothing that RPCs are kept together by here",
+                                     stick->word(on))
                        : "nothing is stored: `stick on` with src, path, hdr() or url_param()");
-        } else if (stick->size() > 3 &&
-                   std::any_of(stick->line.words.begin() + 3, stick->line.words.end(),
-                               [](const Word& w) { return w.text == "if" || w.text == "unless"; })) {
+        } else if (stick->size() > 3 && std::any_of(stick->line.words.begin() + 3,
+                                                    stick->line.words.end(), [](const Word& w) {
+                                                        return w.text == "if" || w.text == "unless";
+                                                    })) {
             say(stick->number, Verdict::refused, "stickiness is by pool, without conditions");
         } else if (taken) {
-            say(stick->number, Verdict::refused, "a pool keeps RPCs together by one thing, and it has one");
+            say(stick->number, Verdict::refused,
+                "a pool keeps RPCs together by one thing, and it has one");
         } else {
             to = *by, taken = true;
-            if (settings.stick_table) settings.stick_table.get(findings_);
+            if (settings.stick_table) {
+                settings.stick_table.get(findings_);
+            }
             say(stick->number, Verdict::changed,
-                "one key keeps to one server by its hash while that may be used, also before anything was "
+                "one key keeps to one server by its hash while that may be used, also before "
+                "anything was "
                 "learnt of it");
         }
     }
@@ -148,33 +187,51 @@
     const bool many = statement.word(0) == "server-template";
     const std::size_t from = many ? 4 : 3;
     ServerWords words = at.words;
-    if (statement.size() < from)
-        return say(
-            statement.number, Verdict::refused,
-            many ? "a prefix, a number and an address are needed" : "a name and an address are needed");
+    if (statement.size() < from) {
+        return say(statement.number, Verdict::refused,
+                   many ? "a prefix, a number and an address are needed"
+                        : "a name and an address are needed");
+    }
     read_server_words(statement, from, words, findings_);
-    for (const std::size_t line : at.default_lines) findings_.use(line);
-    if (words.left_out) return;
-    if (words.min_conn > 0 && draft.settings.full_conn) draft.settings.full_conn.get(findings_);
-    if (!many) return one_server(at, words, statement.word(1), draft, pool);
+    for (const std::size_t line : at.default_lines) {
+        findings_.use(line);
+    }
+    if (words.left_out) {
+        return;
+    }
+    if (words.min_conn > 0 && draft.settings.full_conn) {
+        draft.settings.full_conn.get(findings_);
+    }
+    if (!many) {
+        return one_server(at, words, statement.word(1), draft, pool);
+    }
     // "5" is 1 to 5, "3-7" as it says.
     const std::string& range = statement.word(2);
     const auto dash = range.find('-');
     const auto low = dash == std::string::npos ? Or<std::int64_t>{1, ""}
                                                : number_of(range.substr(0, dash), 0, 2'147'483'647);
-    const auto high = number_of(dash == std::string::npos ? range : range.substr(dash + 1), 0, 2'147'483'647);
-    if (!low || !high) return say(statement.number, Verdict::refused, low ? high.wrong : low.wrong);
-    if (*low > *high)
+    const auto high =
+        number_of(dash == std::string::npos ? range : range.substr(dash + 1), 0, 2'147'483'647);
+    if (!low || !high) {
+        return say(statement.number, Verdict::refused, low ? high.wrong : low.wrong);
+    }
+    if (*low > *high) {
         return say(statement.number, Verdict::refused, fmt::format("the range {} is empty", range));
-    if (*high - *low >= kMostTemplated)
-        return say(statement.number, Verdict::refused, fmt::format("{} servers at most", kMostTemplated));
-    const auto endpoint = endpoint_of(statement.word(3));
-    if (endpoint && endpoint->kind == Endpoint::Kind::needs_look_up)
+    }
+    if (*high - *low >= kMostTemplated) {
         return say(statement.number, Verdict::refused,
-                   fmt::format("'{}' needs a look-up, which is not done: list the addresses as servers",
-                               statement.word(3)));
-    for (std::int64_t n = *low; n <= *high; ++n)
+                   fmt::format("{} servers at most", kMostTemplated));
+    }
+    const auto endpoint = endpoint_of(statement.word(3));
+    if (endpoint && endpoint->kind == Endpoint::Kind::needs_look_up) {
+        return say(
+            statement.number, Verdict::refused,
+            fmt::format("'{}' needs a look-up, which is not done: list the addresses as servers",
+                        statement.word(3)));
+    }
+    for (std::int64_t n = *low; n <= *high; ++n) {
         one_server(at, words, fmt::format("{}{}", statement.word(1), n), draft, pool);
+    }
 }
 
 void PoolMaker::one_server(const ServerAt& at, const ServerWords& words, const std::string& name,
@@ -185,13 +242,17 @@
         say(line, Verdict::refused, fmt::format("{}: the server is left out", why));
     };
     const std::string& address = statement.word(statement.word(0) == "server" ? 2 : 3);
-    const bool sound =
-        !name.empty() && name.size() <= 128 && std::all_of(name.begin(), name.end(), [](unsigned char c) {
-            return std::isalnum(c) || c == '-' || c == '_' || c == '.' || c == ':';
-        });
-    if (!sound) return leave_out(fmt::format("'{}' is no name", name));
+    const bool sound = !name.empty() && name.size() <= 128 &&
+                       std::all_of(name.begin(), name.end(), [](unsigned char c) {
+                           return std::isalnum(c) || c == '-' || c == '_' || c == '.' || c == ':';
+                       });
+    if (!sound) {
+        return leave_out(fmt::format("'{}' is no name", name));
+    }
     const auto endpoint = endpoint_of(address);
-    if (!endpoint) return leave_out(endpoint.wrong);
+    if (!endpoint) {
+        return leave_out(endpoint.wrong);
+    }
     switch (endpoint->kind) {
         case Endpoint::Kind::literal:
             break;
@@ -204,10 +265,12 @@
         case Endpoint::Kind::other:
             return leave_out(fmt::format("'{}' is no TCP address", address));
     }
-    if (endpoint->relative_port || endpoint->port == 0)
+    if (endpoint->relative_port || endpoint->port == 0) {
         return leave_out(fmt::format("'{}' takes its port from the client's", address));
-    if (!names_.insert(name).second)
+    }
+    if (!names_.insert(name).second) {
         return leave_out(fmt::format("a second server {} in {}", name, pool.name));
+    }
 
     routing::Server server;
     server.name = name, server.address = endpoint->text();
@@ -218,7 +281,8 @@
     } else if (words.weight == 0) {
         server.state = routing::State::draining;
         say(line, Verdict::changed,
-            "weight 0: nothing new is sent, what is stuck to it stays until the drain's grace ends; in the "
+            "weight 0: nothing new is sent, what is stuck to it stays until the drain's grace "
+            "ends; in the "
             "original without end");
     }
     server.connections_most = words.max_conn > 0 ? words.max_conn : words.min_conn;
@@ -226,13 +290,18 @@
     const Balance balance = draft.settings.balance.get_or(Balance{}, findings_);
     const bool moves =
         balance.kind == "roundrobin" || balance.kind == "leastconn" || balance.kind == "random";
-    if (moves) server.slow_start = words.slow_start;
+    if (moves) {
+        server.slow_start = words.slow_start;
+    }
     server.mark = words.cookie;
     server.health_of = words.track;
-    if (!server.health_of.empty() && server.health_of.find('/') == std::string::npos)
+    if (!server.health_of.empty() && server.health_of.find('/') == std::string::npos) {
         server.health_of = pool.name + "/" + server.health_of;
+    }
     server.checked = words.check && words.track.empty();
-    if (server.checked) health(at, words, pool);
+    if (server.checked) {
+        health(at, words, pool);
+    }
     line_of_[pool.name + "/" + name] = line;
     pool.servers.push_back(std::move(server));
 }
@@ -247,17 +316,21 @@
     rule.every_while_down = words.down_inter.value_or(Duration{});
     rule.rise = words.rise.value_or(usual.rise), rule.fall = words.fall.value_or(usual.fall);
     rule.errors_most = words.observes ? words.error_limit.value_or(kErrorLimit) : 0;
-    if (first)
+    if (first) {
         pool.health = rule;
-    else if (rule != pool.health)
+    } else if (rule != pool.health) {
         say(at.statement->number, Verdict::changed,
             fmt::format("a pool has one health rule: that of server {}", health_by_.at(pool.name)));
+    }
 }
 
 std::vector<routing::Pool> PoolMaker::finish() {
     std::map<std::string, const routing::Server*> servers;
-    for (const routing::Pool& pool : pools_)
-        for (const routing::Server& server : pool.servers) servers[pool.name + "/" + server.name] = &server;
+    for (const routing::Pool& pool : pools_) {
+        for (const routing::Server& server : pool.servers) {
+            servers[pool.name + "/" + server.name] = &server;
+        }
+    }
     std::map<std::string, std::string> out;  // and why
     for (const auto& [name, server] : servers) {
         std::set<std::string> passed{name};
@@ -271,11 +344,13 @@
             }
             at = next;
         }
-        if (out.count(name) == 0 && at != name && !servers.at(at)->checked)
+        if (out.count(name) == 0 && at != name && !servers.at(at)->checked) {
             out[name] = fmt::format("it tracks {}, which is not checked", at);
+        }
     }
-    for (const auto& [name, why] : out)
+    for (const auto& [name, why] : out) {
         say(line_of_.at(name), Verdict::refused, fmt::format("{}: the server is left out", why));
+    }
     for (routing::Pool& pool : pools_) {
         std::erase_if(pool.servers, [&](const routing::Server& server) {
             return out.contains(pool.name + "/" + server.name);
--- a/src/haproxy/report.cpp
+++ b/src/haproxy/report.cpp
@@ -7,7 +7,8 @@
 namespace micaroad::haproxy {
 namespace {
 
-constexpr Verdict kVerdicts[] = {Verdict::translated, Verdict::changed, Verdict::refused, Verdict::no_effect};
+constexpr Verdict kVerdicts[] = {Verdict::translated, Verdict::changed, Verdict::refused,
+                                 Verdict::no_effect};
 
 // In the normal state: all that are ready are up.
 std::vector<double> shares_of(const routing::Pool& pool) {
@@ -17,12 +18,20 @@
         const bool first_alone = tier == routing::Tier::backup && !pool.all_backups;
         for (std::size_t i = 0; i < shares.size(); ++i) {
             const routing::Server& server = pool.servers[i];
-            if (server.tier != tier || server.state != routing::State::ready || server.weight == 0) continue;
-            if (first_alone && sum > 0) continue;
+            if (server.tier != tier || server.state != routing::State::ready ||
+                server.weight == 0) {
+                continue;
+            }
+            if (first_alone && sum > 0) {
+                continue;
+            }
             shares[i] = server.weight, sum += server.weight;
         }
-        for (std::size_t i = 0; i < shares.size(); ++i)
-            if (pool.servers[i].tier == tier && sum > 0) shares[i] /= sum;
+        for (std::size_t i = 0; i < shares.size(); ++i) {
+            if (pool.servers[i].tier == tier && sum > 0) {
+                shares[i] /= sum;
+            }
+        }
     }
     return shares;
 }
@@ -37,15 +46,22 @@
 
 std::string text_report(const Import& import) {
     std::string text;
-    for (const Trouble& trouble : import.troubles) text += trouble.text() + "\n";
+    for (const Trouble& trouble : import.troubles) {
+        text += trouble.text() + "\n";
+    }
     for (const Finding& finding : import.findings) {
-        if (finding.verdict == Verdict::translated && finding.says.empty()) continue;
-        text += fmt::format("{}:{}: {}: {}{}{}\n", finding.file, finding.line, name_of(finding.verdict),
-                            finding.keyword, finding.says.empty() ? "" : ": ", finding.says);
+        if (finding.verdict == Verdict::translated && finding.says.empty()) {
+            continue;
+        }
+        text +=
+            fmt::format("{}:{}: {}: {}{}{}\n", finding.file, finding.line, name_of(finding.verdict),
+                        finding.keyword, finding.says.empty() ? "" : ": ", finding.says);
     }
     std::string counts;
-    for (const Verdict verdict : kVerdicts)
-        counts += fmt::format("{}{} {}", counts.empty() ? "" : ", ", import.count(verdict), name_of(verdict));
+    for (const Verdict verdict : kVerdicts) {
+        counts += fmt::format("{}{} {}", counts.empty() ? "" : ", ", import.count(verdict),
+                              name_of(verdict));
+    }
     return text + fmt::format("{} lines: {}\n", import.findings.size(), counts);
 }
 
@@ -75,7 +91,9 @@
         }
         report["pools"].push_back({{"name", pool.name}, {"servers", servers}});
     }
-    for (const Verdict verdict : kVerdicts) report["counts"][name_of(verdict)] = import.count(verdict);
+    for (const Verdict verdict : kVerdicts) {
+        report["counts"][name_of(verdict)] = import.count(verdict);
+    }
     report["counts"]["lines"] = import.findings.size();
     return report.dump(1, ' ', false, json::error_handler_t::replace) + "\n";
 }
--- a/src/haproxy/routes.cpp
+++ b/src/haproxy/routes.cpp
@@ -15,10 +15,12 @@
 using routing::Not;
 using routing::Route;
 
-// Of actions on the request: what rewrites it, what only the answer or a log sees, what has no equal.
+// Of actions on the request: what rewrites it, what only the answer or a log sees, what has no
+// equal.
 const std::set<std::string> kRewrites{
-    "set-path",    "set-pathq",     "set-uri", "set-query",    "set-method", "replace-path", "replace-pathq",
-    "replace-uri", "normalize-uri", "set-src", "set-src-port", "set-dst",    "set-dst-port"};
+    "set-path",     "set-pathq",     "set-uri",     "set-query",     "set-method",
+    "replace-path", "replace-pathq", "replace-uri", "normalize-uri", "set-src",
+    "set-src-port", "set-dst",       "set-dst-port"};
 const std::set<std::string> kHeaders{"set-header", "add-header", "del-header", "replace-header",
                                      "replace-value"};
 const std::set<std::string> kNothing{"capture",
@@ -60,32 +62,43 @@
                                      "expect-netscaler-cip"};
 
 std::size_t condition_at(const Statement& statement, std::size_t from) {
-    for (std::size_t at = from; at < statement.size(); ++at)
-        if (statement.word(at) == "if" || statement.word(at) == "unless") return at;
+    for (std::size_t at = from; at < statement.size(); ++at) {
+        if (statement.word(at) == "if" || statement.word(at) == "unless") {
+            return at;
+        }
+    }
     return statement.size();
 }
 
 // The order in which the original comes to them.
 int phase_of(const Statement& statement) {
     const std::string& word = statement.word(0);
-    if (word == "tcp-request")
+    if (word == "tcp-request") {
         return statement.word(1) == "connection" ? 0 : statement.word(1) == "session" ? 1 : 2;
+    }
     return word == "block" ? 3 : word == "http-request" ? 4 : 5;
 }
 
 Match both(const Match& a, const Match& b) {
     const auto* all = std::get_if<AllOf>(&a.is);
-    if (all != nullptr && all->of.empty()) return b;
+    if (all != nullptr && all->of.empty()) {
+        return b;
+    }
     return {AllOf{{a, b}}};
 }
 
 }  // namespace
 
 RouteMaker::RouteMaker(const std::vector<Draft>& drafts, Findings& findings) : findings_(findings) {
-    for (const Draft& draft : drafts)
-        if (draft.has_servers()) pools_.insert(draft.section->name);
     for (const Draft& draft : drafts) {
-        if (draft.section->kind != "backend") continue;
+        if (draft.has_servers()) {
+            pools_.insert(draft.section->name);
+        }
+    }
+    for (const Draft& draft : drafts) {
+        if (draft.section->kind != "backend") {
+            continue;
+        }
         Acls acls(draft.acls, {pools_, draft.section->name}, findings_);
         denials_[draft.section->name] = denials_of(draft, acls, nullptr);
     }
@@ -100,7 +113,9 @@
 std::vector<RouteMaker::Denial> RouteMaker::denials_of(const Draft& draft, Acls& acls,
                                                        std::vector<Route>* routes) {
     std::vector<Rule> rules;
-    for (const Statement* statement : draft.rules) rules.push_back({phase_of(*statement), statement});
+    for (const Statement* statement : draft.rules) {
+        rules.push_back({phase_of(*statement), statement});
+    }
     std::stable_sort(rules.begin(), rules.end(),
                      [](const Rule& a, const Rule& b) { return a.phase < b.phase; });
     std::vector<Denial> denials;
@@ -108,16 +123,23 @@
     bool loose = false;     // an `allow` that can't be told
     int phase = -1;
     for (const auto& [at_phase, statement] : rules) {
-        if (std::exchange(phase, at_phase) != at_phase) unless = Match{AllOf{}}, loose = false;
+        if (std::exchange(phase, at_phase) != at_phase) {
+            unless = Match{AllOf{}}, loose = false;
+        }
         const Statement& line = *statement;
         const bool tcp = line.word(0) == "tcp-request";
         const std::size_t at =
-            line.word(0) == "http-request" || line.word(0) == "block" || line.word(0) == "redirect" ? 1 : 2;
+            line.word(0) == "http-request" || line.word(0) == "block" || line.word(0) == "redirect"
+                ? 1
+                : 2;
         std::string action = line.word(0) == "block"      ? "deny"
                              : line.word(0) == "redirect" ? "redirect"
                                                           : line.word(at);
-        if (tcp && line.word(1) == "inspect-delay") action = "inspect-delay";
-        const std::size_t behind = line.word(0) == "block" || line.word(0) == "redirect" ? 1 : at + 1;
+        if (tcp && line.word(1) == "inspect-delay") {
+            action = "inspect-delay";
+        }
+        const std::size_t behind =
+            line.word(0) == "block" || line.word(0) == "redirect" ? 1 : at + 1;
         const std::size_t condition = condition_at(line, behind);
         const auto when = [&] { return acls.condition(line, condition); };
         const bool turns_away = action == "deny" || action == "tarpit" || action == "reject" ||
@@ -126,41 +148,50 @@
             int status = action == "tarpit" ? 500 : action == "return" ? 200 : 403;
             std::string wrong;
             for (std::size_t i = behind; i + 1 < condition; ++i) {
-                if (line.word(i) != "deny_status" && line.word(i) != "status") continue;
+                if (line.word(i) != "deny_status" && line.word(i) != "status") {
+                    continue;
+                }
                 const auto value = number_of(line.word(i + 1), 100, 599);
-                if (!value)
+                if (!value) {
                     wrong = value.wrong;
-                else
+                } else {
                     status = static_cast<int>(*value);
+                }
             }
             const Translated match = when();
             if (!wrong.empty() || !match.match || status < 400) {
                 say(line, Verdict::refused,
-                    fmt::format("{}; what it answered passes now: answer it at the proxies",
-                                !wrong.empty() ? wrong
-                                : !match.match
-                                    ? match.says
-                                    : fmt::format("an answer of status {} is the proxies' own", status)));
+                    fmt::format(
+                        "{}; what it answered passes now: answer it at the proxies",
+                        !wrong.empty() ? wrong
+                        : !match.match
+                            ? match.says
+                            : fmt::format("an answer of status {} is the proxies' own", status)));
                 continue;
             }
             const Match full = both(unless, *match.match);
             denials.push_back({full, status});
-            if (routes != nullptr)
+            if (routes != nullptr) {
                 routes->push_back({name_of("deny", line), full, routing::TurnAway{status}});
-            Verdict verdict = std::max(match.verdict, loose ? Verdict::changed : Verdict::translated);
+            }
+            Verdict verdict =
+                std::max(match.verdict, loose ? Verdict::changed : Verdict::translated);
             std::string says = loose ? "also what an `allow` before it let past" : match.says;
-            if (action != "deny")
+            if (action != "deny") {
                 verdict = std::max(verdict, Verdict::changed),
-                says = fmt::format("turned away at once with {}: nobody is held back or cut off", status);
-            else if (routes == nullptr && says.empty())
+                says = fmt::format("turned away at once with {}: nobody is held back or cut off",
+                                   status);
+            } else if (routes == nullptr && says.empty()) {
                 says = "as a route before each that leads to this pool";
+            }
             say(line, verdict, says);
         } else if (action == "allow" || action == "accept") {
             const Translated match = when();
             if (!match.match) {
                 loose = true;
                 say(line, Verdict::refused,
-                    fmt::format("{}; what it let past is turned away by the rules behind it", match.says));
+                    fmt::format("{}; what it let past is turned away by the rules behind it",
+                                match.says));
                 continue;
             }
             unless = both(unless, Match{Not{{*match.match}}});
@@ -169,42 +200,53 @@
             std::string location;
             int status = 302;
             for (std::size_t i = behind; i + 1 < condition; ++i) {
-                if (line.word(i) == "location") location = line.word(i + 1);
-                if (line.word(i) == "code")
-                    status = static_cast<int>(number_of(line.word(i + 1), 301, 308).value.value_or(302));
+                if (line.word(i) == "location") {
+                    location = line.word(i + 1);
+                }
+                if (line.word(i) == "code") {
+                    status =
+                        static_cast<int>(number_of(line.word(i + 1), 301, 308).value.value_or(302));
+                }
             }
             const Translated match = when();
             if (routes == nullptr || location.empty() || location.find("%[") != std::string::npos ||
                 !match.match) {
                 say(line, Verdict::refused,
                     fmt::format("{}; what it redirected passes now: redirect at the proxies",
-                                !match.match        ? match.says
-                                : routes == nullptr ? "a backend's redirect has no equal here"
-                                                    : "only a location that stands in the line can be told"));
+                                !match.match ? match.says
+                                : routes == nullptr
+                                    ? "a backend's redirect has no equal here"
+                                    : "only a location that stands in the line can be told"));
                 continue;
             }
-            routes->push_back(
-                {name_of("redirect", line), both(unless, *match.match), routing::Redirect{location, status}});
-            say(line, std::max(match.verdict, loose ? Verdict::changed : Verdict::translated), match.says);
+            routes->push_back({name_of("redirect", line), both(unless, *match.match),
+                               routing::Redirect{location, status}});
+            say(line, std::max(match.verdict, loose ? Verdict::changed : Verdict::translated),
+                match.says);
         } else if (action == "auth") {
-            say(line, Verdict::refused, "who a client is, is not asked here: what it kept out passes now");
+            say(line, Verdict::refused,
+                "who a client is, is not asked here: what it kept out passes now");
         } else if (kRewrites.contains(action)) {
-            const bool seen = !draft.use_backends.empty() || !draft.acls.empty() || routes == nullptr;
-            if (seen)
+            const bool seen =
+                !draft.use_backends.empty() || !draft.acls.empty() || routes == nullptr;
+            if (seen) {
                 say(line, Verdict::refused,
                     "routes and hashes go by the RPC as it came: rewrite it before it is routed");
-            else
+            } else {
                 say(line, Verdict::no_effect,
                     "how an RPC is rewritten is the proxies' own; nothing here routes by it");
+            }
         } else if (kHeaders.contains(action)) {
             const std::string name = line.word(behind);
-            const bool seen = std::any_of(
-                draft.acls.begin(), draft.acls.end(),
-                [&name](const Statement* acl) { return acl->word(2).find("(" + name) != std::string::npos; });
-            if (seen)
+            const bool seen =
+                std::any_of(draft.acls.begin(), draft.acls.end(), [&name](const Statement* acl) {
+                    return acl->word(2).find("(" + name) != std::string::npos;
+                });
+            if (seen) {
                 say(line, Verdict::refused, "routes go by the header as it came");
-            else
+            } else {
                 say(line, Verdict::no_effect, "headers for servers are the proxies' own");
+            }
         } else if (kNothing.contains(action) || action.starts_with("set-var(") ||
                    action.starts_with("unset-var(") || action.starts_with("sc-") ||
                    action.starts_with("set-map(")) {
@@ -218,9 +260,10 @@
 
 void RouteMaker::to_pool(const std::string& pool, const Match& when, const Statement& statement,
                          std::vector<Route>& routes) {
-    for (const Denial& denial : denials_[pool])
-        routes.push_back(
-            {name_of("deny-" + pool, statement), both(when, denial.when), routing::TurnAway{denial.status}});
+    for (const Denial& denial : denials_[pool]) {
+        routes.push_back({name_of("deny-" + pool, statement), both(when, denial.when),
+                          routing::TurnAway{denial.status}});
+    }
     routes.push_back({name_of("to-" + pool, statement), when, routing::ToPool{pool}});
 }
 
@@ -232,21 +275,25 @@
         const std::size_t end = std::min(text.find(',', from), text.size());
         const std::string one = text.substr(from, end - from);
         const auto endpoint = endpoint_of(one);
-        const bool tcp =
-            endpoint &&
-            (endpoint->kind == Endpoint::Kind::literal || endpoint->kind == Endpoint::Kind::any_host) &&
-            endpoint->port > 0 && !endpoint->relative_port;
-        if (tcp)
+        const bool tcp = endpoint &&
+                         (endpoint->kind == Endpoint::Kind::literal ||
+                          endpoint->kind == Endpoint::Kind::any_host) &&
+                         endpoint->port > 0 && !endpoint->relative_port;
+        if (tcp) {
             listener.addresses.push_back(endpoint->text()), any = true;
-        else
+        } else {
             wrong = endpoint ? fmt::format("'{}' is no address and one port", one) : endpoint.wrong;
+        }
         from = end + 1;
     }
-    if (!wrong.empty()) return say(statement, Verdict::refused, wrong + (any ? "; the others stand" : ""));
+    if (!wrong.empty()) {
+        return say(statement, Verdict::refused, wrong + (any ? "; the others stand" : ""));
+    }
     for (std::size_t i = 2; i < statement.size(); ++i) {
-        if (statement.word(i) == "maxconn")
+        if (statement.word(i) == "maxconn") {
             return say(statement, Verdict::refused,
                        "maxconn is by section: `maxconn` on a line of its own; the address stands");
+        }
     }
     say(statement, Verdict::translated,
         statement.size() > 2 ? "how proxies listen there (TLS, options) is theirs" : "");
@@ -257,8 +304,11 @@
     routing::Listener listener;
     listener.name = section.name;
     names_.clear();
-    findings_.say(section.header.number, Verdict::translated, fmt::format("listener {}", section.name));
-    for (const Statement* bind_line : draft.binds) bind(*bind_line, listener);
+    findings_.say(section.header.number, Verdict::translated,
+                  fmt::format("listener {}", section.name));
+    for (const Statement* bind_line : draft.binds) {
+        bind(*bind_line, listener);
+    }
     listener.connections_most = draft.settings.max_conn.get_or(0, findings_);
     Acls acls(draft.acls, {pools_, section.kind == "listen" ? section.name : ""}, findings_);
     denials_of(draft, acls, &listener.routes);
@@ -266,7 +316,8 @@
         const std::string& pool = statement->word(1);
         if (pool.find("%[") != std::string::npos) {
             say(*statement, Verdict::refused,
-                "a pool's name can't be made from the RPC: write a line for each pool; what it took goes on "
+                "a pool's name can't be made from the RPC: write a line for each pool; what it "
+                "took goes on "
                 "to the routes behind it");
             continue;
         }
@@ -288,9 +339,10 @@
             findings_.say(line, Verdict::refused, fmt::format("there is no backend {}", pool));
         } else {
             listener.default_pool = pool;
-            for (const Denial& denial : denials_[pool])
-                listener.routes.push_back(
-                    {name_of("deny-" + pool, section.header), denial.when, routing::TurnAway{denial.status}});
+            for (const Denial& denial : denials_[pool]) {
+                listener.routes.push_back({name_of("deny-" + pool, section.header), denial.when,
+                                           routing::TurnAway{denial.status}});
+            }
         }
     } else if (section.kind == "listen") {
         listener.default_pool = section.name;
--- a/src/haproxy/routes.hpp
+++ b/src/haproxy/routes.hpp
@@ -29,7 +29,8 @@
         int phase = 0;
         const Statement* statement;
     };
-    std::vector<Denial> denials_of(const Draft& draft, Acls& acls, std::vector<routing::Route>* routes);
+    std::vector<Denial> denials_of(const Draft& draft, Acls& acls,
+                                   std::vector<routing::Route>* routes);
     void to_pool(const std::string& pool, const routing::Match& when, const Statement& statement,
                  std::vector<routing::Route>& routes);
     void bind(const Statement& statement, routing::Listener& listener);
--- a/src/haproxy/section.cpp
+++ b/src/haproxy/section.cpp
@@ -13,7 +13,8 @@
 
 class Reader {
  public:
-    Reader(const Section& section, const Settings& taken_over, Findings& findings) : findings_(findings) {
+    Reader(const Section& section, const Settings& taken_over, Findings& findings)
+        : findings_(findings) {
         draft_.section = &section, draft_.settings = taken_over;
     }
 
@@ -69,7 +70,9 @@
     }
 
     const std::string& word(std::size_t i) const { return at_->word(i); }
-    void say(Verdict verdict, const std::string& says = "") { findings_.say(at_->number, verdict, says); }
+    void say(Verdict verdict, const std::string& says = "") {
+        findings_.say(at_->number, verdict, says);
+    }
     // The verdict holds where some section goes by the line.
     void setting(Verdict verdict, const std::string& says = "") {
         say(verdict, says);
@@ -78,19 +81,23 @@
     bool is_defaults() const { return draft_.section->kind == "defaults"; }
     std::optional<int> number(std::size_t i, std::int64_t least, std::int64_t most) {
         const auto value = number_of(word(i), least, most);
-        if (value) return static_cast<int>(*value);
+        if (value) {
+            return static_cast<int>(*value);
+        }
         say(Verdict::refused, value.wrong);
         return std::nullopt;
     }
     static constexpr std::int64_t kInt = 2'147'483'647;
 
     void mode() {
-        if (word(1) == "http")
+        if (word(1) == "http") {
             say(Verdict::translated);
-        else if (word(1) == "tcp")
-            say(Verdict::changed, "each connection counts as one RPC; paths, hosts and headers are not seen");
-        else
+        } else if (word(1) == "tcp") {
+            say(Verdict::changed,
+                "each connection counts as one RPC; paths, hosts and headers are not seen");
+        } else {
             say(Verdict::refused, fmt::format("mode '{}' has no equal here", word(1)));
+        }
         draft_.settings.mode.set(word(1), at_->number);
     }
     void balance() {
@@ -98,13 +105,16 @@
         const std::string text = word(1);
         const auto open = text.find('(');
         to.kind = text.substr(0, open);
-        if (open != std::string::npos && text.ends_with(')'))
+        if (open != std::string::npos && text.ends_with(')')) {
             to.argument = text.substr(open + 1, text.size() - open - 2);
+        }
         static const char* const kBegin =
-            "shares begin at the weights; what the planner learns moves them, none under a twentieth of its "
+            "shares begin at the weights; what the planner learns moves them, none under a "
+            "twentieth of its "
             "listed part";
         static const char* const kHash =
-            "one key keeps to one server while that may be used, and keys spread by weight; which server a "
+            "one key keeps to one server while that may be used, and keys spread by weight; which "
+            "server a "
             "key gets is another one than in the original";
         Verdict verdict = Verdict::translated;
         std::string says = kBegin;
@@ -114,21 +124,27 @@
         } else if (to.kind == "random") {
             if (!to.argument.empty()) {
                 const auto draws = number_of(to.argument, 1, kInt);
-                if (!draws) return say(Verdict::refused, draws.wrong);
+                if (!draws) {
+                    return say(Verdict::refused, draws.wrong);
+                }
                 to.draws = static_cast<int>(*draws);
             }
-            if (to.draws > 1)
-                verdict = Verdict::changed, says =
-                                                "one server is drawn by weight, not the least busy of "
-                                                "several; under even load the parts are the same";
+            if (to.draws > 1) {
+                verdict = Verdict::changed,
+                says =
+                    "one server is drawn by weight, not the least busy of "
+                    "several; under even load the parts are the same";
+            }
         } else if (to.kind == "leastconn") {
             verdict = Verdict::changed;
             says =
-                "shares begin at the weights and follow answer times, not open connections; servers of equal "
+                "shares begin at the weights and follow answer times, not open connections; "
+                "servers of equal "
                 "speed get the same parts within a tenth";
         } else if (to.kind == "first") {
-            verdict = Verdict::changed,
-            says = "all servers share the RPCs by weight at once; they are not filled one behind the other";
+            verdict = Verdict::changed, says =
+                                            "all servers share the RPCs by weight at once; they "
+                                            "are not filled one behind the other";
         } else if (to.kind == "source") {
             verdict = Verdict::changed, says = kHash;
         } else if (to.kind == "uri") {
@@ -139,32 +155,44 @@
                     to.path_only = true;
                 } else if (word(i) == "depth" || word(i) == "len") {
                     const auto value = number(i + 1, 1, 65'536);
-                    if (!value) return;
+                    if (!value) {
+                        return;
+                    }
                     (word(i) == "depth" ? to.depth : to.length) = *value, ++i;
                 } else {
-                    return say(Verdict::refused, fmt::format("balance uri: '{}' is not known", word(i)));
+                    return say(Verdict::refused,
+                               fmt::format("balance uri: '{}' is not known", word(i)));
                 }
             }
             verdict = Verdict::changed, says = kHash;
         } else if (to.kind == "url_param") {
             to.argument = word(2);
-            if (to.argument.empty())
+            if (to.argument.empty()) {
                 return say(Verdict::refused, "balance url_param lacks the parameter's name");
+            }
             verdict = Verdict::changed, says = kHash;
-            if (word(3) == "check_post") says += "; bodies are not searched for it";
+            if (word(3) == "check_post") {
+                says += "; bodies are not searched for it";
+            }
         } else if (to.kind == "hdr") {
-            if (to.argument.empty()) return say(Verdict::refused, "balance hdr() lacks the header's name");
+            if (to.argument.empty()) {
+                return say(Verdict::refused, "balance hdr() lacks the header's name");
+            }
             verdict = Verdict::changed, says = kHash;
-            if (word(2) == "use_domain_only") says += "; the whole value counts";
+            if (word(2) == "use_domain_only") {
+                says += "; the whole value counts";
+            }
         } else if (to.kind == "hash") {
             to.argument = word(2);
-            if (!hash_of(to))
+            if (!hash_of(to)) {
                 return say(Verdict::refused,
                            fmt::format("balance hash: '{}' has no equal here", to.argument));
+            }
             verdict = Verdict::changed, says = kHash;
         } else {
-            return say(Verdict::refused,
-                       fmt::format("balance {} has no equal here; the pool spreads by weight", to.kind));
+            return say(
+                Verdict::refused,
+                fmt::format("balance {} has no equal here; the pool spreads by weight", to.kind));
         }
         setting(verdict, says);
         draft_.settings.balance.set(std::move(to), at_->number);
@@ -178,31 +206,37 @@
         const std::string argument = open != std::string::npos && text.ends_with(')')
                                          ? text.substr(open + 1, text.size() - open - 2)
                                          : "";
-        if (name == "src")
+        if (name == "src") {
             balance.kind = "source", balance.argument.clear();
-        else if (name == "path")
+        } else if (name == "path") {
             balance.kind = "uri", balance.argument.clear();
-        else if (name == "pathq" || name == "url")
+        } else if (name == "pathq" || name == "url") {
             balance.kind = "uri", balance.whole = true, balance.argument.clear();
-        else if ((name == "url_param" || name == "urlp") && !argument.empty())
+        } else if ((name == "url_param" || name == "urlp") && !argument.empty()) {
             balance.kind = "url_param", balance.argument = argument;
-        else if ((name == "hdr" || name == "req.hdr" || name == "req.fhdr") && !argument.empty())
+        } else if ((name == "hdr" || name == "req.hdr" || name == "req.fhdr") &&
+                   !argument.empty()) {
             balance.kind = "hdr", balance.argument = argument;
-        else
+        } else {
             return false;
+        }
         return true;
     }
     void hash_type() {
         setting(Verdict::changed,
-                "keys are spread by weighted rendezvous hashing: a server that leaves takes only its own "
+                "keys are spread by weighted rendezvous hashing: a server that leaves takes only "
+                "its own "
                 "keys along");
         draft_.settings.hash_type.set(word(1), at_->number);
     }
     void retries() {
         const auto value = number(1, 0, 100);
-        if (!value) return;
+        if (!value) {
+            return;
+        }
         setting(Verdict::changed,
-                "without the original's wait of a second before the same server is tried again; the planner "
+                "without the original's wait of a second before the same server is tried again; "
+                "the planner "
                 "orders fewer while levels are cut");
         draft_.settings.retries.set(*value, at_->number);
     }
@@ -228,16 +262,19 @@
                                                   "504"};
         bool any = false, more = false;
         for (std::size_t i = 1; i < at_->size(); ++i) {
-            if (!kKnown.contains(word(i)))
+            if (!kKnown.contains(word(i))) {
                 return say(Verdict::refused, fmt::format("retry-on '{}' is not known", word(i)));
+            }
             any |= word(i) != "none", more |= word(i) != "none" && word(i) != "conn-failure";
         }
-        if (more)
+        if (more) {
             setting(Verdict::changed,
-                    "after any failure, and only where the RPC is idempotent: nothing that may have run "
+                    "after any failure, and only where the RPC is idempotent: nothing that may "
+                    "have run "
                     "takes effect twice");
-        else
+        } else {
             setting(Verdict::translated);
+        }
         draft_.settings.retry_on.set({any, more}, at_->number);
     }
     void option() {
@@ -251,20 +288,29 @@
             Redispatch to{!at_->no, -1};
             if (at_->size() > 2) {
                 const auto interval = number(2, -100, 100);
-                if (!interval) return;
+                if (!interval) {
+                    return;
+                }
                 to.interval = *interval;
             }
-            if (to.interval == -1 || to.interval == 1)
+            if (to.interval == -1 || to.interval == 1) {
                 setting(Verdict::translated);
-            else
+            } else {
                 setting(Verdict::changed, "only the last try goes to another server");
+            }
             settings.redispatch.set(to, at_->number);
         } else if (name == "httpchk") {
-            if (at_->no) return settings.check.set({}, at_->number), setting(Verdict::translated);
+            if (at_->no) {
+                return settings.check.set({}, at_->number), setting(Verdict::translated);
+            }
             Check to;
             to.http = true;
-            if (at_->size() == 3) to.path = word(2);
-            if (at_->size() > 3) to.method = word(2), to.path = word(3);
+            if (at_->size() == 3) {
+                to.path = word(2);
+            }
+            if (at_->size() > 3) {
+                to.method = word(2), to.path = word(3);
+            }
             // "HTTP/1.1\r\nHost:\ www" behind the path is the old way to name a host.
             const std::string version = word(4);
             if (const auto host = version.find("Host:"); host != std::string::npos) {
@@ -272,7 +318,8 @@
                 to.host.erase(0, std::min(to.host.find_first_not_of(" \t"), to.host.size()));
                 to.host = to.host.substr(0, to.host.find_first_of("\r\n"));
             }
-            settings.check.set(to, at_->number), setting(Verdict::translated, "probes speak HTTP/1.1");
+            settings.check.set(to, at_->number),
+                setting(Verdict::translated, "probes speak HTTP/1.1");
         } else if (name == "tcp-check") {
             settings.check.set({}, at_->number),
                 setting(Verdict::translated, "a connection is a sign of health");
@@ -293,40 +340,54 @@
             {"tunnel", "tunnels are the proxies' matter"},
             {"tarpit", "nobody is held back: an answer that is final is given at once"}};
         const std::string& name = word(1);
-        if (const auto other = kOthers.find(name); other != kOthers.end())
+        if (const auto other = kOthers.find(name); other != kOthers.end()) {
             return say(Verdict::no_effect, other->second);
-        if (name != "connect" && name != "server" && name != "queue" && name != "check")
+        }
+        if (name != "connect" && name != "server" && name != "queue" && name != "check") {
             return say(Verdict::refused, fmt::format("timeout {} is not known", name));
+        }
         const auto value = time_of(word(2));
-        if (!value) return say(Verdict::refused, value.wrong);
-        setting(name == "server" ? Verdict::changed : Verdict::translated,
-                name == "server" ? "the whole answer is due within it, not each silence of it" : "");
+        if (!value) {
+            return say(Verdict::refused, value.wrong);
+        }
+        setting(
+            name == "server" ? Verdict::changed : Verdict::translated,
+            name == "server" ? "the whole answer is due within it, not each silence of it" : "");
         draft_.settings.timeouts[name].set(*value, at_->number);
     }
     void max_conn() {
         const auto value = number(1, 0, kInt);
-        if (!value) return;
+        if (!value) {
+            return;
+        }
         setting(Verdict::translated);
         draft_.settings.max_conn.set(*value, at_->number);
     }
     void full_conn() {
         const auto value = number(1, 1, kInt);
-        if (!value) return;
+        if (!value) {
+            return;
+        }
         setting(Verdict::changed,
                 "limits of servers do not move with the pool's load: each is maxconn at any time");
         draft_.settings.full_conn.set(*value, at_->number);
     }
     void cookie() {
-        if (word(1).empty()) return say(Verdict::refused, "cookie lacks its name");
+        if (word(1).empty()) {
+            return say(Verdict::refused, "cookie lacks its name");
+        }
         bool makes = false;
-        for (std::size_t i = 2; i < at_->size(); ++i)
+        for (std::size_t i = 2; i < at_->size(); ++i) {
             makes |= word(i) == "insert" || word(i) == "rewrite" || word(i) == "prefix";
-        if (makes)
+        }
+        if (makes) {
             setting(Verdict::changed,
-                    "an RPC that bears the cookie stays with its server; the proxy, not the planner, is to "
+                    "an RPC that bears the cookie stays with its server; the proxy, not the "
+                    "planner, is to "
                     "set it");
-        else
+        } else {
             setting(Verdict::translated);
+        }
         draft_.settings.cookie.set({word(1)}, at_->number);
     }
     void http_check() {
@@ -336,38 +397,49 @@
         if (what == "expect") {
             std::size_t at = 2;
             while (word(at) == "min-recv" || word(at) == "comment" || word(at) == "ok-status" ||
-                   word(at) == "error-status" || word(at) == "tout-status" || word(at) == "on-success" ||
-                   word(at) == "on-error" || word(at) == "status-code")
+                   word(at) == "error-status" || word(at) == "tout-status" ||
+                   word(at) == "on-success" || word(at) == "on-error" ||
+                   word(at) == "status-code") {
                 at += 2;
-            if (word(at) != "status")
-                return say(Verdict::refused,
-                           fmt::format("http-check expect {}: only 'status' is looked at", word(at)));
+            }
+            if (word(at) != "status") {
+                return say(
+                    Verdict::refused,
+                    fmt::format("http-check expect {}: only 'status' is looked at", word(at)));
+            }
             std::string text = word(at + 1);
             const auto dash = text.find('-');
             const auto low = number_of(text.substr(0, dash), 100, 599);
-            const auto high = dash == std::string::npos ? low : number_of(text.substr(dash + 1), 100, 599);
-            if (!low || !high || *low > *high)
+            const auto high =
+                dash == std::string::npos ? low : number_of(text.substr(dash + 1), 100, 599);
+            if (!low || !high || *low > *high) {
                 return say(Verdict::refused,
-                           fmt::format("'{}' is no status or range of them that is looked for here", text));
-            check.status_least = static_cast<int>(*low), check.status_most = static_cast<int>(*high);
+                           fmt::format("'{}' is no status or range of them that is looked for here",
+                                       text));
+            }
+            check.status_least = static_cast<int>(*low),
+            check.status_most = static_cast<int>(*high);
         } else if (what == "send") {
             std::string also;
             for (std::size_t i = 2; i < at_->size(); ++i) {
-                if (word(i) == "meth")
+                if (word(i) == "meth") {
                     check.method = word(++i);
-                else if (word(i) == "uri")
+                } else if (word(i) == "uri") {
                     check.path = word(++i);
-                else if (word(i) == "hdr" && (word(i + 1) == "Host" || word(i + 1) == "host"))
+                } else if (word(i) == "hdr" && (word(i + 1) == "Host" || word(i + 1) == "host")) {
                     check.host = word(i + 2), i += 2;
-                else if (word(i) == "ver")
+                } else if (word(i) == "ver") {
                     ++i;
-                else
+                } else {
                     return say(
                         Verdict::refused,
-                        fmt::format("http-check send {}: probes have a method, a path and a host", word(i)));
+                        fmt::format("http-check send {}: probes have a method, a path and a host",
+                                    word(i)));
+                }
             }
         } else if (what == "disable-on-404") {
-            return say(Verdict::refused, "a server is drained by the list, not by the answer to a probe");
+            return say(Verdict::refused,
+                       "a server is drained by the list, not by the answer to a probe");
         } else if (what == "send-state") {
             return say(Verdict::no_effect, "probes do not tell servers their state");
         } else {
@@ -381,19 +453,24 @@
         // The line that was built on counts as gone by wherever this one is.
     }
     void tcp_check() {
-        if (word(1) == "connect" && at_->size() == 2)
+        if (word(1) == "connect" && at_->size() == 2) {
             return say(Verdict::translated, "a connection is a sign of health");
+        }
         say(Verdict::refused, "probes connect, or ask by HTTP; scripts have no equal here");
     }
     void stick_table() {
-        if (word(1) != "type") return say(Verdict::refused, "a table is read from its type on");
-        setting(
-            Verdict::changed,
-            "nothing is stored or counted: keys are spread by hash, so that they need no table and no peers");
+        if (word(1) != "type") {
+            return say(Verdict::refused, "a table is read from its type on");
+        }
+        setting(Verdict::changed,
+                "nothing is stored or counted: keys are spread by hash, so that they need no table "
+                "and no peers");
         draft_.settings.stick_table.set(word(2), at_->number);
     }
     void stick() {
-        if (is_defaults()) return say(Verdict::refused, "stick rules belong to a backend");
+        if (is_defaults()) {
+            return say(Verdict::refused, "stick rules belong to a backend");
+        }
         draft_.sticks.push_back(at_);
     }
     void default_backend() {
@@ -403,34 +480,48 @@
     void default_server() {
         ServerWords words = draft_.settings.default_server;
         read_server_words(*at_, 1, words, findings_);
-        if (words.left_out) return;  // its line says so; servers go by what was set before
+        if (words.left_out) {
+            return;  // its line says so; servers go by what was set before
+        }
         draft_.settings.default_server = words;
         draft_.settings.default_server_lines.push_back(at_->number);
         findings_.set_aside(at_->number, "no server goes by it");
     }
     bool belongs(bool sound, const char* where) {
-        if (is_defaults())
-            return say(Verdict::refused, "in defaults it is not taken over here: put it into the sections"),
+        if (is_defaults()) {
+            return say(Verdict::refused,
+                       "in defaults it is not taken over here: put it into the sections"),
                    false;
-        if (!sound) say(Verdict::refused, where);
+        }
+        if (!sound) {
+            say(Verdict::refused, where);
+        }
         return sound;
     }
     void own(std::vector<const Statement*>& list, bool sound, const char* where) {
-        if (belongs(sound, where)) list.push_back(at_);
+        if (belongs(sound, where)) {
+            list.push_back(at_);
+        }
     }
     void server() {
-        if (!belongs(draft_.has_servers(), "only a backend or listen section has servers")) return;
-        draft_.servers.push_back({at_, draft_.settings.default_server, draft_.settings.default_server_lines});
+        if (!belongs(draft_.has_servers(), "only a backend or listen section has servers")) {
+            return;
+        }
+        draft_.servers.push_back(
+            {at_, draft_.settings.default_server, draft_.settings.default_server_lines});
     }
     void acl() { own(draft_.acls, true, ""); }
-    void bind() { own(draft_.binds, draft_.listens(), "only a frontend or listen section listens"); }
+    void bind() {
+        own(draft_.binds, draft_.listens(), "only a frontend or listen section listens");
+    }
     void use_backend() {
         own(draft_.use_backends, draft_.listens(), "only a frontend or listen section has routes");
     }
     void rule() { own(draft_.rules, true, ""); }
     void use_server() {
         say(Verdict::refused,
-            "an RPC is not given to one server by a rule: make a pool of that server and a route to it");
+            "an RPC is not given to one server by a rule: make a pool of that server and a route "
+            "to it");
     }
     void disabled() {
         draft_.disabled = true, say(Verdict::translated, "the whole section counts as disabled");
--- a/src/haproxy/section.hpp
+++ b/src/haproxy/section.hpp
@@ -1,5 +1,5 @@
-// A frontend, backend, listen or defaults section with its settings read, each with the line that it came
-// from.
+// A frontend, backend, listen or defaults section with its settings read, each with the line that
+// it came from.
 #pragma once
 
 #include <functional>
@@ -14,8 +14,8 @@
 
 namespace micaroad::haproxy {
 
-// A setting that a section takes from its defaults unless it has its own. Getting it counts as going by its
-// line.
+// A setting that a section takes from its defaults unless it has its own. Getting it counts as
+// going by its line.
 template <class T>
 class Setting {
  public:
@@ -25,7 +25,9 @@
         findings.use(line_);
         return *value_;
     }
-    T get_or(T otherwise, Findings& findings) const { return value_ ? get(findings) : std::move(otherwise); }
+    T get_or(T otherwise, Findings& findings) const {
+        return value_ ? get(findings) : std::move(otherwise);
+    }
     std::size_t line() const { return line_; }
 
  private:
--- a/src/haproxy/server_line.cpp
+++ b/src/haproxy/server_line.cpp
@@ -17,7 +17,8 @@
 const char* const kTls =
     "TLS to servers is the proxies' own matter: tables name addresses alone; set it there";
 const char* const kProxyLine =
-    "the PROXY line has no equal here: proxies send RPCs as they are; let the servers take the address from "
+    "the PROXY line has no equal here: proxies send RPCs as they are; let the servers take the "
+    "address from "
     "a header";
 const char* const kLookUp = "no names are looked up here";
 
@@ -101,7 +102,8 @@
 
 }  // namespace
 
-void read_server_words(const Statement& statement, std::size_t from, ServerWords& words, Findings& findings) {
+void read_server_words(const Statement& statement, std::size_t from, ServerWords& words,
+                       Findings& findings) {
     const auto say = [&](Verdict verdict, std::string says) {
         findings.say(statement.number, verdict, says);
     };
@@ -110,91 +112,109 @@
         say(Verdict::refused, fmt::format("{}: the server is left out", why));
     };
     std::size_t at = from;
-    const auto number = [&](const char* word, std::int64_t least, std::int64_t most) -> std::optional<int> {
+    const auto number = [&](const char* word, std::int64_t least,
+                            std::int64_t most) -> std::optional<int> {
         const auto value = number_of(statement.word(++at), least, most);
-        if (!value) return leave_out(fmt::format("{} {}", word, value.wrong)), std::nullopt;
+        if (!value) {
+            return leave_out(fmt::format("{} {}", word, value.wrong)), std::nullopt;
+        }
         return static_cast<int>(*value);
     };
     const auto time = [&](const char* word, bool zero_may = false) -> std::optional<Duration> {
         const auto value = time_of(statement.word(++at));
-        if (!value) return leave_out(fmt::format("{} {}", word, value.wrong)), std::nullopt;
-        if (*value == Duration{} && !zero_may)
+        if (!value) {
+            return leave_out(fmt::format("{} {}", word, value.wrong)), std::nullopt;
+        }
+        if (*value == Duration{} && !zero_may) {
             return leave_out(fmt::format("{} is no time at all", word)), std::nullopt;
+        }
         return *value;
     };
     // Probes in a row: more than the operator's file takes are as good as never.
     const auto in_a_row = [&](const char* word) {
         const auto value = number(word, 1, 2'147'483'647);
-        if (value && *value > kMostInARow)
-            say(Verdict::changed, fmt::format("{} probes in a row are enough, not {}", kMostInARow, *value));
+        if (value && *value > kMostInARow) {
+            say(Verdict::changed,
+                fmt::format("{} probes in a row are enough, not {}", kMostInARow, *value));
+        }
         return value ? std::optional(std::min(*value, kMostInARow)) : value;
     };
     constexpr std::int64_t kInt = 2'147'483'647;
     say(Verdict::translated, "");
     for (; at < statement.size(); ++at) {
         const std::string& word = statement.word(at);
-        if (word == "weight")
+        if (word == "weight") {
             words.weight = number("weight", 0, 256).value_or(0);
-        else if (word == "backup")
+        } else if (word == "backup") {
             words.backup = true;
-        else if (word == "no-backup")
+        } else if (word == "no-backup") {
             words.backup = false;
-        else if (word == "disabled")
+        } else if (word == "disabled") {
             words.disabled = true;
-        else if (word == "enabled")
+        } else if (word == "enabled") {
             words.disabled = false;
-        else if (word == "check")
+        } else if (word == "check") {
             words.check = true;
-        else if (word == "no-check")
+        } else if (word == "no-check") {
             words.check = false;
-        else if (word == "inter")
+        } else if (word == "inter") {
             words.inter = time("inter");
-        else if (word == "fastinter")
+        } else if (word == "fastinter") {
             words.fast_inter = time("fastinter");
-        else if (word == "downinter")
+        } else if (word == "downinter") {
             words.down_inter = time("downinter");
-        else if (word == "rise")
+        } else if (word == "rise") {
             words.rise = in_a_row("rise");
-        else if (word == "fall")
+        } else if (word == "fall") {
             words.fall = in_a_row("fall");
-        else if (word == "slowstart") {
+        } else if (word == "slowstart") {
             // The original counts it in whole seconds, rounded up.
             const Duration given = time("slowstart", true).value_or(Duration{});
             words.slow_start = std::chrono::ceil<std::chrono::seconds>(given);
-        } else if (word == "maxconn")
+        } else if (word == "maxconn") {
             words.max_conn = number("maxconn", 0, kInt).value_or(0);
-        else if (word == "minconn") {
+        } else if (word == "minconn") {
             words.min_conn = number("minconn", 0, kInt).value_or(0);
             say(Verdict::changed,
-                "its limit is maxconn (or minconn alone) whatever the load: it does not shrink to minconn "
+                "its limit is maxconn (or minconn alone) whatever the load: it does not shrink to "
+                "minconn "
                 "while the pool is idle");
-        } else if (word == "maxqueue")
+        } else if (word == "maxqueue") {
             words.max_queue = number("maxqueue", 0, kInt).value_or(0);
-        else if (word == "track")
+        } else if (word == "track") {
             words.track = statement.word(++at);
-        else if (word == "cookie")
+        } else if (word == "cookie") {
             words.cookie = statement.word(++at);
-        else if (word == "error-limit")
+        } else if (word == "error-limit") {
             words.error_limit = number("error-limit", 1, kInt);
-        else if (word == "observe") {
+        } else if (word == "observe") {
             const std::string& layer = statement.word(++at);
             words.observes = layer == "layer4" || layer == "layer7";
-            if (!words.observes)
+            if (!words.observes) {
                 leave_out(fmt::format("observe '{}' is neither layer4 nor layer7", layer));
-            else
-                say(Verdict::changed, "RPCs that failed count, whatever the layer; the limit is the pool's");
+            } else {
+                say(Verdict::changed,
+                    "RPCs that failed count, whatever the layer; the limit is the pool's");
+            }
         } else if (word == "on-error") {
             words.on_error = statement.word(++at);
-            if (words.on_error != "mark-down")
-                say(Verdict::changed, "errors in a row put the server down at once; probes bring it back");
+            if (words.on_error != "mark-down") {
+                say(Verdict::changed,
+                    "errors in a row put the server down at once; probes bring it back");
+            }
         } else if (const auto at_fixed = fixed().find(word); at_fixed != fixed().end()) {
             const Fixed& known = at_fixed->second;
             const bool refused = known.verdict == Verdict::refused;
             say(known.verdict == Verdict::no_effect ? Verdict::translated : known.verdict,
-                refused ? fmt::format("{}: {}; the server stands without it", word, known.says) : "");
+                refused ? fmt::format("{}: {}; the server stands without it", word, known.says)
+                        : "");
             at += static_cast<std::size_t>(known.words - 1);
-            if (at >= statement.size()) leave_out(fmt::format("{} lacks its value", word));
-            if (word == "source" && statement.word(at + 1) == "usesrc") at += 2;
+            if (at >= statement.size()) {
+                leave_out(fmt::format("{} lacks its value", word));
+            }
+            if (word == "source" && statement.word(at + 1) == "usesrc") {
+                at += 2;
+            }
         } else {
             leave_out(fmt::format("'{}' is not known", word));
         }
--- a/src/haproxy/server_line.hpp
+++ b/src/haproxy/server_line.hpp
@@ -22,10 +22,12 @@
     Duration slow_start{};
     int max_conn = 0, min_conn = 0, max_queue = 0;
     std::string track, cookie;
-    bool left_out = false;  // a value that the original itself refuses: no server comes of this line
+    bool left_out =
+        false;  // a value that the original itself refuses: no server comes of this line
 };
 
 // Reads words from `from` on into `words`, and says of the line what there is to say.
-void read_server_words(const Statement& statement, std::size_t from, ServerWords& words, Findings& findings);
+void read_server_words(const Statement& statement, std::size_t from, ServerWords& words,
+                       Findings& findings);
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/translate.cpp
+++ b/src/haproxy/translate.cpp
@@ -23,23 +23,31 @@
     Import run() {
         Import import;
         for (const Section& section : tree_.sections) {
-            if (is_proxy(section))
+            if (is_proxy(section)) {
                 proxy(section);
-            else if (section.kind == "defaults")
+            } else if (section.kind == "defaults") {
                 defaults(section);
-            else
+            } else {
                 other(section);
+            }
         }
         import.troubles = std::move(tree_.troubles);
         if (import.troubles.empty()) {
             PoolMaker pools(findings());
-            for (const Draft& draft : drafts_)
-                if (draft.has_servers()) pools.add(draft);
+            for (const Draft& draft : drafts_) {
+                if (draft.has_servers()) {
+                    pools.add(draft);
+                }
+            }
             RouteMaker routes(drafts_, findings());
             for (const Draft& draft : drafts_) {
-                if (!draft.listens()) continue;
+                if (!draft.listens()) {
+                    continue;
+                }
                 routing::Listener listener = routes.listener(draft);
-                if (!draft.disabled) import.plan.listeners.push_back(std::move(listener));
+                if (!draft.disabled) {
+                    import.plan.listeners.push_back(std::move(listener));
+                }
             }
             import.plan.pools = pools.finish();
             import.balance = pools.balance();
@@ -51,13 +59,18 @@
  private:
     Findings& findings() { return tree_.findings; }
     void trouble(const Section& section, std::string says) {
-        tree_.troubles.push_back({section.header.line.file, section.header.line.number, 1, std::move(says)});
+        tree_.troubles.push_back(
+            {section.header.line.file, section.header.line.number, 1, std::move(says)});
     }
 
     const Settings* taken_over(const Section& section) {
-        if (section.from.empty()) return section.kind == "defaults" ? nullptr : last_defaults_;
+        if (section.from.empty()) {
+            return section.kind == "defaults" ? nullptr : last_defaults_;
+        }
         const auto at = named_defaults_.find(section.from);
-        if (at != named_defaults_.end()) return at->second;
+        if (at != named_defaults_.end()) {
+            return at->second;
+        }
         trouble(section, fmt::format("there is no defaults section {} before it", section.from));
         return nullptr;
     }
@@ -68,19 +81,23 @@
         all_defaults_.push_back(std::make_unique<Settings>(
             read_section(section, from ? *from : Settings{}, findings()).settings));
         last_defaults_ = all_defaults_.back().get();
-        if (!section.name.empty()) named_defaults_[section.name] = last_defaults_;
+        if (!section.name.empty()) {
+            named_defaults_[section.name] = last_defaults_;
+        }
     }
     void proxy(const Section& section) {
         const bool listens = section.kind != "backend", serves = section.kind != "frontend";
         if ((listens && !listeners_.insert(section.name).second) ||
-            (serves && !pools_.insert(section.name).second))
+            (serves && !pools_.insert(section.name).second)) {
             trouble(section, fmt::format("a second {} {}", section.kind, section.name));
+        }
         const Settings* from = taken_over(section);
         drafts_.push_back(read_section(section, from ? *from : Settings{}, findings()));
     }
     void other(const Section& section) {
         if (section.kind == "global") {
-            findings().say(section.header.number, Verdict::no_effect, "how the original's process runs");
+            findings().say(section.header.number, Verdict::no_effect,
+                           "how the original's process runs");
             for (const Statement& statement : section.statements) {
                 const FixedVerdict fixed = global_verdict(statement);
                 findings().say(statement.number, fixed.verdict, fixed.says);
@@ -89,8 +106,9 @@
         }
         const FixedVerdict fixed = other_section_verdict(section.kind);
         findings().say(section.header.number, fixed.verdict, fixed.says);
-        for (const Statement& statement : section.statements)
+        for (const Statement& statement : section.statements) {
             findings().say(statement.number, fixed.verdict, fixed.says);
+        }
     }
 
     Tree tree_;
@@ -104,10 +122,13 @@
 }  // namespace
 
 std::size_t Import::count(Verdict verdict) const {
-    return static_cast<std::size_t>(std::count_if(
-        findings.begin(), findings.end(), [verdict](const Finding& f) { return f.verdict == verdict; }));
+    return static_cast<std::size_t>(
+        std::count_if(findings.begin(), findings.end(),
+                      [verdict](const Finding& f) { return f.verdict == verdict; }));
 }
 
-Import translate(Tree tree) { return Translator(std::move(tree)).run(); }
+Import translate(Tree tree) {
+    return Translator(std::move(tree)).run();
+}
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/translate.hpp
+++ b/src/haproxy/translate.hpp
@@ -1,5 +1,5 @@
-// HAProxy's configuration to a plan, with exactly one verdict a line. docs/haproxy-import.md has the
-// keywords.
+// HAProxy's configuration to a plan, with exactly one verdict a line. docs/haproxy-import.md has
+// the keywords.
 //
 //   Import import = translate(std::move(tree));
 //   if (!import.troubles.empty()) ...            // unusable: no plan
@@ -17,7 +17,8 @@
     routing::Plan plan;
     std::vector<Finding> findings;
     std::vector<Trouble> troubles;
-    // How the original would have spread each pool's RPCs, by name; what comes of it is in the findings.
+    // How the original would have spread each pool's RPCs, by name; what comes of it is in the
+    // findings.
     std::map<std::string, std::string> balance;
     std::size_t count(Verdict verdict) const;
 };
--- a/src/haproxy/tree.hpp
+++ b/src/haproxy/tree.hpp
@@ -1,4 +1,5 @@
-// Lines to sections: macros are followed, the environment's settings heeded, and every word keeps its place.
+// Lines to sections: macros are followed, the environment's settings heeded, and every word keeps
+// its place.
 #pragma once
 
 #include <optional>
@@ -51,7 +52,12 @@
     static constexpr std::size_t kMostTroubles = 100;  // more are not looked for
 
  private:
-    enum class Branch { taken, not_yet, over, unknown };  // unknown: its condition can't be told here
+    enum class Branch {
+        taken,
+        not_yet,
+        over,
+        unknown
+    };  // unknown: its condition can't be told here
     void take(Line&& line);
     bool macro(const Line& line, std::size_t number);
     void set_environment(const Statement& statement);
@@ -62,8 +68,9 @@
     std::vector<Line> opened_;  // the .if of each
 };
 
-// .if's condition: absent where it asks for what can't be known here (features of a build, other versions'
-// options).
-std::optional<bool> condition_of(const std::string& text, const Environment& environment, std::string& why);
+// .if's condition: absent where it asks for what can't be known here (features of a build, other
+// versions' options).
+std::optional<bool> condition_of(const std::string& text, const Environment& environment,
+                                 std::string& why);
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/units.hpp
+++ b/src/haproxy/units.hpp
@@ -1,5 +1,5 @@
-// Numbers, times and addresses as the format writes them. Each tells what is wrong in words, never by a
-// wrapped value.
+// Numbers, times and addresses as the format writes them. Each tells what is wrong in words, never
+// by a wrapped value.
 #pragma once
 
 #include <cstdint>
@@ -24,8 +24,8 @@
 
 Or<std::int64_t> number_of(std::string_view text, std::int64_t least, std::int64_t most);
 
-// us, ms, s, m, h, d; milliseconds where no unit stands. At most 2,147,483,647 ms, as in the original;
-// rounded up to a tenth of a millisecond.
+// us, ms, s, m, h, d; milliseconds where no unit stands. At most 2,147,483,647 ms, as in the
+// original; rounded up to a tenth of a millisecond.
 Or<Duration> time_of(std::string_view text);
 
 struct Endpoint {
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -1,5 +1,6 @@
-// Log lines to a file descriptor. Writing one never blocks its writer: a thread of the log's own does the
-// output, and what doesn't fit is counted. A line that comes too often is said a few times, then summed up.
+// Log lines to a file descriptor. Writing one never blocks its writer: a thread of the log's own
+// does the output, and what doesn't fit is counted. A line that comes too often is said a few
+// times, then summed up.
 #pragma once
 
 #include <fmt/format.h>
@@ -53,7 +54,8 @@
     std::mutex mutex_;
     std::condition_variable wake_;
     std::deque<std::string> waiting_;
-    std::map<const char*, Alike> alike_;  // by the form's place: there are as many as calls in the code
+    std::map<const char*, Alike>
+        alike_;  // by the form's place: there are as many as calls in the code
     std::uint64_t lost_ = 0;
     bool ending_ = false;
     std::thread writer_;
--- a/src/net/acceptor.cpp
+++ b/src/net/acceptor.cpp
@@ -16,11 +16,15 @@
           connections_.erase(id), unidentified_.erase(id);
       }) {}
 
-Acceptor::~Acceptor() { shut(); }
+Acceptor::~Acceptor() {
+    shut();
+}
 
 bool Acceptor::open(const Address& address, std::string& why) {
     listener_ = Socket::listening(address, why);
-    if (!listener_.open()) return false;
+    if (!listener_.open()) {
+        return false;
+    }
     why = "no thread";
     return threads_.start([this] { accept_on(); }) && threads_.start([this] { loop_.work(); });
 }
@@ -30,7 +34,9 @@
     {
         const std::lock_guard lock(mutex_);
         shut_ = true;
-        for (const auto& [id, connection] : connections_) connection->close();
+        for (const auto& [id, connection] : connections_) {
+            connection->close();
+        }
     }
     loop_.stop();
 }
@@ -38,8 +44,8 @@
 void Acceptor::shut() {
     begin_shut();
     threads_.wait();
-    // Guards against a peer that hangs in sending: a socket that is shut down and holds bytes that nobody
-    // reads tells it nothing before it is closed.
+    // Guards against a peer that hangs in sending: a socket that is shut down and holds bytes that
+    // nobody reads tells it nothing before it is closed.
     const std::lock_guard lock(mutex_);
     connections_.clear(), unidentified_.clear();
     loop_.let_go_all();
@@ -49,12 +55,14 @@
     for (;;) {
         Address from;
         from.length = sizeof from.storage;
-        Socket socket(::accept4(listener_.fd(), reinterpret_cast<sockaddr*>(&from.storage), &from.length,
-                                SOCK_CLOEXEC));
+        Socket socket(::accept4(listener_.fd(), reinterpret_cast<sockaddr*>(&from.storage),
+                                &from.length, SOCK_CLOEXEC));
         const int error = errno;
         {
             const std::lock_guard lock(mutex_);
-            if (shut_) return;
+            if (shut_) {
+                return;
+            }
         }
         if (socket.open()) {
             take(std::move(socket), from);
@@ -75,13 +83,18 @@
 void Acceptor::take(Socket socket, const Address& from) {
     reach(context_.sync, SyncPoint::connection_accepted);
     std::unique_lock lock(mutex_);
-    if (!has_room())
-        return context_.log.warn("{} is turned away: {} connections", text_of(from), connections_.size());
+    if (!has_room()) {
+        return context_.log.warn("{} is turned away: {} connections", text_of(from),
+                                 connections_.size());
+    }
     const StreamId id{next_++};
-    const auto connection = std::make_shared<Connection>(context_, id, std::move(socket), text_of(from));
+    const auto connection =
+        std::make_shared<Connection>(context_, id, std::move(socket), text_of(from));
     connections_[id] = unidentified_[id] = connection;
     lock.unlock();
-    if (loop_.add(connection)) return;
+    if (loop_.add(connection)) {
+        return;
+    }
     context_.log.warn("{} is turned away: it can't be watched", text_of(from));
     lock.lock();
     connections_.erase(id), unidentified_.erase(id);
@@ -89,18 +102,22 @@
 
 // Who has joined since is no unidentified peer any more; that is looked up only where it matters.
 bool Acceptor::has_room() {
-    if (unidentified_.size() >= most_unidentified_)
+    if (unidentified_.size() >= most_unidentified_) {
         std::erase_if(unidentified_,
                       [](const auto& one) { return one.second->role() != Role::unidentified; });
+    }
     const bool full = connections_.size() >= most_ || unidentified_.size() >= most_unidentified_;
     return !full || shed_unidentified();
 }
 
-// Who says nothing before who is in the middle of saying it: that may be a proxy on a slow connection.
+// Who says nothing before who is in the middle of saying it: that may be a proxy on a slow
+// connection.
 bool Acceptor::shed_unidentified() {
     for (const bool in_mid_line : {false, true}) {
         for (auto at = unidentified_.begin(); at != unidentified_.end(); ++at) {
-            if (!at->second->close_if_idle(in_mid_line)) continue;
+            if (!at->second->close_if_idle(in_mid_line)) {
+                continue;
+            }
             connections_.erase(at->first), unidentified_.erase(at);
             return true;
         }
@@ -117,13 +134,19 @@
 void Acceptor::write(StreamId stream, std::string_view message) {
     using Posted = Connection::Posted;
     const auto connection = find(stream);
-    if (!connection) return;
+    if (!connection) {
+        return;
+    }
     Posted posted = connection->post(message);
-    while (posted == Posted::no_buffer && shed_unread()) posted = connection->post(message);
-    if (posted == Posted::yes) return;
-    context_.log.warn(
-        "stream {} is ended: {}", stream.value,
-        posted == Posted::not_read ? "its proxy does not read" : "no buffer is left for its orders");
+    while (posted == Posted::no_buffer && shed_unread()) {
+        posted = connection->post(message);
+    }
+    if (posted == Posted::yes) {
+        return;
+    }
+    context_.log.warn("stream {} is ended: {}", stream.value,
+                      posted == Posted::not_read ? "its proxy does not read"
+                                                 : "no buffer is left for its orders");
     connection->close();
 }
 
@@ -133,16 +156,23 @@
     std::shared_ptr<Connection> worst;
     std::size_t most = 0;
     for (const auto& [id, connection] : connections_) {
-        if (const std::size_t unread = connection->unread(); unread > most) most = unread, worst = connection;
+        if (const std::size_t unread = connection->unread(); unread > most) {
+            most = unread, worst = connection;
+        }
+    }
+    if (!worst) {
+        return false;
     }
-    if (!worst) return false;
-    context_.log.warn("stream {} is ended: its proxy has left {} bytes unread", worst->id().value, most);
+    context_.log.warn("stream {} is ended: its proxy has left {} bytes unread", worst->id().value,
+                      most);
     worst->close();
     return true;
 }
 
 void Acceptor::close(StreamId stream) {
-    if (const auto connection = find(stream)) connection->close();
+    if (const auto connection = find(stream)) {
+        connection->close();
+    }
 }
 
 }  // namespace micaroad::net
--- a/src/net/acceptor.hpp
+++ b/src/net/acceptor.hpp
@@ -12,9 +12,10 @@
 
 class Acceptor {
  public:
-    // At a time. Past either number the oldest idle unidentified peer goes; where there is none, the
-    // newcomer.
-    Acceptor(const ConnectionContext& context, std::size_t most_connections, std::size_t most_unidentified);
+    // At a time. Past either number the oldest idle unidentified peer goes; where there is none,
+    // the newcomer.
+    Acceptor(const ConnectionContext& context, std::size_t most_connections,
+             std::size_t most_unidentified);
     ~Acceptor();
 
     bool open(const Address& address, std::string& why);
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -11,8 +11,9 @@
 
 using std::chrono::steady_clock;
 
-DiscoveryWatch::DiscoveryWatch(std::string host, Address address, SymbolTable names, std::int64_t version,
-                               std::size_t list_bytes, protocol::BufferPool& pool, Inbox& inbox, Log& log,
+DiscoveryWatch::DiscoveryWatch(std::string host, Address address, SymbolTable names,
+                               std::int64_t version, std::size_t list_bytes,
+                               protocol::BufferPool& pool, Inbox& inbox, Log& log,
                                Patience patience, SyncPoints* sync)
     : patience_(patience),
       list_bytes_(list_bytes),
@@ -24,7 +25,9 @@
       version_(version),
       sync_(sync) {}
 
-DiscoveryWatch::~DiscoveryWatch() { stop(); }
+DiscoveryWatch::~DiscoveryWatch() {
+    stop();
+}
 
 bool DiscoveryWatch::start() {
     const std::lock_guard lock(mutex_);
@@ -45,16 +48,24 @@
 
 void DiscoveryWatch::fetch() {
     const std::lock_guard lock(mutex_);
-    if (std::exchange(fetch_, true)) return;  // it is on its way
-    if (const auto live = live_.find(spoken_); live != live_.end()) live->second->shut_down();
+    if (std::exchange(fetch_, true)) {
+        return;  // it is on its way
+    }
+    if (const auto live = live_.find(spoken_); live != live_.end()) {
+        live->second->shut_down();
+    }
 }
 
 void DiscoveryWatch::follow(std::string host, Address address) {
     const std::lock_guard lock(mutex_);
-    if (stopping_ || host == newest_.host) return;
+    if (stopping_ || host == newest_.host) {
+        return;
+    }
     newest_ = {std::move(host), address, newest_.turn + 1};
     leave_old();
-    if (running_ == kMostSources) return;  // the first that ends takes it up
+    if (running_ == kMostSources) {
+        return;  // the first that ends takes it up
+    }
     if (threads_.start([this, source = newest_] { watch_on(source); })) {
         ++running_, begun_ = newest_.turn;
         return;
@@ -69,7 +80,9 @@
 
 void DiscoveryWatch::leave_old() {
     for (const auto& [turn, socket] : live_) {
-        if (over(turn)) socket->shut_down();
+        if (over(turn)) {
+            socket->shut_down();
+        }
     }
     wake_.notify_all();
 }
@@ -85,8 +98,12 @@
 }
 
 bool DiscoveryWatch::speaks(const Source& source) {
-    if (over(source.turn)) return false;
-    if (std::exchange(spoken_, source.turn) == source.turn) return true;
+    if (over(source.turn)) {
+        return false;
+    }
+    if (std::exchange(spoken_, source.turn) == source.turn) {
+        return true;
+    }
     log_.info("discovery: {} has spoken, what was followed before is left", source.host);
     leave_old();
     return true;
@@ -95,12 +112,19 @@
 std::optional<DiscoveryWatch::Asked> DiscoveryWatch::next_question(Source& source, int failed) {
     const std::lock_guard lock(mutex_);
     if (over(source.turn)) {
-        // Guards against an address that was told while every thread still had one: none would take it up.
-        if (stopping_ || begun_ == newest_.turn) return --running_, std::nullopt;
+        // Guards against an address that was told while every thread still had one: none would take
+        // it up.
+        if (stopping_ || begun_ == newest_.turn) {
+            return --running_, std::nullopt;
+        }
         source = newest_, begun_ = newest_.turn;
     }
-    if (source.turn == spoken_ && fetch_ && failed >= kFetchTries) fetch_ = false, version_ = 0;
-    if (source.turn == spoken_ && fetch_) return Asked{"/catalog/members", true};
+    if (source.turn == spoken_ && fetch_ && failed >= kFetchTries) {
+        fetch_ = false, version_ = 0;
+    }
+    if (source.turn == spoken_ && fetch_) {
+        return Asked{"/catalog/members", true};
+    }
     return Asked{fmt::format("/catalog/members?stream=1&index={}", version_)};
 }
 
@@ -109,7 +133,9 @@
     const std::lock_guard lock(mutex_);
     const bool holds = source.turn == spoken_;
     log_.warn("discovery: {}: {}; the {} stands", source.host, why, holds ? "list" : "old address");
-    if (holds) inbox_.put(core_event::WatchLost{});
+    if (holds) {
+        inbox_.put(core_event::WatchLost{});
+    }
 }
 
 void DiscoveryWatch::watch_on(Source source) {
@@ -117,11 +143,14 @@
     auto next_fetch = steady_clock::now();
     int failed = 0, turn = source.turn;  // fetches in a row
     for (bool said = false; const auto asked = next_question(source, failed);) {
-        if (std::exchange(turn, source.turn) != source.turn)
+        if (std::exchange(turn, source.turn) != source.turn) {
             wait = patience_.first_wait, said = false, failed = 0;
+        }
         if (asked->whole) {
             const auto early = next_fetch - steady_clock::now();
-            if (early > early.zero()) pause(source.turn, std::chrono::ceil<std::chrono::milliseconds>(early));
+            if (early > early.zero()) {
+                pause(source.turn, std::chrono::ceil<std::chrono::milliseconds>(early));
+            }
             next_fetch = steady_clock::now() + patience_.between_fetches;
         }
         const Ended ended = listen_to(source, *asked);
@@ -129,9 +158,15 @@
         const bool wanted = interrupted(source, false);  // the list, or the end
         failed = asked->whole && wanted ? failed + 1 : 0;
         // What is too long is said once, not after each empty line that came before it.
-        if (ended.heard && !ended.too_long) wait = patience_.first_wait, said = false;
-        if (asked->whole ? !wanted || interrupted(source, true) : wanted) continue;
-        if (!std::exchange(said, true)) lost(source, ended.why);
+        if (ended.heard && !ended.too_long) {
+            wait = patience_.first_wait, said = false;
+        }
+        if (asked->whole ? !wanted || interrupted(source, true) : wanted) {
+            continue;
+        }
+        if (!std::exchange(said, true)) {
+            lost(source, ended.why);
+        }
         pause(source.turn, ended.too_long ? patience_.after_too_long : wait);
         wait = std::min(wait * 2, patience_.longest_wait);
     }
@@ -139,7 +174,9 @@
 
 DiscoveryWatch::Ended DiscoveryWatch::listen_to(const Source& source, const Asked& asked) {
     Socket socket = Socket::unconnected(source.address);
-    if (!socket.open()) return {"no socket"};
+    if (!socket.open()) {
+        return {"no socket"};
+    }
     struct Live {
         DiscoveryWatch& watch;
         const int turn;
@@ -152,15 +189,23 @@
             watch.live_.erase(turn);
         }
     } live{*this, source.turn, socket};
-    if (interrupted(source, asked.whole)) return {"stopped"};
+    if (interrupted(source, asked.whole)) {
+        return {"stopped"};
+    }
     reach(sync_, SyncPoint::watch_registered);
-    if (!socket.connect(source.address, patience_.connect)) return {"no connection"};
+    if (!socket.connect(source.address, patience_.connect)) {
+        return {"no connection"};
+    }
     reach(sync_, SyncPoint::watch_connected);
-    // A socket that is shut down before it is connected may not hear of it: what was told in between is
-    // looked up.
-    if (interrupted(source, asked.whole)) return {"stopped"};
+    // A socket that is shut down before it is connected may not hear of it: what was told in
+    // between is looked up.
+    if (interrupted(source, asked.whole)) {
+        return {"stopped"};
+    }
     socket.wait_at_most(patience_.silence);
-    if (!socket.send_all(protocol::http_get(source.host, asked.target))) return {"reset"};
+    if (!socket.send_all(protocol::http_get(source.host, asked.target))) {
+        return {"reset"};
+    }
     reach(sync_, SyncPoint::watch_asked);
 
     return read_lists(source, asked, socket);
@@ -170,10 +215,13 @@
                                                  const Socket& socket) {
     using protocol::EndpointListError;
     protocol::HttpReader http;
-    const auto framing = asked.whole ? protocol::EndpointListFraming::document : protocol::EndpointListFraming::line;
+    const auto framing =
+        asked.whole ? protocol::EndpointListFraming::document : protocol::EndpointListFraming::line;
     protocol::EndpointListParser lists(names_, framing, list_bytes_);
     const protocol::BufferPool::Lease buffer = pool_.take();
-    if (!buffer) return {"no buffer left"};
+    if (!buffer) {
+        return {"no buffer left"};
+    }
     auto last_line = steady_clock::now();
     bool heard = false, wanted = true, line = false;
     // Under the mutex, so no clock is read here.
@@ -184,45 +232,75 @@
     };
     for (;;) {
         const ssize_t got = socket.receive(buffer->data(), buffer->size());
-        if (got == -2) return {"silence", heard};
-        if (got < 0) return {"reset", heard};
-        if (got == 0 && !http.end()) return {"its end", heard};
+        if (got == -2) {
+            return {"silence", heard};
+        }
+        if (got < 0) {
+            return {"reset", heard};
+        }
+        if (got == 0 && !http.end()) {
+            return {"its end", heard};
+        }
         EndpointListError fault = EndpointListError::none;
         const auto feed = [&](std::string_view body) {
-            if (http.status() != 200 || fault != EndpointListError::none) return;
-            // The names are shared. And held for the inbox too: a left source says nothing behind a later
-            // one.
+            if (http.status() != 200 || fault != EndpointListError::none) {
+                return;
+            }
+            // The names are shared. And held for the inbox too: a left source says nothing behind a
+            // later one.
             const std::lock_guard lock(mutex_);
             fault = lists.feed(body, take_one);
         };
         const bool sound = http.feed({buffer->data(), static_cast<std::size_t>(got)}, feed);
-        if (http.in_body() && http.status() != 200) return {fmt::format("status {}", http.status()), heard};
-        if (!sound) return {"an answer that can't be read", heard};
+        if (http.in_body() && http.status() != 200) {
+            return {fmt::format("status {}", http.status()), heard};
+        }
+        if (!sound) {
+            return {"an answer that can't be read", heard};
+        }
         if (http.done() && fault == EndpointListError::none) {
             const std::lock_guard lock(mutex_);
             fault = lists.finish(take_one);
         }
-        if (fault == EndpointListError::too_long)
-            return {fmt::format("a list over {} bytes, which the memory limit allows", list_bytes_), heard,
-                    true};
-        if (fault == EndpointListError::malformed || !wanted) return {"a list that can't be read", heard};
-        if (http.done()) return {"the answer's end", heard};
+        if (fault == EndpointListError::too_long) {
+            return {fmt::format("a list over {} bytes, which the memory limit allows", list_bytes_),
+                    heard, true};
+        }
+        if (fault == EndpointListError::malformed || !wanted) {
+            return {"a list that can't be read", heard};
+        }
+        if (http.done()) {
+            return {"the answer's end", heard};
+        }
         const auto now = steady_clock::now();
-        if (std::exchange(line, false)) last_line = now;
-        if (now - last_line > time_for(lists.size())) return {"no whole line in time", heard};
+        if (std::exchange(line, false)) {
+            last_line = now;
+        }
+        if (now - last_line > time_for(lists.size())) {
+            return {"no whole line in time", heard};
+        }
     }
 }
 
 std::chrono::milliseconds DiscoveryWatch::time_for(std::size_t list_size) const {
-    return patience_.whole_line + std::chrono::milliseconds{1'000 * list_size / Patience::kSlowestList};
+    return patience_.whole_line +
+           std::chrono::milliseconds{1'000 * list_size / Patience::kSlowestList};
 }
 
 bool DiscoveryWatch::take(const Source& source, std::optional<protocol::EndpointListMessage> said) {
-    if (!speaks(source)) return false;
-    if (!said) return true;
+    if (!speaks(source)) {
+        return false;
+    }
+    if (!said) {
+        return true;
+    }
     const bool whole = said->list.form == event::EndpointListUpdate::Form::complete;
-    if (whole) fetch_ = false;  // not before it has come: an answer that breaks off is asked for again
-    if (whole || said->version > version_) version_ = said->version;
+    if (whole) {
+        fetch_ = false;  // not before it has come: an answer that breaks off is asked for again
+    }
+    if (whole || said->version > version_) {
+        version_ = said->version;
+    }
     inbox_.put(core_event::EndpointListReceived{std::move(*said)});
     return true;
 }
--- a/src/net/discovery_watch.hpp
+++ b/src/net/discovery_watch.hpp
@@ -1,5 +1,6 @@
-// Follows discovery's list on one connection, and opens it anew whenever it breaks or falls silent. Told
-// another address it dials that at once, and holds on to the old one until the new one has spoken.
+// Follows discovery's list on one connection, and opens it anew whenever it breaks or falls silent.
+// Told another address it dials that at once, and holds on to the old one until the new one has
+// spoken.
 #pragma once
 
 #include <chrono>
@@ -21,13 +22,15 @@
 namespace micaroad::net {
 
 struct WatchPatience {
-    // Something comes every 2 s. A list may take longer to come whole than its first byte: `whole_line`, and
-    // a second more for each kSlowestList bytes of it.
+    // Something comes every 2 s. A list may take longer to come whole than its first byte:
+    // `whole_line`, and a second more for each kSlowestList bytes of it.
     std::chrono::milliseconds silence{2'600}, whole_line{5'000}, connect{400};
     std::chrono::milliseconds first_wait{100}, longest_wait{500};
-    // After a list over the bound, which is likely to come again as long; below the 6 s in which news is due.
+    // After a list over the bound, which is likely to come again as long; below the 6 s in which
+    // news is due.
     std::chrono::milliseconds after_too_long{5'000};
-    // Between two fetches of the whole list: a discovery whose versions never fit is asked no faster.
+    // Between two fetches of the whole list: a discovery whose versions never fit is asked no
+    // faster.
     std::chrono::milliseconds between_fetches{500};
     static constexpr std::size_t kSlowestList = 512 * 1024;  // bytes a second
 };
@@ -35,7 +38,8 @@
 class DiscoveryWatch {
  public:
     using Patience = WatchPatience;
-    // A list over `list_bytes`, as protocol::EndpointListParser counts them, is refused, and what is held stands.
+    // A list over `list_bytes`, as protocol::EndpointListParser counts them, is refused, and what
+    // is held stands.
     DiscoveryWatch(std::string host, Address address, SymbolTable names, std::int64_t version,
                    std::size_t list_bytes, protocol::BufferPool& pool, Inbox& inbox, Log& log,
                    Patience patience = {}, SyncPoints* sync = nullptr);
@@ -54,10 +58,11 @@
         Address address;
         int turn = 0;
     };
-    // The one that has spoken, the one told last, and one that is being left. What is told while all have
-    // their thread is taken up by the first that ends.
+    // The one that has spoken, the one told last, and one that is being left. What is told while
+    // all have their thread is taken up by the first that ends.
     static constexpr int kMostSources = 3;
-    // After so many fetches that came to nothing the list is watched again, from the first version on.
+    // After so many fetches that came to nothing the list is watched again, from the first version
+    // on.
     static constexpr int kFetchTries = 3;
 
     struct Asked {
@@ -81,9 +86,11 @@
     Ended listen_to(const Source& source, const Asked& asked);
     Ended read_lists(const Source& source, const Asked& asked, const Socket& socket);
     std::chrono::milliseconds time_for(
-        std::size_t list_size) const;   // to come whole, of as many bytes so far
-    bool speaks(const Source& source);  // under the mutex; false: a later one has, so this one counts no more
-    // Under the mutex. Without a list: an empty line, a sign of life as good as any. False: as speaks().
+        std::size_t list_size) const;  // to come whole, of as many bytes so far
+    bool speaks(const Source&
+                    source);  // under the mutex; false: a later one has, so this one counts no more
+    // Under the mutex. Without a list: an empty line, a sign of life as good as any. False: as
+    // speaks().
     bool take(const Source& source, std::optional<protocol::EndpointListMessage> said);
     bool pause(int turn, std::chrono::milliseconds time);  // false: it is to end
 
@@ -100,7 +107,8 @@
     std::int64_t version_;
     std::map<int, const Socket*> live_;  // by turn
     bool stopping_ = false, fetch_ = false;
-    int running_ = 0, begun_ = 0;  // threads that look on; the latest turn that one of them has taken up
+    int running_ = 0,
+        begun_ = 0;  // threads that look on; the latest turn that one of them has taken up
     SyncPoints* const sync_;
     ThreadGroup threads_{2 * kMostSources};  // some may have said that they end, and not have ended
 };
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -18,10 +18,14 @@
     {
         const std::lock_guard lock(mutex_);
         connections_[id] = connection;
-        if (due) due_.emplace(*due, id);
+        if (due) {
+            due_.emplace(*due, id);
+        }
     }
     reach(context_.sync, SyncPoint::connection_listed);
-    if (connection->watch()) return true;
+    if (connection->watch()) {
+        return true;
+    }
     const std::lock_guard lock(mutex_);
     connections_.erase(id);
     return false;
@@ -29,13 +33,16 @@
 
 void EventLoop::work() {
     const protocol::BufferPool::Lease buffer = context_.reading.take();
-    if (!buffer) return context_.log.error("no buffer to read into: nobody is heard");
+    if (!buffer) {
+        return context_.log.error("no buffer to read into: nobody is heard");
+    }
     Poller::Ready ready[Poller::kMostAtOnce];
     while (!stopping_) {
         const int turns = poller_.wait(ready, wait_ms());
         for (int i = 0; i < turns && !stopping_; ++i) {
-            if (const auto connection = find(StreamId{ready[i].token}))
+            if (const auto connection = find(StreamId{ready[i].token})) {
                 serve(connection, ready[i].events, buffer->data(), buffer->size());
+            }
         }
         end_overdue(buffer->data(), buffer->size());
     }
@@ -49,12 +56,20 @@
 
 void EventLoop::serve(const std::shared_ptr<Connection>& connection, unsigned events, char* into,
                       std::size_t most) {
-    if (events & Poller::kWritable) connection->flush();
-    if (!(events & Poller::kReadable)) return;
+    if (events & Poller::kWritable) {
+        connection->flush();
+    }
+    if (!(events & Poller::kReadable)) {
+        return;
+    }
     const auto before = connection->due();
-    if (const auto why = connection->handle(into, most)) return end(connection, *why);
+    if (const auto why = connection->handle(into, most)) {
+        return end(connection, *why);
+    }
     // Only who was refused just now is due sooner than before.
-    if (const auto due = connection->due(); due && before && *due < *before) await(connection->id(), *due);
+    if (const auto due = connection->due(); due && before && *due < *before) {
+        await(connection->id(), *due);
+    }
 }
 
 void EventLoop::end(const std::shared_ptr<Connection>& connection, const std::string& why) {
@@ -66,18 +81,22 @@
     gone_(connection->id());
 }
 
-// Who has spoken meanwhile, or has become what need not speak, gets another date or none. Who has spoken and
-// was not heard, as this process had no time, is heard now.
+// Who has spoken meanwhile, or has become what need not speak, gets another date or none. Who has
+// spoken and was not heard, as this process had no time, is heard now.
 void EventLoop::end_overdue(char* into, std::size_t most) {
     const TimePoint now = steady_clock::now();
     for (;;) {
         std::shared_ptr<Connection> connection;
         {
             const std::lock_guard lock(mutex_);
-            if (due_.empty() || due_.begin()->first > now) return;
+            if (due_.empty() || due_.begin()->first > now) {
+                return;
+            }
             const auto at = connections_.find(due_.begin()->second);
             due_.erase(due_.begin());
-            if (at == connections_.end()) continue;
+            if (at == connections_.end()) {
+                continue;
+            }
             connection = at->second;
         }
         auto due = connection->due();
@@ -88,7 +107,9 @@
             }
             due = connection->due();
         }
-        if (due) await(connection->id(), *due);
+        if (due) {
+            await(connection->id(), *due);
+        }
     }
 }
 
@@ -104,8 +125,11 @@
 
 int EventLoop::wait_ms() {
     const std::lock_guard lock(mutex_);
-    if (due_.empty()) return static_cast<int>(kLongestWait.count());
-    const auto left = std::chrono::ceil<std::chrono::milliseconds>(due_.begin()->first - steady_clock::now());
+    if (due_.empty()) {
+        return static_cast<int>(kLongestWait.count());
+    }
+    const auto left =
+        std::chrono::ceil<std::chrono::milliseconds>(due_.begin()->first - steady_clock::now());
     return static_cast<int>(std::clamp(left, std::chrono::milliseconds{0}, kLongestWait).count());
 }
 
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -1,9 +1,10 @@
-// Serves all connections from one thread: whoever has something to say or room to be told more gets its turn.
+// Serves all connections from one thread: whoever has something to say or room to be told more gets
+// its turn.
 //
-// The context has a thread for each reader and writer. A planner of the whole fleet has two thousand
-// connections, and processes may not have two threads for each of these everywhere (docs/architecture.md has
-// what was seen); a planner has one core, so one thread loses nothing. The sockets stay blocking: they are
-// read and written only as far as they can be without waiting.
+// The context has a thread for each reader and writer. A planner of the whole fleet has two
+// thousand connections, and processes may not have two threads for each of these everywhere
+// (docs/architecture.md has what was seen); a planner has one core, so one thread loses nothing.
+// The sockets stay blocking: they are read and written only as far as they can be without waiting.
 #pragma once
 
 #include <atomic>
@@ -26,16 +27,18 @@
     EventLoop& operator=(const EventLoop&) = delete;
 
     bool add(const std::shared_ptr<Connection>& connection);  // any thread; false: no room for it
-    void work();                                              // until stop(); on a thread of its own
-    void let_go_all();                 // once work() has returned: nothing of what it served is kept
+    void work();        // until stop(); on a thread of its own
+    void let_go_all();  // once work() has returned: nothing of what it served is kept
     void stop() { stopping_ = true; }  // heard within kLongestWait
 
  private:
-    // How long nobody may hear that an unidentified peer came whose time is short, or that it is over.
+    // How long nobody may hear that an unidentified peer came whose time is short, or that it is
+    // over.
     static constexpr std::chrono::milliseconds kLongestWait{200};
 
     std::shared_ptr<Connection> find(StreamId id);
-    void serve(const std::shared_ptr<Connection>& connection, unsigned events, char* into, std::size_t most);
+    void serve(const std::shared_ptr<Connection>& connection, unsigned events, char* into,
+               std::size_t most);
     void end(const std::shared_ptr<Connection>& connection, const std::string& why);
     void end_overdue(char* into, std::size_t most);
     void await(StreamId id, TimePoint due);
--- a/src/net/health_prober.hpp
+++ b/src/net/health_prober.hpp
@@ -1,4 +1,5 @@
-// Drives a routing::Keeper: probes servers by their pools' rules, a few at a time, and tells each new list.
+// Drives a routing::Keeper: probes servers by their pools' rules, a few at a time, and tells each
+// new list.
 #pragma once
 
 #include <chrono>
--- a/src/net/poller.cpp
+++ b/src/net/poller.cpp
@@ -22,14 +22,18 @@
 Poller::Poller() : fd_(::epoll_create1(EPOLL_CLOEXEC)) {}
 
 Poller::~Poller() {
-    if (fd_ >= 0) ::close(fd_);
+    if (fd_ >= 0) {
+        ::close(fd_);
+    }
 }
 
 bool Poller::watch(const Socket& socket, std::uint64_t token) const {
     return control(fd_, EPOLL_CTL_ADD, socket, token, EPOLLIN);
 }
 
-void Poller::leave(const Socket& socket) const { (void)control(fd_, EPOLL_CTL_DEL, socket, 0, 0); }
+void Poller::leave(const Socket& socket) const {
+    (void)control(fd_, EPOLL_CTL_DEL, socket, 0, 0);
+}
 
 void Poller::watch_room(const Socket& socket, std::uint64_t token, bool wanted) const {
     (void)control(fd_, EPOLL_CTL_MOD, socket, token, wanted ? EPOLLIN | EPOLLOUT : EPOLLIN);
--- a/src/net/poller.hpp
+++ b/src/net/poller.hpp
@@ -21,8 +21,9 @@
     Poller(const Poller&) = delete;
     Poller& operator=(const Poller&) = delete;
 
-    bool watch(const Socket& socket, std::uint64_t token) const;  // any thread; false: the kernel has no room
-    void leave(const Socket& socket) const;                       // one that has ended is ready for ever
+    bool watch(const Socket& socket,
+               std::uint64_t token) const;   // any thread; false: the kernel has no room
+    void leave(const Socket& socket) const;  // one that has ended is ready for ever
     void watch_room(const Socket& socket, std::uint64_t token,
                     bool wanted) const;                             // whether it can be written too
     int wait(Ready (&ready)[kMostAtOnce], int milliseconds) const;  // how many there are
--- a/src/net/prober.hpp
+++ b/src/net/prober.hpp
@@ -17,7 +17,8 @@
 class Prober {
  public:
     static constexpr std::size_t kMost = 16;  // at a time; one more counts as not answered
-    static constexpr std::chrono::milliseconds kPatience{1'000};  // for the connection, then for the answer
+    static constexpr std::chrono::milliseconds kPatience{
+        1'000};  // for the connection, then for the answer
 
     Prober(protocol::BufferPool& pool, Inbox& inbox, Clock clock, SyncPoints* sync = nullptr)
         : pool_(pool), inbox_(inbox), clock_(std::move(clock)), sync_(sync) {}
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -16,19 +16,22 @@
 
 namespace {
 
-// All proxies and a flood of unidentified peers at once, as far as the kernel goes along; who finds no place
-// waits a second.
+// All proxies and a flood of unidentified peers at once, as far as the kernel goes along; who finds
+// no place waits a second.
 constexpr int kBacklog = 4'096;
 
 }  // namespace
 
 std::optional<Address> address_of(const std::string& text) {
     const std::size_t colon = text.rfind(':');
-    if (colon == std::string::npos) return std::nullopt;
+    if (colon == std::string::npos) {
+        return std::nullopt;
+    }
     std::string host = text.substr(0, colon);
     unsigned port = 0;
-    if (!protocol::parse_integer(std::string_view(text).substr(colon + 1), port) || port > 65535)
+    if (!protocol::parse_integer(std::string_view(text).substr(colon + 1), port) || port > 65535) {
         return std::nullopt;
+    }
     Address address;
     if (host.size() > 2 && host.front() == '[' && host.back() == ']') {
         host = host.substr(1, host.size() - 2);
@@ -36,13 +39,15 @@
         v6.sin6_family = AF_INET6;
         v6.sin6_port = htons(static_cast<std::uint16_t>(port));
         address.length = sizeof v6;
-        return inet_pton(AF_INET6, host.c_str(), &v6.sin6_addr) == 1 ? std::optional{address} : std::nullopt;
+        return inet_pton(AF_INET6, host.c_str(), &v6.sin6_addr) == 1 ? std::optional{address}
+                                                                     : std::nullopt;
     }
     auto& v4 = reinterpret_cast<sockaddr_in&>(address.storage);
     v4.sin_family = AF_INET;
     v4.sin_port = htons(static_cast<std::uint16_t>(port));
     address.length = sizeof v4;
-    return inet_pton(AF_INET, host.c_str(), &v4.sin_addr) == 1 ? std::optional{address} : std::nullopt;
+    return inet_pton(AF_INET, host.c_str(), &v4.sin_addr) == 1 ? std::optional{address}
+                                                               : std::nullopt;
 }
 
 std::string text_of(const Address& address) {
@@ -61,17 +66,23 @@
 }
 
 Socket::~Socket() {
-    if (fd_ >= 0) ::close(fd_);
+    if (fd_ >= 0) {
+        ::close(fd_);
+    }
 }
 
 Socket Socket::listening(const Address& address, std::string& why) {
     Socket socket(::socket(address.storage.ss_family, SOCK_STREAM | SOCK_CLOEXEC, 0));
     const int yes = 1;
     const bool listens =
-        socket.open() && ::setsockopt(socket.fd_, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes) == 0 &&
-        ::bind(socket.fd_, reinterpret_cast<const sockaddr*>(&address.storage), address.length) == 0 &&
+        socket.open() &&
+        ::setsockopt(socket.fd_, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes) == 0 &&
+        ::bind(socket.fd_, reinterpret_cast<const sockaddr*>(&address.storage), address.length) ==
+            0 &&
         ::listen(socket.fd_, kBacklog) == 0;
-    if (listens) return socket;
+    if (listens) {
+        return socket;
+    }
     why = std::strerror(errno);
     return {};
 }
@@ -90,14 +101,17 @@
 bool Socket::connect(const Address& address, std::chrono::milliseconds most) {
     const int flags = ::fcntl(fd_, F_GETFL);
     ::fcntl(fd_, F_SETFL, flags | O_NONBLOCK);
-    int result = ::connect(fd_, reinterpret_cast<const sockaddr*>(&address.storage), address.length);
+    int result =
+        ::connect(fd_, reinterpret_cast<const sockaddr*>(&address.storage), address.length);
     if (result != 0 && errno == EINPROGRESS) {
         pollfd wait{fd_, POLLOUT, 0};
         int error = ETIMEDOUT;
         socklen_t size = sizeof error;
         if (::poll(&wait, 1, static_cast<int>(most.count())) == 1) {
             ::getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size);
-            if (wait.revents & POLLHUP) error = ECONNABORTED;
+            if (wait.revents & POLLHUP) {
+                error = ECONNABORTED;
+            }
         }
         result = error == 0 ? 0 : -1;
     }
@@ -127,15 +141,23 @@
 ssize_t receive_with(int fd, char* into, std::size_t most, int flags) {
     for (;;) {
         const ssize_t got = ::recv(fd, into, most, flags);
-        if (got >= 0) return got;
-        if (errno == EAGAIN || errno == EWOULDBLOCK) return -2;
-        if (errno != EINTR) return -1;
+        if (got >= 0) {
+            return got;
+        }
+        if (errno == EAGAIN || errno == EWOULDBLOCK) {
+            return -2;
+        }
+        if (errno != EINTR) {
+            return -1;
+        }
     }
 }
 
 }  // namespace
 
-ssize_t Socket::receive(char* into, std::size_t most) const { return receive_with(fd_, into, most, 0); }
+ssize_t Socket::receive(char* into, std::size_t most) const {
+    return receive_with(fd_, into, most, 0);
+}
 
 ssize_t Socket::receive_now(char* into, std::size_t most) const {
     return receive_with(fd_, into, most, MSG_DONTWAIT);
@@ -144,17 +166,27 @@
 ssize_t Socket::send_some(std::string_view bytes) const {
     for (;;) {
         const ssize_t sent = ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
-        if (sent >= 0) return sent;
-        if (errno == EAGAIN || errno == EWOULDBLOCK) return 0;
-        if (errno != EINTR) return -1;
+        if (sent >= 0) {
+            return sent;
+        }
+        if (errno == EAGAIN || errno == EWOULDBLOCK) {
+            return 0;
+        }
+        if (errno != EINTR) {
+            return -1;
+        }
     }
 }
 
 bool Socket::send_all(std::string_view bytes) const {
     while (!bytes.empty()) {
         const ssize_t sent = ::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
-        if (sent < 0 && errno == EINTR) continue;
-        if (sent <= 0) return false;
+        if (sent < 0 && errno == EINTR) {
+            continue;
+        }
+        if (sent <= 0) {
+            return false;
+        }
         bytes.remove_prefix(static_cast<std::size_t>(sent));
     }
     return true;
@@ -165,10 +197,14 @@
            static_cast<ssize_t>(bytes.size());
 }
 
-void Socket::end_sending() const { ::shutdown(fd_, SHUT_WR); }
+void Socket::end_sending() const {
+    ::shutdown(fd_, SHUT_WR);
+}
 
 void Socket::shut_down() const {
-    if (fd_ >= 0) ::shutdown(fd_, SHUT_RDWR);
+    if (fd_ >= 0) {
+        ::shutdown(fd_, SHUT_RDWR);
+    }
 }
 
 }  // namespace micaroad::net
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -30,7 +30,8 @@
     }
     ~Socket();
 
-    static Socket listening(const Address& address, std::string& why);  // not open if that failed: why
+    static Socket listening(const Address& address,
+                            std::string& why);  // not open if that failed: why
     static Socket unconnected(const Address& address);
     // Ends early when the socket is shut down from elsewhere.
     bool connect(const Address& address, std::chrono::milliseconds most);
@@ -45,11 +46,12 @@
     bool has_bytes() const;  // that wait to be received
     ssize_t receive(char* into, std::size_t most) const;
     ssize_t receive_now(char* into, std::size_t most) const;  // -2 where it would wait
-    ssize_t send_some(std::string_view bytes) const;          // as many as go without waiting; -1 on a fault
-    bool send_all(std::string_view bytes) const;              // waits for the peer
-    bool send_now(std::string_view bytes) const;              // false if that would wait
-    void end_sending() const;                                 // the peer hears our end, and can be heard on
-    void shut_down() const;                                   // any thread: whoever waits on it is woken
+    ssize_t send_some(
+        std::string_view bytes) const;            // as many as go without waiting; -1 on a fault
+    bool send_all(std::string_view bytes) const;  // waits for the peer
+    bool send_now(std::string_view bytes) const;  // false if that would wait
+    void end_sending() const;                     // the peer hears our end, and can be heard on
+    void shut_down() const;                       // any thread: whoever waits on it is woken
 
  private:
     int fd_ = -1;
--- a/src/net/thread_group.cpp
+++ b/src/net/thread_group.cpp
@@ -14,7 +14,9 @@
 bool ThreadGroup::start(std::function<void()> work) {
     {
         const std::lock_guard lock(mutex_);
-        if (running_ == most_) return false;
+        if (running_ == most_) {
+            return false;
+        }
         ++running_;
     }
     auto task = std::make_unique<Task>(Task{*this, std::move(work)});
--- a/src/net/thread_group.hpp
+++ b/src/net/thread_group.hpp
@@ -1,4 +1,5 @@
-// Threads with small stacks of a stated size, never more of them than was said, counted until they are gone.
+// Threads with small stacks of a stated size, never more of them than was said, counted until they
+// are gone.
 #pragma once
 
 #include <condition_variable>
@@ -11,7 +12,8 @@
  public:
     static constexpr std::size_t kStack = 128 * 1024;
 
-    explicit ThreadGroup(std::size_t most, std::size_t stack = kStack) : most_(most), stack_(stack) {}
+    explicit ThreadGroup(std::size_t most, std::size_t stack = kStack)
+        : most_(most), stack_(stack) {}
     ~ThreadGroup() { wait(); }
     ThreadGroup(const ThreadGroup&) = delete;
     ThreadGroup& operator=(const ThreadGroup&) = delete;
--- a/src/operators/duration.hpp
+++ b/src/operators/duration.hpp
@@ -9,7 +9,8 @@
 
 namespace micaroad::operators {
 
-constexpr std::string_view kDurationAllowed = "a whole number and us, ms, s, m, h or d; at most 2147483647ms";
+constexpr std::string_view kDurationAllowed =
+    "a whole number and us, ms, s, m, h or d; at most 2147483647ms";
 constexpr Duration kLongestDuration =
     std::chrono::milliseconds(2'147'483'647);  // the longest timer of imported files
 
--- a/src/operators/text_parser.cpp
+++ b/src/operators/text_parser.cpp
@@ -35,7 +35,9 @@
     std::vector<std::string> words;
     for (std::size_t at = 0; (at = text.find('"', at)) != std::string::npos;) {
         const auto end = text.find('"', at + 1);
-        if (end == std::string::npos) break;
+        if (end == std::string::npos) {
+            break;
+        }
         words.push_back(text.substr(at + 1, end - at - 1)), at = end + 1;
     }
     return words;
@@ -50,13 +52,20 @@
     std::vector<std::string> values;
     const pb::FileDescriptor& file = *type.file();
     std::vector<const pb::Descriptor*> types;
-    for (int i = 0; i < file.message_type_count(); ++i) types.push_back(file.message_type(i));
+    for (int i = 0; i < file.message_type_count(); ++i) {
+        types.push_back(file.message_type(i));
+    }
     for (std::size_t i = 0; i < types.size(); ++i) {
-        for (int k = 0; k < types[i]->nested_type_count(); ++k) types.push_back(types[i]->nested_type(k));
+        for (int k = 0; k < types[i]->nested_type_count(); ++k) {
+            types.push_back(types[i]->nested_type(k));
+        }
         const pb::FieldDescriptor* found = types[i]->FindFieldByName(field);
-        if (found == nullptr || found->enum_type() == nullptr) continue;
-        for (int k = 0; k < found->enum_type()->value_count(); ++k)
+        if (found == nullptr || found->enum_type() == nullptr) {
+            continue;
+        }
+        for (int k = 0; k < found->enum_type()->value_count(); ++k) {
             values.push_back(found->enum_type()->value(k)->name());
+        }
     }
     return values;
 }
@@ -69,11 +78,14 @@
         fault.value = words[1];
         std::vector<std::string> known;
         if (const pb::Descriptor* type = root.file()->pool()->FindMessageTypeByName(words[0])) {
-            for (int i = 0; i < type->field_count(); ++i) known.push_back(type->field(i)->name());
+            for (int i = 0; i < type->field_count(); ++i) {
+                known.push_back(type->field(i)->name());
+            }
             fault.says = fmt::format("no field of {}", type->name());
         }
-        if (const std::string near = nearest(fault.value, known); !near.empty())
+        if (const std::string near = nearest(fault.value, known); !near.empty()) {
             fault.says += fmt::format(" (perhaps '{}')", near);
+        }
         fault.allowed = listed(known);
         return fault;
     }
@@ -86,51 +98,73 @@
     std::size_t from = 0;
     for (int line = 0; line < said.line && from != std::string::npos; ++line) {
         from = text.find('\n', from);
-        if (from != std::string::npos) ++from;
+        if (from != std::string::npos) {
+            ++from;
+        }
+    }
+    if (from == std::string::npos) {
+        return fault;
     }
-    if (from == std::string::npos) return fault;
     const std::size_t end = std::min(text.find('\n', from), text.size());
     // The tokenizer counts tabs up to the next multiple of eight.
     std::size_t at = from;
-    for (int column = 0; at < end && column < said.column; ++at)
+    for (int column = 0; at < end && column < said.column; ++at) {
         column += text[at] == '\t' ? 8 - column % 8 : 1;
+    }
     fault.column = static_cast<int>(at - from) + 1;
     const std::size_t stop = text.find_first_of(" \t\r\n;,{}", at);
     fault.value = text.substr(at, std::min(stop, end) - at);
-    if (said.text.find("out of range") != std::string::npos)
+    if (said.text.find("out of range") != std::string::npos) {
         fault.allowed = "a whole number that fits the field";
+    }
     return fault;
 }
 
-// Blanks the scalar field whose value stands at a place or just before it, on its line alone, and moves the
-// place to that value. False: there is none, the fault is of the structure.
+// Blanks the scalar field whose value stands at a place or just before it, on its line alone, and
+// moves the place to that value. False: there is none, the fault is of the structure.
 bool blank_field(std::string& text, Fault& fault) {
     std::size_t from = 0;
     for (int line = 1; line < fault.line; ++line) {
         from = text.find('\n', from);
-        if (from == std::string::npos) return false;
+        if (from == std::string::npos) {
+            return false;
+        }
         ++from;
     }
     const std::size_t end = std::min(text.find('\n', from), text.size());
     const std::size_t place = std::min(end, from + static_cast<std::size_t>(fault.column) - 1);
     const std::size_t colon = text.rfind(':', place);
-    if (colon == std::string::npos || colon < from) return false;
+    if (colon == std::string::npos || colon < from) {
+        return false;
+    }
     std::size_t first = colon;
     const auto in_name = [](char c) {
-        return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_';
+        return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
+               c == '_';
     };
-    while (first > from && text[first - 1] == ' ') --first;
-    while (first > from && in_name(text[first - 1])) --first;
+    while (first > from && text[first - 1] == ' ') {
+        --first;
+    }
+    while (first > from && in_name(text[first - 1])) {
+        --first;
+    }
     std::size_t value = colon + 1;
-    while (value < end && text[value] == ' ') ++value;
+    while (value < end && text[value] == ' ') {
+        ++value;
+    }
     std::size_t last = value;
     if (last < end && text[last] == '"') {
         last = std::min(text.find('"', last + 1), end);
         last = std::min(last + 1, end);
     } else {
-        while (last < end && std::string_view(" \t\r;,{}").find(text[last]) == std::string_view::npos) ++last;
+        while (last < end &&
+               std::string_view(" \t\r;,{}").find(text[last]) == std::string_view::npos) {
+            ++last;
+        }
+    }
+    if (last == value) {
+        return false;
     }
-    if (last == value) return false;
     fault.column = static_cast<int>(value - from) + 1;
     std::fill(text.begin() + static_cast<std::ptrdiff_t>(first),
               text.begin() + static_cast<std::ptrdiff_t>(last), ' ');
@@ -153,7 +187,9 @@
                 row[k + 1] = std::min({corner + 1, row[k] + 1, change});
             }
         }
-        if (row.back() < distance) distance = row.back(), best = other;
+        if (row.back() < distance) {
+            distance = row.back(), best = other;
+        }
     }
     return best;
 }
@@ -174,14 +210,18 @@
         message.Clear();
         const bool read = parser.ParseFromString(text, &message);
         if (read || listening.errors.empty() || faults.size() >= kMostFaults) {
-            for (const Said& said : listening.warnings)
+            for (const Said& said : listening.warnings) {
                 faults.push_back(fault_of(said, name, whole, *message.GetDescriptor()));
+            }
             break;
         }
         faults.push_back(fault_of(listening.errors.front(), name, whole, *message.GetDescriptor()));
-        if (blank_field(text, faults.back())) continue;
-        for (const Said& said : listening.warnings)
+        if (blank_field(text, faults.back())) {
+            continue;
+        }
+        for (const Said& said : listening.warnings) {
             faults.push_back(fault_of(said, name, whole, *message.GetDescriptor()));
+        }
         break;
     }
     return faults;
--- a/src/planner/core.hpp
+++ b/src/planner/core.hpp
@@ -1,4 +1,5 @@
-// Owns the module: arrivals to events, one decide(), orders to updates. Touches no socket and reads no clock.
+// Owns the module: arrivals to events, one decide(), orders to updates. Touches no socket and reads
+// no clock.
 #pragma once
 
 #include <map>
@@ -8,16 +9,16 @@
 
 #include "log/log.hpp"
 #include "micaroad/planner.hpp"
-#include "updates/update_builder.hpp"
 #include "planner/inbox.hpp"
 #include "planner/ports.hpp"
+#include "updates/update_builder.hpp"
 
 namespace micaroad {
 
 class Core {
  public:
-    Core(const DeploymentSettings& settings, SymbolTable names, std::uint64_t seed, Transport& transport, Log& log,
-         Observer* observer = nullptr);
+    Core(const DeploymentSettings& settings, SymbolTable names, std::uint64_t seed,
+         Transport& transport, Log& log, Observer* observer = nullptr);
 
     // Hears all of them and the timers that are due, decides once, and sends what was ordered.
     void turn(std::vector<Inbox::Item>& items, TimePoint now);
@@ -48,8 +49,8 @@
     void tell_module(Event event);
     void carry_out(const Order& order, TimePoint now);
 
-    // A list of an older version that names a server removed so lately is out of date; the removal stands.
-    // After that, nothing is kept of the server.
+    // A list of an older version that names a server removed so lately is out of date; the removal
+    // stands. After that, nothing is kept of the server.
     static constexpr Duration kRemovedStands = std::chrono::seconds(60);
     const SymbolTable names_;
     const bool subscribed_;
--- a/src/planner/inbox.hpp
+++ b/src/planner/inbox.hpp
@@ -17,9 +17,9 @@
 
 class Inbox {
  public:
-    // Reports over this many are dropped, the newest first; a core that far behind has no use for them. One
-    // peer may fill half of that, so that whoever floods leaves room for the others. What else comes is
-    // bounded by the number of streams.
+    // Reports over this many are dropped, the newest first; a core that far behind has no use for
+    // them. One peer may fill half of that, so that whoever floods leaves room for the others. What
+    // else comes is bounded by the number of streams.
     static constexpr std::size_t kMostReports = 20'000, kMostReportsOfOne = kMostReports / 2;
     struct Item {
         TimePoint at;
@@ -35,14 +35,18 @@
         }
         wake_.notify_one();
     }
-    // What one peer says and may say often: `most` of it until the core takes all. False: it is dropped, as
-    // that peer floods.
+    // What one peer says and may say often: `most` of it until the core takes all. False: it is
+    // dropped, as that peer floods.
     bool put_bounded(StreamId peer, std::size_t most, CoreEvent arrival) {
         {
             const std::lock_guard lock(mutex_);
-            if (++of_one_[peer] > most) return false;
-            if (std::holds_alternative<core_event::ReportReceived>(arrival) && ++reports_ > kMostReports)
+            if (++of_one_[peer] > most) {
+                return false;
+            }
+            if (std::holds_alternative<core_event::ReportReceived>(arrival) &&
+                ++reports_ > kMostReports) {
                 return ++dropped_, true;
+            }
             items_.push_back({clock_(), std::move(arrival)});
         }
         wake_.notify_one();
@@ -53,10 +57,11 @@
     std::vector<Item> wait(std::optional<TimePoint> until) {
         std::unique_lock lock(mutex_);
         const auto any = [this] { return !items_.empty(); };
-        if (until)
+        if (until) {
             wake_.wait_for(lock, *until - clock_(), any);
-        else
+        } else {
             wake_.wait(lock, any);
+        }
         reports_ = 0, of_one_.clear();
         return std::exchange(items_, {});
     }
--- a/src/planner/ports.hpp
+++ b/src/planner/ports.hpp
@@ -11,7 +11,8 @@
 
 namespace micaroad {
 
-// A connection, in the order in which they were taken: of two that speak for one proxy the later one holds.
+// A connection, in the order in which they were taken: of two that speak for one proxy the later
+// one holds.
 using StreamId = Id<struct StreamTag, std::uint64_t>;
 
 // What a new reading of the start file says. The rest of it counts at the next start.
@@ -66,9 +67,11 @@
 
 }  // namespace core_event
 
-using CoreEvent = std::variant<core_event::StreamOpened, core_event::StreamAcknowledged, core_event::StreamClosed,
-                             core_event::ReportReceived, core_event::EndpointListReceived, core_event::WatchLost, core_event::HealthCheckCompleted,
-                             core_event::ConfigurationReloaded, core_event::StopRequested>;
+using CoreEvent =
+    std::variant<core_event::StreamOpened, core_event::StreamAcknowledged, core_event::StreamClosed,
+                 core_event::ReportReceived, core_event::EndpointListReceived,
+                 core_event::WatchLost, core_event::HealthCheckCompleted,
+                 core_event::ConfigurationReloaded, core_event::StopRequested>;
 
 // Where the core's words go. No call waits for a peer.
 class Transport {
--- a/src/protocol/buffer_pool.hpp
+++ b/src/protocol/buffer_pool.hpp
@@ -31,7 +31,9 @@
     Lease take() {
         const std::lock_guard lock(mutex_);
         if (idle_.empty()) {
-            if (made_ == most_) return Lease{nullptr, Return{this}};
+            if (made_ == most_) {
+                return Lease{nullptr, Return{this}};
+            }
             idle_.push_back(std::make_unique<Block>());
             ++made_;
         }
@@ -67,16 +69,23 @@
         const std::size_t room = pieces_.empty() ? 0 : BufferPool::kBlock - pieces_.back().size;
         for (std::size_t got = room; got < bytes.size(); got += BufferPool::kBlock) {
             more.push_back(pool.take());
-            if (!more.back()) return false;
+            if (!more.back()) {
+                return false;
+            }
         }
         size_ += bytes.size();
         const auto fill = [&bytes](Piece& piece) {
-            const std::size_t part = bytes.copy(piece.block->data() + piece.size, BufferPool::kBlock - piece.size);
+            const std::size_t part =
+                bytes.copy(piece.block->data() + piece.size, BufferPool::kBlock - piece.size);
             piece.size += part;
             bytes.remove_prefix(part);
         };
-        if (room > 0) fill(pieces_.back());
-        for (auto& lease : more) fill(pieces_.emplace_back(Piece{std::move(lease), 0}));
+        if (room > 0) {
+            fill(pieces_.back());
+        }
+        for (auto& lease : more) {
+            fill(pieces_.emplace_back(Piece{std::move(lease), 0}));
+        }
         return true;
     }
     Piece take_front() {  // there must be one
@@ -88,7 +97,9 @@
     std::string text() const {
         std::string text;
         text.reserve(size_);
-        for (const Piece& piece : pieces_) text += piece.view();
+        for (const Piece& piece : pieces_) {
+            text += piece.view();
+        }
         return text;
     }
     std::size_t size() const { return size_; }
--- a/src/protocol/endpoint_list.hpp
+++ b/src/protocol/endpoint_list.hpp
@@ -1,5 +1,5 @@
-// Discovery's list: one JSON object to one list of the module, and the version that is held of it. Lists are
-// large, so none is held as text.
+// Discovery's list: one JSON object to one list of the module, and the version that is held of it.
+// Lists are large, so none is held as text.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +18,7 @@
 
 struct EndpointListMessage {
     std::int64_t version = 0;
-    event::EndpointListUpdate list;                           // changes or complete; each server once, as it was given last
+    event::EndpointListUpdate list;  // changes or complete; each server once, as it was given last
     std::map<ServerId, std::string> addresses;  // for probes
     std::map<ServerId, std::string> dropped;    // entries that can't be used: why
 };
@@ -31,37 +31,42 @@
 
 enum class EndpointListError { none, malformed, too_long };
 
-// Lists out of bytes in any pieces, an entry at a time: the text of one entry is held, never that of a list.
-// SymbolTable that the deployment did not tell are added to `names`, which outlives this; instants count from the
-// Unix epoch.
+// Lists out of bytes in any pieces, an entry at a time: the text of one entry is held, never that
+// of a list. SymbolTable that the deployment did not tell are added to `names`, which outlives
+// this; instants count from the Unix epoch.
 class EndpointListParser {
  public:
-    // What an entry counts at least against the bound, in bytes: what is kept of it takes room, however short
-    // its text.
+    // What an entry counts at least against the bound, in bytes: what is kept of it takes room,
+    // however short its text.
     static constexpr std::size_t kLeastEntry = 128;
 
     // An object may have `most_bytes`, counted as its text comes; short entries count kLeastEntry.
     EndpointListParser(SymbolTable& names, EndpointListFraming framing, std::size_t most_bytes)
         : names_(names), framing_(framing), most_bytes_(most_bytes) {}
 
-    // Calls take(std::optional<EndpointListMessage>) for each object, and without a list for an empty line. After a
-    // fault the body can't be read any further.
+    // Calls take(std::optional<EndpointListMessage>) for each object, and without a list for an
+    // empty line. After a fault the body can't be read any further.
     template <class Take>
     EndpointListError feed(std::string_view bytes, Take take) {
         for (const char c : bytes) {
             if (c == '\n' && (framing_ == EndpointListFraming::line || depth_ <= 0)) {
-                if (!end_object(take)) return EndpointListError::malformed;
+                if (!end_object(take)) {
+                    return EndpointListError::malformed;
+                }
             } else if (!add(c)) {
                 return EndpointListError::malformed;
             }
-            if (size_ > most_bytes_) return EndpointListError::too_long;
+            if (size_ > most_bytes_) {
+                return EndpointListError::too_long;
+            }
         }
         return EndpointListError::none;
     }
     // The body has ended, and with it the object that has come last, if its line has not.
     template <class Take>
     EndpointListError finish(Take take) {
-        return size_ == 0 || end_object(take) ? EndpointListError::none : EndpointListError::malformed;
+        return size_ == 0 || end_object(take) ? EndpointListError::none
+                                              : EndpointListError::malformed;
     }
     std::size_t size() const { return size_; }  // of the object that is under way, as it counts
 
@@ -72,7 +77,9 @@
         std::optional<EndpointListMessage> said = blank ? std::nullopt : take_list();
         const bool readable = blank || said;
         start_over();
-        if (readable) take(std::move(said));
+        if (readable) {
+            take(std::move(said));
+        }
         return readable;
     }
     bool add(char c);
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -19,8 +19,12 @@
 }
 
 std::string_view trimmed(std::string_view text) {
-    while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
-    while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
+    while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) {
+        text.remove_prefix(1);
+    }
+    while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) {
+        text.remove_suffix(1);
+    }
     return text;
 }
 
@@ -41,13 +45,17 @@
 }
 
 bool HttpReader::end() {
-    if (state_ == State::data && until_end_) state_ = State::done;
+    if (state_ == State::data && until_end_) {
+        state_ = State::done;
+    }
     return state_ == State::done;
 }
 
 void HttpReader::take_line() {
     std::string line = std::exchange(line_, {});
-    if (!line.empty() && line.back() == '\r') line.pop_back();
+    if (!line.empty() && line.back() == '\r') {
+        line.pop_back();
+    }
     switch (state_) {
         case State::status:
             status_ = 0;
@@ -61,7 +69,9 @@
             return;
         case State::chunk_size: {
             const std::string_view size = trimmed(std::string_view(line).substr(0, line.find(';')));
-            if (!read_size(size, 16, left_)) return (void)(state_ = State::broken);
+            if (!read_size(size, 16, left_)) {
+                return (void)(state_ = State::broken);
+            }
             state_ = left_ > 0 ? State::chunk : State::trailer;
             return;
         }
@@ -69,10 +79,11 @@
             state_ = line.empty() ? State::chunk_size : State::broken;
             return;
         case State::trailer:
-            if (line.empty())
+            if (line.empty()) {
                 state_ = State::done;
-            else if (++headers_ > kMostHeaders)
+            } else if (++headers_ > kMostHeaders) {
                 state_ = State::broken;
+            }
             return;
         default:
             return;
@@ -87,10 +98,14 @@
     const std::string_view name = line.substr(0, colon), value = trimmed(line.substr(colon + 1));
     if (alike(name, "transfer-encoding")) {
         chunked_ = alike(value, "chunked");
-        if (!chunked_) state_ = State::broken;
+        if (!chunked_) {
+            state_ = State::broken;
+        }
     } else if (alike(name, "content-length")) {
         std::uint64_t size = 0;
-        if (!read_size(value, 10, size) || (sized_ && size != left_)) return (void)(state_ = State::broken);
+        if (!read_size(value, 10, size) || (sized_ && size != left_)) {
+            return (void)(state_ = State::broken);
+        }
         sized_ = true, left_ = size;
     }
 }
--- a/src/protocol/http.hpp
+++ b/src/protocol/http.hpp
@@ -1,4 +1,5 @@
-// An HTTP/1.1 answer, fed in any pieces: status, headers passed over but for how the body is framed, body.
+// An HTTP/1.1 answer, fed in any pieces: status, headers passed over but for how the body is
+// framed, body.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +18,8 @@
  public:
     static constexpr std::size_t kLongestLine = 8 * 1024, kMostHeaders = 64;
 
-    // Calls body(std::string_view) for what has come of the body. False once the answer can't be read.
+    // Calls body(std::string_view) for what has come of the body. False once the answer can't be
+    // read.
     template <class Body>
     bool feed(std::string_view bytes, Body body) {
         while (!bytes.empty() && state_ != State::done && state_ != State::broken) {
@@ -26,13 +28,19 @@
                     static_cast<std::size_t>(std::min<std::uint64_t>(left_, bytes.size()));
                 body(bytes.substr(0, part));
                 bytes.remove_prefix(part);
-                if ((left_ -= part) == 0) state_ = state_ == State::data ? State::done : State::chunk_end;
+                if ((left_ -= part) == 0) {
+                    state_ = state_ == State::data ? State::done : State::chunk_end;
+                }
                 continue;
             }
             const std::size_t end = std::min(bytes.find('\n'), bytes.size());
             line_.append(bytes.substr(0, end));
-            if (line_.size() > kLongestLine) state_ = State::broken;
-            if (end == bytes.size()) break;
+            if (line_.size() > kLongestLine) {
+                state_ = State::broken;
+            }
+            if (end == bytes.size()) {
+                break;
+            }
             bytes.remove_prefix(end + 1);
             take_line();
         }
--- a/src/protocol/json_cursor.cpp
+++ b/src/protocol/json_cursor.cpp
@@ -29,19 +29,25 @@
 }  // namespace
 
 char JsonCursor::peek() {
-    while (at_ < text_.size() && std::string_view(" \t\r\n").find(text_[at_]) != std::string_view::npos)
+    while (at_ < text_.size() &&
+           std::string_view(" \t\r\n").find(text_[at_]) != std::string_view::npos) {
         ++at_;
+    }
     return at_ < text_.size() ? text_[at_] : '\0';
 }
 
 void JsonCursor::expect(char c) {
-    if (peek() != c) fail();
+    if (peek() != c) {
+        fail();
+    }
     ++at_;
 }
 
 void JsonCursor::enter(char bracket) {
     expect(bracket);
-    if (++depth_ > kDeepest) fail();
+    if (++depth_ > kDeepest) {
+        fail();
+    }
 }
 
 bool JsonCursor::leave(char bracket, bool first) {
@@ -51,14 +57,18 @@
     }
     if (!first) {
         expect(',');
-        if (peek() == bracket) fail();
+        if (peek() == bracket) {
+            fail();
+        }
     }
     return false;
 }
 
 bool JsonCursor::word(std::string_view text) {
     peek();
-    if (!text_.substr(at_).starts_with(text)) return false;
+    if (!text_.substr(at_).starts_with(text)) {
+        return false;
+    }
     at_ += text.size();
     return true;
 }
@@ -66,7 +76,9 @@
 unsigned JsonCursor::hex4() {
     unsigned code = 0;
     const std::string_view digits = text_.substr(at_, 4);
-    if (digits.size() != 4 || !parse_integer(digits, code, 16)) fail();
+    if (digits.size() != 4 || !parse_integer(digits, code, 16)) {
+        fail();
+    }
     at_ += 4;
     return code;
 }
@@ -75,15 +87,23 @@
     expect('"');
     std::string text;
     for (;;) {
-        if (at_ >= text_.size()) fail();
+        if (at_ >= text_.size()) {
+            fail();
+        }
         const char c = text_[at_++];
-        if (c == '"') return text;
-        if (static_cast<unsigned char>(c) < 0x20) fail();
+        if (c == '"') {
+            return text;
+        }
+        if (static_cast<unsigned char>(c) < 0x20) {
+            fail();
+        }
         if (c != '\\') {
             text += c;
             continue;
         }
-        if (at_ >= text_.size()) fail();
+        if (at_ >= text_.size()) {
+            fail();
+        }
         switch (const char escaped = text_[at_++]) {
             case '"':
             case '\\':
@@ -107,12 +127,18 @@
                 break;
             case 'u': {
                 unsigned code = hex4();
-                if (code >= 0xDC00 && code < 0xE000) fail();
+                if (code >= 0xDC00 && code < 0xE000) {
+                    fail();
+                }
                 if (code >= 0xD800 && code < 0xDC00) {
-                    if (!text_.substr(at_).starts_with("\\u")) fail();
+                    if (!text_.substr(at_).starts_with("\\u")) {
+                        fail();
+                    }
                     at_ += 2;
                     const unsigned low = hex4();
-                    if (low < 0xDC00 || low >= 0xE000) fail();
+                    if (low < 0xDC00 || low >= 0xE000) {
+                        fail();
+                    }
                     code = 0x10000 + ((code - 0xD800) << 10) + (low - 0xDC00);
                 }
                 append_utf8(text, code);
@@ -126,21 +152,32 @@
 
 double JsonCursor::number() {
     const char first = peek();
-    if (first != '-' && (first < '0' || first > '9')) fail();
+    if (first != '-' && (first < '0' || first > '9')) {
+        fail();
+    }
     double value = 0;
-    const auto [end, error] = std::from_chars(text_.data() + at_, text_.data() + text_.size(), value);
-    if (error != std::errc{} || !std::isfinite(value)) fail();
+    const auto [end, error] =
+        std::from_chars(text_.data() + at_, text_.data() + text_.size(), value);
+    if (error != std::errc{} || !std::isfinite(value)) {
+        fail();
+    }
     at_ = static_cast<std::size_t>(end - text_.data());
     return value;
 }
 
 bool JsonCursor::boolean() {
-    if (word("true")) return true;
-    if (!word("false")) fail();
+    if (word("true")) {
+        return true;
+    }
+    if (!word("false")) {
+        fail();
+    }
     return false;
 }
 
-bool JsonCursor::null() { return word("null"); }
+bool JsonCursor::null() {
+    return word("null");
+}
 
 void JsonCursor::skip() {
     switch (peek()) {
@@ -158,7 +195,9 @@
             boolean();
             break;
         case 'n':
-            if (!null()) fail();
+            if (!null()) {
+                fail();
+            }
             break;
         default:
             number();
@@ -173,7 +212,9 @@
 }
 
 void JsonCursor::end() {
-    if (peek() != '\0' || at_ < text_.size()) fail();
+    if (peek() != '\0' || at_ < text_.size()) {
+        fail();
+    }
 }
 
 }  // namespace micaroad::protocol
--- a/src/protocol/json_cursor.hpp
+++ b/src/protocol/json_cursor.hpp
@@ -28,7 +28,9 @@
     template <class Element>  // calls element() for each
     void array(Element element) {
         enter('[');
-        for (bool first = true; !leave(']', first); first = false) element();
+        for (bool first = true; !leave(']', first); first = false) {
+            element();
+        }
     }
     std::string string();
     double number();
--- a/src/protocol/line_reader.hpp
+++ b/src/protocol/line_reader.hpp
@@ -1,5 +1,5 @@
-// Bytes in any pieces to lines. Knows no socket; what is held of an unfinished line stands in buffers of a
-// pool.
+// Bytes in any pieces to lines. Knows no socket; what is held of an unfinished line stands in
+// buffers of a pool.
 #pragma once
 
 #include <string>
@@ -32,21 +32,29 @@
  public:
     static constexpr std::size_t kLongest = 1024 * 1024;  // CRLF included
 
-    explicit LineReader(BufferPool& pool, std::size_t longest = kLongest) : pool_(pool), longest_(longest) {}
+    explicit LineReader(BufferPool& pool, std::size_t longest = kLongest)
+        : pool_(pool), longest_(longest) {}
     void allow(std::size_t longest) { longest_ = longest; }  // from the next piece on
 
-    // Calls line(std::string_view), without its CRLF, for each that is complete, until one gives false. After
-    // a fault the stream can't be read any further.
+    // Calls line(std::string_view), without its CRLF, for each that is complete, until one gives
+    // false. After a fault the stream can't be read any further.
     template <class Line>
     LineFault feed(std::string_view bytes, Line line) {
         while (!bytes.empty()) {
             const std::size_t end = bytes.find('\n');
-            const std::string_view piece = bytes.substr(0, end == std::string_view::npos ? end : end + 1);
+            const std::string_view piece =
+                bytes.substr(0, end == std::string_view::npos ? end : end + 1);
             bytes.remove_prefix(piece.size());
-            if (held_.size() + piece.size() > longest_) return LineFault::too_long;
-            if (piece.find('\0') != std::string_view::npos) return LineFault::nul_byte;
+            if (held_.size() + piece.size() > longest_) {
+                return LineFault::too_long;
+            }
+            if (piece.find('\0') != std::string_view::npos) {
+                return LineFault::nul_byte;
+            }
             if (end == std::string_view::npos) {
-                if (!held_.append(pool_, piece)) return LineFault::no_buffer;
+                if (!held_.append(pool_, piece)) {
+                    return LineFault::no_buffer;
+                }
                 break;
             }
             std::string whole;
@@ -55,9 +63,13 @@
                 whole = held_.text();
                 view = whole.append(piece);
             }
-            if (!view.ends_with("\r\n")) return LineFault::no_carriage_return;
+            if (!view.ends_with("\r\n")) {
+                return LineFault::no_carriage_return;
+            }
             view.remove_suffix(2);
-            if (!line(view)) return LineFault::not_taken;
+            if (!line(view)) {
+                return LineFault::not_taken;
+            }
             held_.clear();  // not before: so all copies together are no larger than the pool
         }
         return LineFault::none;
--- a/src/protocol/message.cpp
+++ b/src/protocol/message.cpp
@@ -27,34 +27,47 @@
     explicit Words(std::string_view line) {
         while (!line.empty()) {
             const std::string_view word = cut(line);
-            if (word.empty()) continue;
+            if (word.empty()) {
+                continue;
+            }
             const std::size_t equals = word.find('=');
-            if (equals == 0 || equals == std::string_view::npos)
+            if (equals == 0 || equals == std::string_view::npos) {
                 throw Malformed{"a word without name and value"};
+            }
             const std::string_view name = word.substr(0, equals);
-            if (find(name)) throw Malformed{"doubled word " + std::string(name.substr(0, 40))};
-            if (words_.size() == kMostWords) throw Malformed{"too many words"};
+            if (find(name)) {
+                throw Malformed{"doubled word " + std::string(name.substr(0, 40))};
+            }
+            if (words_.size() == kMostWords) {
+                throw Malformed{"too many words"};
+            }
             words_.emplace_back(name, word.substr(equals + 1));
         }
     }
     const std::string_view* find(std::string_view name) const {
-        const auto at =
-            std::find_if(words_.begin(), words_.end(), [&](const auto& w) { return w.first == name; });
+        const auto at = std::find_if(words_.begin(), words_.end(),
+                                     [&](const auto& w) { return w.first == name; });
         return at == words_.end() ? nullptr : &at->second;
     }
     std::string_view text(const char* name) const {
         const std::string_view* value = find(name);
-        if (!value || value->empty()) throw Malformed{std::string("missing word ") + name};
+        if (!value || value->empty()) {
+            throw Malformed{std::string("missing word ") + name};
+        }
         return *value;
     }
     double figure(const char* name) const {
         double value = -1;
-        if (!parse_integer(text(name), value) || !(value >= 0 && value <= kLargest)) throw bad(name);
+        if (!parse_integer(text(name), value) || !(value >= 0 && value <= kLargest)) {
+            throw bad(name);
+        }
         return value;
     }
     int whole(const char* name, int below) const {
         int value = -1;
-        if (!parse_integer(text(name), value) || value < 0 || value >= below) throw bad(name);
+        if (!parse_integer(text(name), value) || value < 0 || value >= below) {
+            throw bad(name);
+        }
         return value;
     }
     Duration span(const char* name, Duration longest) const {
@@ -63,7 +76,9 @@
     }
     int place(const char* name, const std::vector<std::string>& among) const {
         const auto at = std::find(among.begin(), among.end(), text(name));
-        if (at == among.end()) throw bad(name);
+        if (at == among.end()) {
+            throw bad(name);
+        }
         return static_cast<int>(at - among.begin());
     }
 
@@ -72,12 +87,18 @@
     std::vector<std::pair<std::string_view, std::string_view>> words_;
 };
 
-// How many there were, how many came to nothing (an RPC may do so in a later window than it came in), and
-// over which time: each can only be so large.
-void read_counts(const Words& words, const Bounds& bounds, double& all, double& bad, Duration& over) {
-    all = words.figure("n"), bad = words.figure("bad"), over = words.span("window", bounds.longest_window);
-    if (std::max(all, bad) > kMostCounted) throw Malformed{"more than can have come"};
-    if (over <= Duration{}) throw Malformed{"no window"};
+// How many there were, how many came to nothing (an RPC may do so in a later window than it came
+// in), and over which time: each can only be so large.
+void read_counts(const Words& words, const Bounds& bounds, double& all, double& bad,
+                 Duration& over) {
+    all = words.figure("n"), bad = words.figure("bad"),
+    over = words.span("window", bounds.longest_window);
+    if (std::max(all, bad) > kMostCounted) {
+        throw Malformed{"more than can have come"};
+    }
+    if (over <= Duration{}) {
+        throw Malformed{"no window"};
+    }
 }
 
 Message outcomes_of(const Words& words, const SymbolTable& names, const Bounds& bounds) {
@@ -86,7 +107,9 @@
     met.proxy_zone = {words.place("az", names.zones)};
     read_counts(words, bounds, met.attempts, met.failures, met.window);
     met.mean_latency = words.span("avg", bounds.longest_mean);
-    if (met.failures > met.attempts) throw Malformed{"more failures than tries"};
+    if (met.failures > met.attempts) {
+        throw Malformed{"more failures than tries"};
+    }
     return met;
 }
 
@@ -101,7 +124,8 @@
 Message answer_of(const Words& words, const SymbolTable&, const Bounds& bounds) {
     constexpr int kMarks = 65'536;
     words.figure("lag_ms");
-    return event::Acknowledgement{{words.whole("sidecar", bounds.proxies)}, {words.whole("version", kMarks)}};
+    return event::Acknowledgement{{words.whole("sidecar", bounds.proxies)},
+                                  {words.whole("version", kMarks)}};
 }
 
 Message joining_of(const Words& words, const SymbolTable& names, const Bounds& bounds) {
@@ -117,20 +141,27 @@
     return CollectorIdentified{{words.place("az", names.zones)}};
 }
 
-Message alive_of(const Words&, const SymbolTable&, const Bounds&) { return LivenessQuery{}; }
+Message alive_of(const Words&, const SymbolTable&, const Bounds&) {
+    return LivenessQuery{};
+}
 
-constexpr std::pair<std::string_view, Message (*)(const Words&, const SymbolTable&, const Bounds&)> kKinds[] = {
-    {"outcomes", outcomes_of}, {"demand", demand_of},   {"ack", answer_of},
-    {"hello", joining_of},     {"agent", collector_of}, {"probe", alive_of}};
+constexpr std::pair<std::string_view, Message (*)(const Words&, const SymbolTable&, const Bounds&)>
+    kKinds[] = {{"outcomes", outcomes_of}, {"demand", demand_of},   {"ack", answer_of},
+                {"hello", joining_of},     {"agent", collector_of}, {"probe", alive_of}};
 
 }  // namespace
 
-ParseResult parse_message(std::string_view line, const SymbolTable& names, const Bounds& bounds) try {
+ParseResult parse_message(std::string_view line, const SymbolTable& names,
+                          const Bounds& bounds) try {
     const std::string_view said = cut(line);
     for (const auto& [kind, read] : kKinds) {
-        if (kind == said) return read(Words(line), names, bounds);
+        if (kind == said) {
+            return read(Words(line), names, bounds);
+        }
     }
     return Unparseable{"unknown kind " + std::string(said.substr(0, 40))};
-} catch (const Malformed& why) { return why; }
+} catch (const Malformed& why) {
+    return why;
+}
 
 }  // namespace micaroad::protocol
--- a/src/protocol/message.hpp
+++ b/src/protocol/message.hpp
@@ -1,5 +1,5 @@
-// What comes in at the planner's address: one line to one message, with one of three verdicts. SymbolTable become
-// numbers here, and milliseconds spans.
+// What comes in at the planner's address: one line to one message, with one of three verdicts.
+// SymbolTable become numbers here, and milliseconds spans.
 #pragma once
 
 #include <string>
@@ -15,10 +15,12 @@
 struct CollectorIdentified {
     ZoneId zone;
 };
-using Message = std::variant<LivenessQuery, CollectorIdentified, event::ProxyJoined, event::Acknowledgement,
-                             event::EndpointLoadReport, event::DemandReport>;
+using Message =
+    std::variant<LivenessQuery, CollectorIdentified, event::ProxyJoined, event::Acknowledgement,
+                 event::EndpointLoadReport, event::DemandReport>;
 
-// A known kind that can't be meant so: the line is dropped, what comes around it is good. The text says why.
+// A known kind that can't be meant so: the line is dropped, what comes around it is good. The text
+// says why.
 struct Malformed {
     std::string why;
 };
--- a/src/protocol/push_writer.cpp
+++ b/src/protocol/push_writer.cpp
@@ -18,11 +18,14 @@
 
 std::string routes_of(const std::set<MethodId>& methods, const SymbolTable& names) {
     std::string routes;
-    for (const MethodId method : methods) { routes += (routes.empty() ? "" : "+") + names.method(method); }
+    for (const MethodId method : methods) {
+        routes += (routes.empty() ? "" : "+") + names.method(method);
+    }
     return routes;
 }
 
-// Parts of a message. A list too long for one goes on in the next, which repeats what it belongs to.
+// Parts of a message. A list too long for one goes on in the next, which repeats what it belongs
+// to.
 class Parts {
  public:
     explicit Parts(std::size_t longest) : room_(longest - kTail.size() - 2) {}
@@ -33,20 +36,26 @@
         (parts_.emplace_back("push") += lead_) += once;
     }
     void word(const std::string& text) {
-        if (parts_.back().size() + 1 + text.size() > room_) go_on();
+        if (parts_.back().size() + 1 + text.size() > room_) {
+            go_on();
+        }
         parts_.back() += ' ' + text;
     }
     // One more member of the list `name`.
     void member(const char* name, const std::string& text) {
         const std::string start = fmt::format(" {}=", name);
         std::string more = list_ == name && parts_.size() == list_part_ ? ',' + text : start + text;
-        if (parts_.back().size() + more.size() > room_) go_on(), more = start + text;
+        if (parts_.back().size() + more.size() > room_) {
+            go_on(), more = start + text;
+        }
         parts_.back() += more;
         list_ = name, list_part_ = parts_.size();
     }
     bool none() const { return parts_.empty(); }
     std::optional<std::string> message() const {
-        if (parts_.size() > kMostParts) return std::nullopt;
+        if (parts_.size() > kMostParts) {
+            return std::nullopt;
+        }
         std::string all;
         for (std::size_t i = 0; i < parts_.size(); ++i) {
             (all += parts_[i]) += i + 1 < parts_.size() ? kTail : "";
@@ -67,10 +76,13 @@
 
 }  // namespace
 
-std::optional<std::string> format_update(const ProxyUpdate& update, const SymbolTable& names, std::size_t longest) {
+std::optional<std::string> format_update(const ProxyUpdate& update, const SymbolTable& names,
+                                         std::size_t longest) {
     Parts parts(longest);
     std::map<ProxyUpdate::Admission, std::set<MethodId>> levels;
-    for (const auto& [method, level] : update.admissions) levels[level].insert(method);
+    for (const auto& [method, level] : update.admissions) {
+        levels[level].insert(method);
+    }
     for (const ProxyUpdate::Table& table : update.tables) {
         parts.open(" routes=" + routes_of(table.methods, names), table.full ? " full=1" : "");
         for (const auto& [server, weight] : table.lines) {
@@ -82,16 +94,22 @@
         if (update.tables.size() != 1 || update.tables.front().methods != methods) {
             parts.open(" routes=" + routes_of(methods, names));
         }
-        parts.word(
-            fmt::format("admit={} policy={}", figure(level.amount), static_cast<int>(level.retry_policy)));
+        parts.word(fmt::format("admit={} policy={}", figure(level.amount),
+                               static_cast<int>(level.retry_policy)));
+    }
+    if (parts.none()) {
+        parts.open("");
     }
-    if (parts.none()) parts.open("");
     for (const bool out : {true, false}) {
         for (const auto& [server, is_out] : update.withdrawn) {
-            if (is_out == out) parts.member(out ? "eject" : "restore", server.value);
+            if (is_out == out) {
+                parts.member(out ? "eject" : "restore", server.value);
+            }
         }
     }
-    if (update.nonce) parts.word(fmt::format("nonce_out={}", update.nonce->value));
+    if (update.nonce) {
+        parts.word(fmt::format("nonce_out={}", update.nonce->value));
+    }
     return parts.message();
 }
 
--- a/src/record/block.hpp
+++ b/src/record/block.hpp
@@ -1,13 +1,14 @@
-// The bytes of a recording: blocks that stand for themselves, each some records compressed together.
+// The bytes of a recording: blocks that stand for themselves, each some records compressed
+// together.
 //
 //   block:  "MRB1"  packed u32  raw u32  records u32  first u64  check u64   packed bytes (zstd)
 //   record: length u32  sequence u64  check u64  protobuf bytes             (within the raw bytes)
 //
-// Numbers are little-endian. `check` of a block is XXH64 over the header before it and the packed bytes; of a
-// record over its sequence and bytes. Sequences count records from 0 through all segments of a recording, so
-// that a record that is missing or stands twice is seen. A block is written whole or not at all as far as a
-// reader is concerned: what a cut leaves of the last one is not read. Behind damage, reading goes on at the
-// next block that is whole.
+// Numbers are little-endian. `check` of a block is XXH64 over the header before it and the packed
+// bytes; of a record over its sequence and bytes. Sequences count records from 0 through all
+// segments of a recording, so that a record that is missing or stands twice is seen. A block is
+// written whole or not at all as far as a reader is concerned: what a cut leaves of the last one is
+// not read. Behind damage, reading goes on at the next block that is whole.
 #pragma once
 
 #include <cstdint>
--- a/src/record/recorder.hpp
+++ b/src/record/recorder.hpp
@@ -1,9 +1,10 @@
-// Keeps what the module hears and orders. The core hands each turn over and goes on; a background job makes
-// records of them, writes blocks, begins new segments and deletes old ones.
+// Keeps what the module hears and orders. The core hands each turn over and goes on; a background
+// job makes records of them, writes blocks, begins new segments and deletes old ones.
 //
-// Guards against a disk that is slow or full: what finds no room in the queue, or can't be written, is
-// counted, and the recording says where it has holes. It should cost decisions nothing but a copy of what was
-// heard. It could harm by memory: the queue is bounded by the number of events and orders in it.
+// Guards against a disk that is slow or full: what finds no room in the queue, or can't be written,
+// is counted, and the recording says where it has holes. It should cost decisions nothing but a
+// copy of what was heard. It could harm by memory: the queue is bounded by the number of events and
+// orders in it.
 #pragma once
 
 #include <functional>
@@ -30,8 +31,9 @@
 
 class Recorder : public Observer {
  public:
-    static constexpr std::size_t kMostQueued = 200'000;  // events and orders, of some 100 bytes each
-    static constexpr std::size_t kBlock = 64 * 1024;     // raw bytes, then a block is written
+    static constexpr std::size_t kMostQueued =
+        200'000;                                      // events and orders, of some 100 bytes each
+    static constexpr std::size_t kBlock = 64 * 1024;  // raw bytes, then a block is written
     static constexpr Duration kBlockAge = std::chrono::seconds(1);
 
     // `disk` must outlive it. Goes on behind the last sequence that the folder's names tell.
--- a/src/record/replay.hpp
+++ b/src/record/replay.hpp
@@ -23,8 +23,8 @@
     std::vector<Trouble> troubles;
 };
 
-// Calls taken() for each record, in the order of their sequences. Records that stand twice count once;
-// sequences that are missing between two records of one life come as a Hole.
+// Calls taken() for each record, in the order of their sequences. Records that stand twice count
+// once; sequences that are missing between two records of one life come as a Hole.
 Read read_all(Disk& disk, const std::function<void(const records::Record&)>& taken);
 
 struct Verdict {
--- a/src/routing/keeper.cpp
+++ b/src/routing/keeper.cpp
@@ -15,7 +15,9 @@
 
 }  // namespace
 
-Keeper::Keeper(Plan plan, TimePoint now) { begin(std::move(plan), now); }
+Keeper::Keeper(Plan plan, TimePoint now) {
+    begin(std::move(plan), now);
+}
 
 void Keeper::begin(Plan plan, TimePoint now) {
     plan_ = std::make_unique<Plan>(std::move(plan));
@@ -28,13 +30,19 @@
             const std::string name = full_name(pool, server);
             const auto known = view_.servers.find(name);
             ServerNow state = known == view_.servers.end() ? ServerNow{} : known->second;
-            if (server.state != State::draining)
+            if (server.state != State::draining) {
                 state.draining_since.reset();
-            else if (!state.draining_since)
+            } else if (!state.draining_since) {
                 state.draining_since = now;
-            // Who is no longer checked counts as up; who was down stays so until probes say otherwise.
-            if (!server.checked && server.health_of.empty()) state.up = true;
-            if (!state.up) book.begin_down(server.name);
+            }
+            // Who is no longer checked counts as up; who was down stays so until probes say
+            // otherwise.
+            if (!server.checked && server.health_of.empty()) {
+                state.up = true;
+            }
+            if (!state.up) {
+                book.begin_down(server.name);
+            }
             servers[name] = state;
         }
         books.emplace(pool.name, std::move(book));
@@ -58,35 +66,50 @@
     std::optional<TimePoint> first;
     for (const auto& [pool, book] : books_) {
         const auto due = book.next_due();
-        if (due && (!first || *due < *first)) first = due;
+        if (due && (!first || *due < *first)) {
+            first = due;
+        }
     }
     // A slow start moves weights by steps, and a drain ends, without any probe.
-    for (const auto& [name, server] : view_.servers)
-        if (server.draining_since && (!first || *server.draining_since + view_.drain_grace < *first) &&
-            *server.draining_since + view_.drain_grace > view_.now)
+    for (const auto& [name, server] : view_.servers) {
+        if (server.draining_since &&
+            (!first || *server.draining_since + view_.drain_grace < *first) &&
+            *server.draining_since + view_.drain_grace > view_.now) {
             first = *server.draining_since + view_.drain_grace;
+        }
+    }
     return first;
 }
 
 std::string Keeper::probed(const std::string& server, bool ok, TimePoint now) {
     const auto slash = server.find('/');
     const auto book = books_.find(server.substr(0, slash));
-    if (slash == std::string::npos || book == books_.end()) return "";
+    if (slash == std::string::npos || book == books_.end()) {
+        return "";
+    }
     const auto change = book->second.probed(server.substr(slash + 1), ok, now);
-    if (!change) return "";
+    if (!change) {
+        return "";
+    }
     ServerNow& state = view_.servers[server];
     state.up = change->up;
-    if (change->up) state.up_since = now;
+    if (change->up) {
+        state.up_since = now;
+    }
     return fmt::format("{} is {}: {}", server, change->up ? "up" : "down", change->why);
 }
 
 bool Keeper::replace(Plan plan, TimePoint now) {
     const auto names = [](const Plan& plan) {
         std::vector<std::string> names;
-        for (const Pool& pool : plan.pools) names.push_back(pool.name);
+        for (const Pool& pool : plan.pools) {
+            names.push_back(pool.name);
+        }
         return names;
     };
-    if (names(plan) != names(*plan_)) return false;
+    if (names(plan) != names(*plan_)) {
+        return false;
+    }
     begin(std::move(plan), now);
     return true;
 }
@@ -94,8 +117,10 @@
 std::optional<event::EndpointListUpdate> Keeper::changed(TimePoint now) {
     view_.now = now;
     event::EndpointListUpdate list = roster_->list(view_);
-    if (last_ && std::equal(last_->begin(), last_->end(), list.servers.begin(), list.servers.end(), alike))
+    if (last_ &&
+        std::equal(last_->begin(), last_->end(), list.servers.begin(), list.servers.end(), alike)) {
         return std::nullopt;
+    }
     last_ = list.servers;
     return list;
 }
