--- a/src/routing/limiter.cpp
+++ b/src/routing/limiter.cpp
@@ -5,13 +5,16 @@
 namespace micaroad::routing {
 
 Limiter::Limiter(const Pool& pool) : most_(pool.connections_most), patience_(pool.queue_patience) {
-    for (const Server& server : pool.servers)
+    for (const Server& server : pool.servers) {
         limits_[server.name] = {server.connections_most, server.queue_most};
+    }
 }
 
 bool Limiter::has_room(const std::string& server) const {
     const auto at = limits_.find(server);
-    if (at == limits_.end() || at->second.closed) return false;
+    if (at == limits_.end() || at->second.closed) {
+        return false;
+    }
     return at->second.most == 0 || at->second.running < at->second.most;
 }
 
@@ -22,7 +25,9 @@
 }
 
 Limiter::Answer Limiter::wait(RpcNumber rpc, Wait wait) {
-    if (wait.alone) ++limits_.at(wait.servers.front()).waiting;
+    if (wait.alone) {
+        ++limits_.at(wait.servers.front()).waiting;
+    }
     const TimePoint until = wait.until;
     places_[rpc] = next_;
     waits_[next_++] = {rpc, std::move(wait)};
@@ -31,28 +36,38 @@
 
 void Limiter::leave_queue(std::map<std::uint64_t, std::pair<RpcNumber, Wait>>::iterator at) {
     const auto& [rpc, wait] = at->second;
-    if (wait.alone) --limits_.at(wait.servers.front()).waiting;
+    if (wait.alone) {
+        --limits_.at(wait.servers.front()).waiting;
+    }
     places_.erase(rpc);
     waits_.erase(at);
 }
 
-// Nobody goes past those that wait: a newcomer runs at once only if nobody before it could have taken the
-// place.
+// Nobody goes past those that wait: a newcomer runs at once only if nobody before it could have
+// taken the place.
 Limiter::Answer Limiter::ask(RpcNumber rpc, const std::string& server, TimePoint now) {
     const auto at = limits_.find(server);
-    if (at == limits_.end() || at->second.closed || runs_.contains(rpc) || places_.contains(rpc))
+    if (at == limits_.end() || at->second.closed || runs_.contains(rpc) || places_.contains(rpc)) {
         return {rpc, Verdict::turned_away, server, {}};
-    if (at->second.waiting == 0 && has_room(server) && pool_has_room()) return run(rpc, server);
-    if (at->second.queue > 0 && at->second.waiting >= at->second.queue)
+    }
+    if (at->second.waiting == 0 && has_room(server) && pool_has_room()) {
+        return run(rpc, server);
+    }
+    if (at->second.queue > 0 && at->second.waiting >= at->second.queue) {
         return {rpc, Verdict::turned_away, server, {}};
+    }
     return wait(rpc, {{server}, true, now + patience_});
 }
 
-Limiter::Answer Limiter::ask_any(RpcNumber rpc, const std::vector<std::string>& servers, TimePoint now) {
-    if (servers.empty() || runs_.contains(rpc) || places_.contains(rpc))
+Limiter::Answer Limiter::ask_any(RpcNumber rpc, const std::vector<std::string>& servers,
+                                 TimePoint now) {
+    if (servers.empty() || runs_.contains(rpc) || places_.contains(rpc)) {
         return {rpc, Verdict::turned_away, "", {}};
+    }
     for (const std::string& server : servers) {
-        if (has_room(server) && pool_has_room()) return run(rpc, server);
+        if (has_room(server) && pool_has_room()) {
+            return run(rpc, server);
+        }
     }
     return wait(rpc, {servers, false, now + patience_});
 }
@@ -63,7 +78,9 @@
         return {};  // it held no place that another waits for
     }
     const auto at = runs_.find(rpc);
-    if (at == runs_.end()) return {};
+    if (at == runs_.end()) {
+        return {};
+    }
     --limits_.at(at->second).running;
     runs_.erase(at);
     return admit();
@@ -76,7 +93,9 @@
         const auto& [rpc, wait] = here->second;
         const auto server = std::find_if(wait.servers.begin(), wait.servers.end(),
                                          [this](const auto& s) { return has_room(s); });
-        if (server == wait.servers.end()) continue;
+        if (server == wait.servers.end()) {
+            continue;
+        }
         const RpcNumber number = rpc;
         const std::string name = *server;
         leave_queue(here);
@@ -85,14 +104,18 @@
     return answers;
 }
 
-std::vector<Limiter::Answer> Limiter::close(const std::string& server, const std::vector<std::string>& others,
-                                            TimePoint) {
+std::vector<Limiter::Answer> Limiter::close(const std::string& server,
+                                            const std::vector<std::string>& others, TimePoint) {
     const auto limit = limits_.find(server);
-    if (limit == limits_.end() || limit->second.closed) return {};
+    if (limit == limits_.end() || limit->second.closed) {
+        return {};
+    }
     limit->second.closed = true;
     for (auto& [place, waiting] : waits_) {
         Wait& wait = waiting.second;
-        if (!wait.alone || wait.servers.front() != server) continue;
+        if (!wait.alone || wait.servers.front() != server) {
+            continue;
+        }
         --limit->second.waiting;
         wait.alone = false, wait.servers = others;
     }
@@ -100,7 +123,9 @@
 }
 
 std::vector<Limiter::Answer> Limiter::open(const std::string& server) {
-    if (const auto at = limits_.find(server); at != limits_.end()) at->second.closed = false;
+    if (const auto at = limits_.find(server); at != limits_.end()) {
+        at->second.closed = false;
+    }
     return admit();
 }
 
--- a/src/routing/match.cpp
+++ b/src/routing/match.cpp
@@ -33,7 +33,9 @@
         return std::any_of(any.of.begin(), any.of.end(),
                            [this](const Match& m) { return fits(m, rpc, usable); });
     }
-    bool operator()(const Not& none) const { return !none.of.empty() && !fits(none.of.front(), rpc, usable); }
+    bool operator()(const Not& none) const {
+        return !none.of.empty() && !fits(none.of.front(), rpc, usable);
+    }
     bool operator()(const HostIs& host) const {
         TextMatch any_case = host.text;
         any_case.any_case = true;
@@ -41,11 +43,14 @@
     }
     bool operator()(const PathIs& path) const { return fits(path.text, rpc.path); }
     bool operator()(const MethodIs& method) const {
-        return std::find(method.names.begin(), method.names.end(), rpc.method) != method.names.end();
+        return std::find(method.names.begin(), method.names.end(), rpc.method) !=
+               method.names.end();
     }
     bool operator()(const HeaderIs& header) const {
         const std::string name = lower(header.name);
-        if (name == "host") return !rpc.host.empty() && fits(header.text, rpc.host);
+        if (name == "host") {
+            return !rpc.host.empty() && fits(header.text, rpc.host);
+        }
         return std::any_of(rpc.headers.begin(), rpc.headers.end(), [&](const auto& field) {
             return field.first == name && fits(header.text, field.second);
         });
@@ -64,8 +69,11 @@
 
 std::string lower(std::string_view text) {
     std::string low(text);
-    for (char& c : low)
-        if (c >= 'A' && c <= 'Z') c = static_cast<char>(c - 'A' + 'a');
+    for (char& c : low) {
+        if (c >= 'A' && c <= 'Z') {
+            c = static_cast<char>(c - 'A' + 'a');
+        }
+    }
     return low;
 }
 
@@ -75,15 +83,20 @@
     } else if (const auto colon = host.rfind(':'); colon != std::string_view::npos) {
         host = host.substr(0, colon);
     }
-    if (host.ends_with('.')) host.remove_suffix(1);
+    if (host.ends_with('.')) {
+        host.remove_suffix(1);
+    }
     return lower(host);
 }
 
 bool fits(const TextMatch& match, std::string_view text) {
-    if (match.way == TextWay::present) return true;
+    if (match.way == TextWay::present) {
+        return true;
+    }
     const std::string folded = match.any_case ? lower(text) : std::string();
     return std::any_of(match.values.begin(), match.values.end(), [&](const std::string& value) {
-        return match.any_case ? fits_one(match.way, folded, lower(value)) : fits_one(match.way, text, value);
+        return match.any_case ? fits_one(match.way, folded, lower(value))
+                              : fits_one(match.way, text, value);
     });
 }
 
--- a/src/routing/network.cpp
+++ b/src/routing/network.cpp
@@ -28,7 +28,9 @@
         return address;
     }
     address.v4 = false;
-    if (inet_pton(AF_INET6, word.c_str(), address.bytes.data()) != 1) return std::nullopt;
+    if (inet_pton(AF_INET6, word.c_str(), address.bytes.data()) != 1) {
+        return std::nullopt;
+    }
     return address;
 }
 
@@ -39,7 +41,9 @@
 }
 
 bool Network::holds(const Address& address) const {
-    if (address.v4 != base.v4) return false;
+    if (address.v4 != base.v4) {
+        return false;
+    }
     Address cut = address;
     clear_past(cut, bits);
     return cut.bytes == base.bytes;
@@ -52,7 +56,9 @@
 std::optional<Network> network_of(std::string_view text) {
     const auto slash = text.find('/');
     const auto base = address_of(text.substr(0, slash));
-    if (!base) return std::nullopt;
+    if (!base) {
+        return std::nullopt;
+    }
     const int first = base->v4 ? 8 * kV4Starts : 0;
     Network network{*base, 128};
     if (slash != std::string_view::npos) {
@@ -60,14 +66,22 @@
         int bits = 0;
         const auto [end, wrong] = std::from_chars(mask.data(), mask.data() + mask.size(), bits);
         if (wrong == std::errc{} && end == mask.data() + mask.size()) {
-            if (bits < 0 || bits > 128 - first) return std::nullopt;
+            if (bits < 0 || bits > 128 - first) {
+                return std::nullopt;
+            }
             network.bits = first + bits;
         } else {  // 255.0.0.0
             const auto dotted = base->v4 ? address_of(mask) : std::nullopt;
-            if (!dotted || !dotted->v4) return std::nullopt;
+            if (!dotted || !dotted->v4) {
+                return std::nullopt;
+            }
             std::uint32_t value = 0;
-            for (int i = kV4Starts; i < 16; ++i) value = value << 8 | dotted->bytes[i];
-            if (std::popcount(value) != std::countl_one(value)) return std::nullopt;
+            for (int i = kV4Starts; i < 16; ++i) {
+                value = value << 8 | dotted->bytes[i];
+            }
+            if (std::popcount(value) != std::countl_one(value)) {
+                return std::nullopt;
+            }
             network.bits = first + std::popcount(value);
         }
     }
--- a/src/routing/network.hpp
+++ b/src/routing/network.hpp
@@ -1,4 +1,5 @@
-// Addresses and networks of IPv4 and IPv6, both held in sixteen bytes (RFC 4291's mapped form for IPv4).
+// Addresses and networks of IPv4 and IPv6, both held in sixteen bytes (RFC 4291's mapped form for
+// IPv4).
 #pragma once
 
 #include <array>
@@ -28,7 +29,8 @@
     auto operator<=>(const Network&) const = default;
 };
 
-// "10.0.0.0/8", "10.0.0.0/255.0.0.0" or a single address. Bits of the base past the mask are cleared.
+// "10.0.0.0/8", "10.0.0.0/255.0.0.0" or a single address. Bits of the base past the mask are
+// cleared.
 std::optional<Network> network_of(std::string_view text);
 
 }  // namespace micaroad::routing
--- a/src/routing/plan.hpp
+++ b/src/routing/plan.hpp
@@ -1,8 +1,9 @@
-// What an operator has laid down about routes, pools and servers, whatever file it was read from: the
-// operator's own (src/operators/) or another program's (src/haproxy/). Plain values without behaviour;
-// src/routing/router.hpp decides by them.
+// What an operator has laid down about routes, pools and servers, whatever file it was read from:
+// the operator's own (src/operators/) or another program's (src/haproxy/). Plain values without
+// behaviour; src/routing/router.hpp decides by them.
 //
-// SymbolTable are the operator's. A server's full name is "pool/server". Times are Spans (tenths of a millisecond).
+// SymbolTable are the operator's. A server's full name is "pool/server". Times are Spans (tenths of
+// a millisecond).
 #pragma once
 
 #include <cstdint>
@@ -67,8 +68,8 @@
     std::vector<Network> networks;
     bool operator==(const SourceIn&) const = default;
 };
-// How many servers of a pool can be sent new RPCs: those of the tier in use that are up, ready and weigh over
-// 0.
+// How many servers of a pool can be sent new RPCs: those of the tier in use that are up, ready and
+// weigh over 0.
 struct UsableServers {
     std::string pool;
     int least = 0, most = 1'000'000;
@@ -126,15 +127,15 @@
     State state = State::ready;
     int connections_most = 0;  // at once; 0: no limit
     int queue_most = 0;        // RPCs that wait for it alone; 0: no limit
-    Duration slow_start{};         // after it comes up its ceiling rises over this time; zero: at once
+    Duration slow_start{};     // after it comes up its ceiling rises over this time; zero: at once
     std::string health_of;     // "pool/server" whose health is taken for its own; empty: its own
     std::string mark;          // what a stuck RPC's cookie says of it
     bool checked = false;      // by the pool's health rule
     bool operator==(const Server&) const = default;
 };
 
-// What keeps RPCs that belong together on one server while it may be used. A preference: whoever drains is
-// left when the grace ends, whoever is down or in maintenance at once.
+// What keeps RPCs that belong together on one server while it may be used. A preference: whoever
+// drains is left when the grace ends, whoever is down or in maintenance at once.
 struct Stickiness {
     enum class By { none, source, path, header, query, cookie, request_hash } by = By::none;
     std::string name;     // of the header, query parameter or cookie
@@ -145,7 +146,8 @@
     bool operator==(const Stickiness&) const = default;
 };
 
-// When an RPC that failed may be tried again. What may have run is tried again only where it is idempotent.
+// When an RPC that failed may be tried again. What may have run is tried again only where it is
+// idempotent.
 struct FurtherTries {
     int most = 0;
     enum class Proof { never_ran, pushed_back, any_failure } proof = Proof::never_ran;
@@ -177,8 +179,8 @@
     bool operator==(const Pool&) const = default;
 };
 
-// The planner that serves the plan, and the channel to its proxies; proto/operators.proto tells what each
-// figure means.
+// The planner that serves the plan, and the channel to its proxies; proto/operators.proto tells
+// what each figure means.
 struct Service {
     std::string name = "planner-0", listen = "127.0.0.1:3000";
     int proxies = 64, lines_per_second = 1'600, lines_per_message = 3, lines_waiting_most = 1'600;
@@ -203,8 +205,11 @@
     bool operator==(const Plan&) const = default;
 
     const Pool* pool(const std::string& name) const {
-        for (const Pool& pool : pools)
-            if (pool.name == name) return &pool;
+        for (const Pool& pool : pools) {
+            if (pool.name == name) {
+                return &pool;
+            }
+        }
         return nullptr;
     }
 };
--- a/src/routing/roster.cpp
+++ b/src/routing/roster.cpp
@@ -12,7 +12,8 @@
     base.zone_count = 1, base.slice_count = 0;
     const Service& service = plan_.service;
     base.proxy_count = service.proxies;
-    base.channel_lines_per_second = service.lines_per_second, base.overhead_lines_per_message = service.lines_per_message;
+    base.channel_lines_per_second = service.lines_per_second,
+    base.overhead_lines_per_message = service.lines_per_message;
     base.max_pending_lines = service.lines_waiting_most;
     base.report_interval = service.report_every, base.max_message_delay = service.message_longest,
     base.drain_grace = service.drain_grace;
@@ -22,8 +23,9 @@
         method.soft_deadline = pool.answer_within;
         method.only_kinds = {{static_cast<int>(k)}};
         base.methods.push_back(method);
-        for (const Server& server : pool.servers)
+        for (const Server& server : pool.servers) {
             base.warm_up_duration = std::max(base.warm_up_duration, server.slow_start);
+        }
     }
     return base;
 }
@@ -31,12 +33,14 @@
 SymbolTable Roster::names() const {
     SymbolTable names;
     names.zones = {"here"};
-    for (const Pool& pool : plan_.pools) names.methods.push_back(pool.name), names.kinds.push_back(pool.name);
+    for (const Pool& pool : plan_.pools) {
+        names.methods.push_back(pool.name), names.kinds.push_back(pool.name);
+    }
     return names;
 }
 
-// The tier in use alone is ready: a backup on the list would be given RPCs. A server that drains is listed
-// whatever its tier, as its drain must be told.
+// The tier in use alone is ready: a backup on the list would be given RPCs. A server that drains is
+// listed whatever its tier, as its drain must be told.
 event::EndpointListUpdate Roster::list(const View& view) const {
     event::EndpointListUpdate list{event::EndpointListUpdate::Form::complete, {}};
     for (std::size_t k = 0; k < plan_.pools.size(); ++k) {
@@ -44,21 +48,29 @@
         const Parts parts = chooser_.parts(pool, view);
         for (const Server& server : pool.servers) {
             const Standing standing = chooser_.standing(pool, server, view);
-            if (standing == Standing::out) continue;
+            if (standing == Standing::out) {
+                continue;
+            }
             const bool drains = standing == Standing::stuck_only;
-            if (!drains && server.tier != parts.tier) continue;
+            if (!drains && server.tier != parts.tier) {
+                continue;
+            }
             // Of backups only the first that can be used is in the parts, unless all are to serve.
             const bool in_use =
                 std::any_of(parts.parts.begin(), parts.parts.end(),
                             [&server](const Part& part) { return part.server == server.name; });
-            if (!drains && !in_use && standing != Standing::full) continue;
+            if (!drains && !in_use && standing != Standing::full) {
+                continue;
+            }
             ListedEndpoint entry;
             entry.server = {full_name(pool, server)};
             entry.kind = {static_cast<int>(k)};
             entry.phase = drains ? EndpointPhase::draining : EndpointPhase::ready;
             entry.size = std::max(server.weight, 1);
             const ServerNow& now = view.server(entry.server.value);
-            if (server.slow_start > Duration{} && now.up_since != TimePoint{}) entry.last_start = now.up_since;
+            if (server.slow_start > Duration{} && now.up_since != TimePoint{}) {
+                entry.last_start = now.up_since;
+            }
             list.servers.push_back(entry);
         }
     }
@@ -67,8 +79,11 @@
 
 std::map<ServerId, std::string> Roster::addresses() const {
     std::map<ServerId, std::string> addresses;
-    for (const Pool& pool : plan_.pools)
-        for (const Server& server : pool.servers) addresses[{full_name(pool, server)}] = server.address;
+    for (const Pool& pool : plan_.pools) {
+        for (const Server& server : pool.servers) {
+            addresses[{full_name(pool, server)}] = server.address;
+        }
+    }
     return addresses;
 }
 
--- a/src/routing/route_index.cpp
+++ b/src/routing/route_index.cpp
@@ -14,14 +14,18 @@
 };
 using Anchors = std::vector<Anchor>;  // any of them holds; none known: nothing
 
-std::string turned(std::string_view text) { return {text.rbegin(), text.rend()}; }
+std::string turned(std::string_view text) {
+    return {text.rbegin(), text.rend()};
+}
 
 std::optional<Anchors> anchors_of(const Match& match);
 
 std::optional<Anchors> of_text(Anchor::On on, const TextMatch& text) {
     const bool host = on == Anchor::On::host;
     const TextWay part = host ? TextWay::suffix : TextWay::prefix;
-    if (text.way != TextWay::exact && text.way != part) return std::nullopt;
+    if (text.way != TextWay::exact && text.way != part) {
+        return std::nullopt;
+    }
     Anchors anchors;
     for (const std::string& value : text.values) {
         const std::string low = lower(value);
@@ -36,10 +40,16 @@
         std::size_t strength = 0;
         for (const Match& match : all.of) {
             auto found = anchors_of(match);
-            if (!found) continue;
+            if (!found) {
+                continue;
+            }
             std::size_t weakest = found->empty() ? 1'000'000 : found->front().strength();
-            for (const Anchor& anchor : *found) weakest = std::min(weakest, anchor.strength());
-            if (!best || weakest > strength) best = std::move(found), strength = weakest;
+            for (const Anchor& anchor : *found) {
+                weakest = std::min(weakest, anchor.strength());
+            }
+            if (!best || weakest > strength) {
+                best = std::move(found), strength = weakest;
+            }
         }
         return best;
     }
@@ -47,7 +57,9 @@
         Anchors all;
         for (const Match& match : any.of) {
             const auto found = anchors_of(match);
-            if (!found) return std::nullopt;
+            if (!found) {
+                return std::nullopt;
+            }
             all.insert(all.end(), found->begin(), found->end());
         }
         return all;
@@ -60,10 +72,13 @@
     }
     // The host as the client names it, if that is all of it: its plain form is then known too.
     std::optional<Anchors> operator()(const HeaderIs& header) const {
-        if (lower(header.name) != "host" || header.text.way != TextWay::exact) return std::nullopt;
+        if (lower(header.name) != "host" || header.text.way != TextWay::exact) {
+            return std::nullopt;
+        }
         Anchors anchors;
-        for (const std::string& value : header.text.values)
+        for (const std::string& value : header.text.values) {
             anchors.push_back({Anchor::On::host, turned(plain_host(value)), true});
+        }
         return anchors;
     }
     template <class Other>
@@ -72,7 +87,9 @@
     }
 };
 
-std::optional<Anchors> anchors_of(const Match& match) { return std::visit(Finder{}, match.is); }
+std::optional<Anchors> anchors_of(const Match& match) {
+    return std::visit(Finder{}, match.is);
+}
 
 }  // namespace
 
@@ -97,31 +114,45 @@
     const auto later = [](const Duration& a, const Duration& b) { return *a.first > *b.first; };
     std::vector<Duration> room;
     room.reserve(16);
-    std::priority_queue<Duration, std::vector<Duration>, decltype(later)> lists(later, std::move(room));
+    std::priority_queue<Duration, std::vector<Duration>, decltype(later)> lists(later,
+                                                                                std::move(room));
     const auto take = [&lists](const Trie::Numbers& numbers) {
-        if (!numbers.empty()) lists.emplace(numbers.data(), numbers.data() + numbers.size());
+        if (!numbers.empty()) {
+            lists.emplace(numbers.data(), numbers.data() + numbers.size());
+        }
     };
     take(always_);
     paths_.look_up(lower(rpc.path), take);
-    if (!rpc.host.empty()) hosts_.look_up(turned(plain_host(rpc.host)), take);
+    if (!rpc.host.empty()) {
+        hosts_.look_up(turned(plain_host(rpc.host)), take);
+    }
     std::optional<Trie::Number> last;
     while (!lists.empty()) {
         auto [at, end] = lists.top();
         lists.pop();
         if (last != *at) {
             last = *at;
-            if (asked != nullptr) ++*asked;
-            if (fits(routes_[*at].when, rpc, usable)) return *at;
+            if (asked != nullptr) {
+                ++*asked;
+            }
+            if (fits(routes_[*at].when, rpc, usable)) {
+                return *at;
+            }
+        }
+        if (++at != end) {
+            lists.emplace(at, end);
         }
-        if (++at != end) lists.emplace(at, end);
     }
     return std::nullopt;
 }
 
 std::optional<std::size_t> first_by_list(const std::vector<Route>& routes, const Rpc& rpc,
                                          const UsableCount& usable) {
-    for (std::size_t i = 0; i < routes.size(); ++i)
-        if (fits(routes[i].when, rpc, usable)) return i;
+    for (std::size_t i = 0; i < routes.size(); ++i) {
+        if (fits(routes[i].when, rpc, usable)) {
+            return i;
+        }
+    }
     return std::nullopt;
 }
 
--- a/src/routing/route_index.hpp
+++ b/src/routing/route_index.hpp
@@ -1,7 +1,7 @@
-// The first route of many that fits an RPC. Each route is filed under one condition that it can't fit
-// without, its anchor: a whole path, the beginning of a path, a whole host or the end of a host; what has
-// none is tried always. Look-up visits the routes filed under this RPC's path and host in order, and asks
-// match.hpp about each, so that the answer is that of the plain list.
+// The first route of many that fits an RPC. Each route is filed under one condition that it can't
+// fit without, its anchor: a whole path, the beginning of a path, a whole host or the end of a
+// host; what has none is tried always. Look-up visits the routes filed under this RPC's path and
+// host in order, and asks match.hpp about each, so that the answer is that of the plain list.
 #pragma once
 
 #include <optional>
@@ -17,8 +17,8 @@
     // Keeps a reference: the routes must outlive it and not change.
     explicit RouteIndex(const std::vector<Route>& routes);
 
-    // The number of the first route that fits; absent: none does. `asked`, where given, counts the routes
-    // looked at.
+    // The number of the first route that fits; absent: none does. `asked`, where given, counts the
+    // routes looked at.
     std::optional<std::size_t> first(const Rpc& rpc, const UsableCount& usable,
                                      std::size_t* asked = nullptr) const;
 
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -7,9 +7,12 @@
 namespace micaroad::routing {
 
 Router::Router(Plan plan) : plan_(std::make_shared<const Plan>(std::move(plan))), chooser_(*plan_) {
-    for (const Listener& listener : plan_->listeners)
+    for (const Listener& listener : plan_->listeners) {
         entries_.emplace(listener.name, Entry{&listener, RouteIndex(listener.routes)});
-    for (const Pool& pool : plan_->pools) pools_[pool.name] = &pool;
+    }
+    for (const Pool& pool : plan_->pools) {
+        pools_[pool.name] = &pool;
+    }
 }
 
 Decision Router::decide(const std::string& listener, const Rpc& rpc, const View& view) const {
@@ -21,8 +24,8 @@
     if (const auto number = entry.index.first(rpc, usable)) {
         const Route& route = entry.listener->routes[*number];
         decision.route = route.name;
-        decision.why.push_back(
-            fmt::format("route {} is the first of {} that fits", route.name, entry.listener->routes.size()));
+        decision.why.push_back(fmt::format("route {} is the first of {} that fits", route.name,
+                                           entry.listener->routes.size()));
         if (const auto* away = std::get_if<TurnAway>(&route.then)) {
             decision.kind = Decision::Kind::turned_away, decision.status = away->status;
             decision.why.push_back(fmt::format("it turns RPCs away with {}", away->status));
@@ -55,15 +58,17 @@
 
 // A stuck RPC waits for its own server only where that is full and others are not: stickiness is a
 // preference, and a server's own limit binds all the same.
-void Router::decide_in(const Pool& pool, const Rpc& rpc, const View& view, Decision& decision) const {
+void Router::decide_in(const Pool& pool, const Rpc& rpc, const View& view,
+                       Decision& decision) const {
     decision.pool = pool.name;
     decision.parts = chooser_.parts(pool, view);
     decision.why.push_back(decision.parts.why);
     decision.stuck_to = chooser_.stuck_to(pool, rpc, view, decision.parts);
-    if (!decision.stuck_to.empty())
+    if (!decision.stuck_to.empty()) {
         decision.why.push_back(
             fmt::format("it stays with {}, by its {}", decision.stuck_to,
                         pool.stickiness.by == Stickiness::By::cookie ? "cookie" : "key's hash"));
+    }
     if (decision.parts.parts.empty() && decision.stuck_to.empty()) {
         decision.kind = Decision::Kind::turned_away, decision.status = 503;
         return;
@@ -75,9 +80,9 @@
         return;
     }
     decision.kind = Decision::Kind::wait, decision.patience = pool.queue_patience;
-    decision.why.push_back(pool_full
-                               ? fmt::format("the pool runs the {} it may: it waits", pool.connections_most)
-                               : "it waits for a server");
+    decision.why.push_back(
+        pool_full ? fmt::format("the pool runs the {} it may: it waits", pool.connections_most)
+                  : "it waits for a server");
 }
 
 }  // namespace micaroad::routing
--- a/src/routing/router.hpp
+++ b/src/routing/router.hpp
@@ -1,11 +1,12 @@
-// Where an RPC goes: the first route that fits, its pool, the tier and parts in use, and why, in words that
-// `explain` prints. Free of I/O and clocks; the same plan, view and RPC give the same answer.
+// Where an RPC goes: the first route that fits, its pool, the tier and parts in use, and why, in
+// words that `explain` prints. Free of I/O and clocks; the same plan, view and RPC give the same
+// answer.
 //
 //   Router router(plan);                          // checked by its reader; copied
 //   Decision d = router.decide("shop", rpc, view);
 //
-// What it says of a pool bounds what the decision module may do with it (roster.hpp); the module still
-// decides who gets how much.
+// What it says of a pool bounds what the decision module may do with it (roster.hpp); the module
+// still decides who gets how much.
 #pragma once
 
 #include <memory>
@@ -17,12 +18,13 @@
 
 struct Decision {
     enum class Kind { send, wait, turned_away, redirected } kind = Kind::turned_away;
-    std::string listener, route, pool;  // route is empty where the listener's default pool was taken
+    std::string listener, route,
+        pool;  // route is empty where the listener's default pool was taken
     Parts parts;
     std::string stuck_to;  // of the parts or not: where this RPC is to go if that may be
     int status = 503;      // turned away, redirected: said at once
     std::string location;  // redirected
-    Duration patience{};       // wait: so long at most, then it is turned away
+    Duration patience{};   // wait: so long at most, then it is turned away
     std::vector<std::string> why;
 };
 
--- a/src/routing/trie.hpp
+++ b/src/routing/trie.hpp
@@ -1,9 +1,9 @@
-// A radix tree from strings to lists of route numbers, made for one question: which keys are a prefix of this
-// text, and is one of them the whole text? Read-only after building but for add(); numbers come out in the
-// order of routes.
+// A radix tree from strings to lists of route numbers, made for one question: which keys are a
+// prefix of this text, and is one of them the whole text? Read-only after building but for add();
+// numbers come out in the order of routes.
 //
-// Nodes stand in one vector; edges of a node are sorted by their first byte, which differs within a node. A
-// look-up takes one step a byte of text at most, whatever the number of keys.
+// Nodes stand in one vector; edges of a node are sorted by their first byte, which differs within a
+// node. A look-up takes one step a byte of text at most, whatever the number of keys.
 #pragma once
 
 #include <algorithm>
@@ -25,23 +25,31 @@
     void add(std::string_view key, Number number, bool whole) {
         const std::size_t node = node_of(key);
         Numbers& list = whole ? nodes_[node].whole : nodes_[node].prefix;
-        if (list.empty() || list.back() != number) list.push_back(number);
+        if (list.empty() || list.back() != number) {
+            list.push_back(number);
+        }
     }
 
-    // Calls found(const Numbers&) for each key that the text begins with (or is, for keys that are to be
-    // whole).
+    // Calls found(const Numbers&) for each key that the text begins with (or is, for keys that are
+    // to be whole).
     template <class Found>
     void look_up(std::string_view text, Found found) const {
         std::size_t at = 0;
         for (;;) {
             const Node& node = nodes_[at];
-            if (!node.prefix.empty()) found(node.prefix);
+            if (!node.prefix.empty()) {
+                found(node.prefix);
+            }
             if (text.empty()) {
-                if (!node.whole.empty()) found(node.whole);
+                if (!node.whole.empty()) {
+                    found(node.whole);
+                }
                 return;
             }
             const Edge* edge = edge_from(node, text.front());
-            if (edge == nullptr || !text.starts_with(label(*edge))) return;
+            if (edge == nullptr || !text.starts_with(label(*edge))) {
+                return;
+            }
             text.remove_prefix(edge->length), at = edge->to;
         }
     }
@@ -64,8 +72,9 @@
     }
     static const Edge* edge_from(const Node& node, char first) {
         const auto byte = static_cast<unsigned char>(first);
-        const auto at = std::lower_bound(node.edges.begin(), node.edges.end(), byte,
-                                         [](const Edge& edge, unsigned char b) { return edge.first < b; });
+        const auto at =
+            std::lower_bound(node.edges.begin(), node.edges.end(), byte,
+                             [](const Edge& edge, unsigned char b) { return edge.first < b; });
         return at != node.edges.end() && at->first == byte ? &*at : nullptr;
     }
 
@@ -82,14 +91,16 @@
                                 static_cast<std::uint32_t>(nodes_.size() - 1),
                                 static_cast<unsigned char>(key[0])};
                 auto& edges = nodes_[at].edges;
-                edges.insert(std::lower_bound(edges.begin(), edges.end(), made,
-                                              [](const Edge& a, const Edge& b) { return a.first < b.first; }),
+                edges.insert(std::lower_bound(
+                                 edges.begin(), edges.end(), made,
+                                 [](const Edge& a, const Edge& b) { return a.first < b.first; }),
                              made);
                 return made.to;
             }
             const std::string_view text = label(*edge);
             const auto common = static_cast<std::uint32_t>(
-                std::mismatch(text.begin(), text.end(), key.begin(), key.end()).first - text.begin());
+                std::mismatch(text.begin(), text.end(), key.begin(), key.end()).first -
+                text.begin());
             if (common < text.size()) {
                 const Edge rest{edge->from + common, edge->length - common, edge->to,
                                 static_cast<unsigned char>(text[common])};
--- a/src/routing/tries.hpp
+++ b/src/routing/tries.hpp
@@ -1,6 +1,6 @@
-// Whether an RPC that failed is tried again, and where. Rule 2 stands over every setting: what may have run
-// is tried again only where it is idempotent, whatever the operator's file (or the file it was made from)
-// asks for.
+// Whether an RPC that failed is tried again, and where. Rule 2 stands over every setting: what may
+// have run is tried again only where it is idempotent, whatever the operator's file (or the file it
+// was made from) asks for.
 #pragma once
 
 #include <string>
@@ -14,7 +14,8 @@
 enum class Ending {
     no_connection,  // never ran: nothing was sent
     pushed_back,    // the server said that it did not run it (503, 429)
-    aborted,        // the connection broke once something had been sent, or the answer says that it failed
+    aborted,        // the connection broke once something had been sent, or the answer says that it
+                    // failed
     no_answer,      // not in time
 };
 
@@ -24,8 +25,9 @@
     std::string why;
 };
 
-// `tried` names the servers of the pool so far, in order, each as often as it was tried; the last one failed
-// by `ending`.
-Again try_again(const Pool& pool, const Rpc& rpc, const std::vector<std::string>& tried, Ending ending);
+// `tried` names the servers of the pool so far, in order, each as often as it was tried; the last
+// one failed by `ending`.
+Again try_again(const Pool& pool, const Rpc& rpc, const std::vector<std::string>& tried,
+                Ending ending);
 
 }  // namespace micaroad::routing
--- a/src/routing/view.hpp
+++ b/src/routing/view.hpp
@@ -1,4 +1,5 @@
-// What is known of servers and pools at one instant. Whoever watches them fills it; decisions only read it.
+// What is known of servers and pools at one instant. Whoever watches them fills it; decisions only
+// read it.
 #pragma once
 
 #include <map>
@@ -10,14 +11,16 @@
 namespace micaroad::routing {
 
 // A server's full name.
-inline std::string full_name(const Pool& pool, const Server& server) { return pool.name + "/" + server.name; }
+inline std::string full_name(const Pool& pool, const Server& server) {
+    return pool.name + "/" + server.name;
+}
 
 struct ServerNow {
     bool up = true;
-    TimePoint up_since{};                     // the epoch: long ago
-    std::optional<State> told;              // by the operator since the plan was read; goes before the plan's
+    TimePoint up_since{};       // the epoch: long ago
+    std::optional<State> told;  // by the operator since the plan was read; goes before the plan's
     std::optional<TimePoint> draining_since;  // absent while it does not drain
-    int running = 0, waiting = 0;           // RPCs at it, and in its own queue
+    int running = 0, waiting = 0;             // RPCs at it, and in its own queue
 };
 
 struct PoolNow {
@@ -26,7 +29,7 @@
 
 struct View {
     TimePoint now{};
-    Duration drain_grace{20'000};                  // how long stuck RPCs may go on to a server that drains
+    Duration drain_grace{20'000};  // how long stuck RPCs may go on to a server that drains
     std::map<std::string, ServerNow> servers;  // by full name; absent: up since long ago, idle
     std::map<std::string, PoolNow> pools;      // by name; absent: idle
 
--- a/src/settings/deployment_settings.cpp
+++ b/src/settings/deployment_settings.cpp
@@ -16,9 +16,13 @@
 }
 Duration span_or(const json& object, const char* key, Duration fallback = Duration{}) {
     const auto found = object.find(key);
-    return found == object.end() || found->is_null() ? fallback : duration_of_micros(found->get<std::int64_t>());
+    return found == object.end() || found->is_null()
+               ? fallback
+               : duration_of_micros(found->get<std::int64_t>());
+}
+json part_of(const json& object, const char* key) {
+    return value_or(object, key, json::object());
 }
-json part_of(const json& object, const char* key) { return value_or(object, key, json::object()); }
 
 Method method_of(const json& from, int zone_local) {
     Method method;
@@ -63,11 +67,12 @@
     settings.unlisted_may_serve = value_or(rules, "dropped_stay_open", false);
     const auto admission = value_or<std::string>(family, "admission", "none");
     settings.admission_kind = admission == "share"  ? AdmissionKind::fraction
-                   : admission == "rate" ? AdmissionKind::rate
-                                         : AdmissionKind::none;
+                              : admission == "rate" ? AdmissionKind::rate
+                                                    : AdmissionKind::none;
     const int base_mode = value_or(family, "base_mode", 0);
     settings.default_retry_policy = static_cast<RetryPolicy>(std::clamp(base_mode, 0, 3));
-    settings.subscription_required = value_or<std::string>(profile, "registry_mode", "automatic") == "subscribe";
+    settings.subscription_required =
+        value_or<std::string>(profile, "registry_mode", "automatic") == "subscribe";
     settings.slice_count = value_or(family, "slices", 0);
     settings.single_owner = value_or(family, "exclusive", false);
     settings.owner_lease = span_or(family, "lease_us");
--- a/src/simhost/main.cpp
+++ b/src/simhost/main.cpp
@@ -15,7 +15,8 @@
         try {
             std::cout << host.answer(line) << '\n' << std::flush;
         } catch (const micaroad::simhost::WireError& bad) {
-            std::cerr << "micaroad_simhost: line " << number << " can't be read: " << bad.what() << '\n';
+            std::cerr << "micaroad_simhost: line " << number << " can't be read: " << bad.what()
+                      << '\n';
             return 1;
         }
     }
--- a/src/simhost/wire.cpp
+++ b/src/simhost/wire.cpp
@@ -12,11 +12,13 @@
 
 using nlohmann::json;
 
-TimePoint instant_of(std::int64_t micros) { return TimePoint{duration_of_micros(micros)}; }
+TimePoint instant_of(std::int64_t micros) {
+    return TimePoint{duration_of_micros(micros)};
+}
 
 // The values of a message, in order; those past the end or null are the type's default.
 class Fields {
-   public:
+ public:
     Fields(const json& message, std::size_t next) : message_(message), next_(next) {}
     template <class T>
     T take() {
@@ -29,7 +31,7 @@
     }
     Duration take_span() { return duration_of_micros(take<std::int64_t>()); }
 
-   private:
+ private:
     const json& message_;
     std::size_t next_;
 };
@@ -37,8 +39,8 @@
 event::EndpointListUpdate list_of(Fields fields) {
     event::EndpointListUpdate list;
     const auto form = fields.take<std::string>();
-    list.form = form == "update"    ? event::EndpointListUpdate::Form::incremental
-                : form == "replace" ? event::EndpointListUpdate::Form::complete
+    list.form = form == "update"     ? event::EndpointListUpdate::Form::incremental
+                : form == "replace"  ? event::EndpointListUpdate::Form::complete
                 : form == "restored" ? event::EndpointListUpdate::Form::restored
                                      : event::EndpointListUpdate::Form::unavailable;
     fields.take<std::int64_t>();  // the list's version: lists come in order
@@ -165,11 +167,19 @@
         return {"pin", i, o.table.value, lanes_of(o.methods), o.proxy.value};
     }
     json operator()(const order::SetAdmission& o) const {
-        return {"ration",         i,        o.table ? o.table->value : kEveryProxy,
-                lanes_of(o.methods), o.amount, static_cast<int>(o.retry_policy)};
+        return {"ration",
+                i,
+                o.table ? o.table->value : kEveryProxy,
+                lanes_of(o.methods),
+                o.amount,
+                static_cast<int>(o.retry_policy)};
+    }
+    json operator()(const order::SetWithdrawn& o) const {
+        return {"suspend", i, o.server.value, o.withdrawn};
+    }
+    json operator()(const order::SendNonce& o) const {
+        return {"seal", i, o.nonce.value, o.to_all};
     }
-    json operator()(const order::SetWithdrawn& o) const { return {"suspend", i, o.server.value, o.withdrawn}; }
-    json operator()(const order::SendNonce& o) const { return {"seal", i, o.nonce.value, o.to_all}; }
     json operator()(const order::StartTimer& o) const {
         return {"timer", i, o.after.count() * kMicrosPerUnit, o.timer.value};
     }
--- a/src/simhost/wire.hpp
+++ b/src/simhost/wire.hpp
@@ -1,4 +1,5 @@
-// The simulator's wire: one JSON line in, one JSON line out, for many planners. Translates and decides nothing.
+// The simulator's wire: one JSON line in, one JSON line out, for many planners. Translates and
+// decides nothing.
 #pragma once
 
 #include <map>
@@ -17,11 +18,11 @@
 };
 
 class Host {
-   public:
+ public:
     // The reply to one batch. Throws WireError.
     std::string answer(const std::string& line);
 
-   private:
+ private:
     struct Instance {
         std::optional<Planner> planner;
         std::string failure;  // what it threw; it stays out until the next launch
--- a/src/updates/proxy_update.hpp
+++ b/src/updates/proxy_update.hpp
@@ -30,7 +30,9 @@
     // As the channel counts it, without its head.
     std::size_t channel_lines() const {
         std::size_t sum = admissions.size() + withdrawn.size() + (nonce ? 1 : 0);
-        for (const Table& table : tables) sum += table.lines.size() + (table.full ? 1 : 0);
+        for (const Table& table : tables) {
+            sum += table.lines.size() + (table.full ? 1 : 0);
+        }
         return sum;
     }
 };
--- a/src/updates/update_builder.hpp
+++ b/src/updates/update_builder.hpp
@@ -1,5 +1,5 @@
-// The module's orders to one update a proxy. It remembers what was ordered and what each proxy holds of it,
-// and decides nothing: what an order means is WIRE's.
+// The module's orders to one update a proxy. It remembers what was ordered and what each proxy
+// holds of it, and decides nothing: what an order means is WIRE's.
 #pragma once
 
 #include <deque>
@@ -20,13 +20,15 @@
     void on_endpoint_list(const event::EndpointListUpdate& list);
     void on_proxy_joined(ProxyId proxy);  // after left(), where it was here
     void on_proxy_left(ProxyId proxy);
-    bool on_acknowledgement(ProxyId proxy, Nonce nonce);  // false: no such nonce is open on its stream
-    // It is gone for good: its lines leave the tables before what was shut out is dropped, as a table that
-    // still had one would let it back at the next bind. False while a line of it is not withdrawn: nothing is
-    // dropped.
+    bool on_acknowledgement(ProxyId proxy,
+                            Nonce nonce);  // false: no such nonce is open on its stream
+    // It is gone for good: its lines leave the tables before what was shut out is dropped, as a
+    // table that still had one would let it back at the next bind. False while a line of it is not
+    // withdrawn: nothing is dropped.
     bool forget(const ServerId& server);
-    // Orders not written since they would send RPCs to a server that is off the list and withdrawn or
-    // forgotten, since last asked. The module gives none; the update_builder does not depend on that.
+    // Orders not written since they would send RPCs to a server that is off the list and withdrawn
+    // or forgotten, since last asked. The module gives none; the update_builder does not depend on
+    // that.
     std::size_t take_suppressed_orders() { return std::exchange(suppressed_orders_, 0); }
 
     // Of one decide(), in order; those that concern no proxy are passed over.
@@ -36,14 +38,16 @@
     static bool is_supported(const Order& order);
 
  private:
-    static constexpr std::size_t kMostUnanswered = 256;  // a proxy; what an older one said stays unsure
+    static constexpr std::size_t kMostUnanswered =
+        256;  // a proxy; what an older one said stays unsure
     using Levels = std::map<MethodId, ProxyUpdate::Admission>;
     struct Table {
         std::map<ServerId, double> lines;
         Levels levels;
     };
-    // A proxy keeps what it was told to shut out across streams and planners. What this one has not said
-    // there is not known, but for servers nobody has had a reason to shut out: those it has found steady.
+    // A proxy keeps what it was told to shut out across streams and planners. What this one has not
+    // said there is not known, but for servers nobody has had a reason to shut out: those it has
+    // found steady.
     struct Told {
         bool out = false;
         bool sure = false;  // it has answered a nonce since
@@ -70,7 +74,8 @@
     ProxyUpdate& update_for(ProxyId proxy);
     ProxyUpdate::Table& table_in(ProxyUpdate& update, const std::set<MethodId>& methods);
     // After `full`, which forgets them.
-    void begin_levels(ProxyUpdate& update, const Table& table, const std::set<MethodId>& methods) const;
+    void begin_levels(ProxyUpdate& update, const Table& table,
+                      const std::set<MethodId>& methods) const;
     std::set<MethodId> all_if_none(const std::vector<MethodId>& methods) const;
     void use(ProxyId number, Proxy& proxy, MethodId method, TableId table);
     bool in_a_table(const ServerId& server) const { return tables_with_.contains(server); }
@@ -95,9 +100,9 @@
     // Tables are many, and so are servers and proxies: one change walks none of them whole.
     std::map<ServerId, std::set<TableId>> tables_with_;  // that hold a line of it
     std::map<TableId, std::set<ProxyId>> users_;         // who is bound to it for any method
-    std::map<ServerId, std::set<ProxyId>> told_of_;      // who was told to shut it out or let it back
-    // Here, and not bound for every method: tables of others, and those a proxy starts with, can't be seen
-    // from here, and may hold any server.
+    std::map<ServerId, std::set<ProxyId>> told_of_;  // who was told to shut it out or let it back
+    // Here, and not bound for every method: tables of others, and those a proxy starts with, can't
+    // be seen from here, and may hold any server.
     std::set<ProxyId> partly_bound_;
     Levels for_all_;
     std::set<ServerId> withdrawn_;
--- a/tests/command_test.cpp
+++ b/tests/command_test.cpp
@@ -1,5 +1,5 @@
-// The command line as a person or a program meets it: what goes where, exit codes, and files that are whole
-// or not there.
+// The command line as a person or a program meets it: what goes where, exit codes, and files that
+// are whole or not there.
 #include "command/command.hpp"
 
 #include <sys/stat.h>
@@ -70,20 +70,22 @@
     const std::string cfg = folder.file("shop.cfg", kShop), out = folder.at("operator.txtpb");
     const Ran plain = run({"import", "haproxy", cfg});
     CHECK((plain.code == command::kDone && plain.out.find("pool {") != std::string::npos));
-    CHECK((plain.out.starts_with("# Made by") && plain.err.find("changed: balance") != std::string::npos));
+    CHECK((plain.out.starts_with("# Made by") &&
+           plain.err.find("changed: balance") != std::string::npos));
     const Ran kept = run({"import", "haproxy", cfg, "--out", out});
     CHECK((kept.code == command::kDone &&
            kept.out.ends_with("14 lines: 11 translated, 2 changed, 1 refused, 0 no_effect\n")));
     CHECK(read(out) == plain.out);
-    const Ran strict = run({"import", "haproxy", cfg, "--out", out, "--report", "json", "--strict"});
+    const Ran strict =
+        run({"import", "haproxy", cfg, "--out", out, "--report", "json", "--strict"});
     CHECK(strict.code == command::kFindings);
     const auto report = nlohmann::json::parse(strict.out);
     CHECK((report["file"] == cfg && report["findings"].size() == 14 &&
            report["pools"][0]["servers"][1]["share"] == 0.75));
     CHECK(report["findings"][10]["verdict"] == "refused");
     CHECK(report["pools"][0]["servers"][2]["tier"] == "backup");
-    const std::string plain_cfg =
-        folder.file("plain.cfg", "defaults\n timeout connect 1s\nbackend web\n server a 10.0.0.1:80\n");
+    const std::string plain_cfg = folder.file(
+        "plain.cfg", "defaults\n timeout connect 1s\nbackend web\n server a 10.0.0.1:80\n");
     CHECK(run({"import", "haproxy", plain_cfg, "--report", "text", "--strict"}).code ==
           command::kFindings);  // no timeout server
 }
@@ -96,10 +98,12 @@
     CHECK((ran.code == command::kUnusable && ran.out.empty() &&
            ran.err == bad + ":2:11: a quote without its end\n"));
     CHECK(read(out) == "old");
-    CHECK(run({"import", "haproxy", folder.at("none.cfg"), "--out", out}).code == command::kUnusable);
+    CHECK(run({"import", "haproxy", folder.at("none.cfg"), "--out", out}).code ==
+          command::kUnusable);
     const std::string cfg = folder.file("shop.cfg", kShop);
     const auto before = folder.files();
-    CHECK(run({"import", "haproxy", cfg, "--out", folder.at("no/where.txtpb")}).code == command::kUnusable);
+    CHECK(run({"import", "haproxy", cfg, "--out", folder.at("no/where.txtpb")}).code ==
+          command::kUnusable);
     CHECK(folder.files() == before);
     // Where the rename fails, nothing of it is left beside.
     std::string why;
@@ -109,7 +113,7 @@
     ::chmod(out.c_str(), 0600);
     CHECK(command::write_atomically(out, "new", why));
     CHECK(read(out) == "new");
-    struct stat now {};
+    struct stat now{};
     ::stat(out.c_str(), &now);
     CHECK((now.st_mode & 0777) == 0600);
     CHECK(folder.files() == before + 1);  // with the folder
@@ -120,7 +124,8 @@
     const std::string out = folder.at("o.txtpb");
     run({"import", "haproxy", folder.file("shop.cfg", kShop), "--out", out});
     CHECK(run({"check", out}).out == out + ": sound: 1 listeners, 1 routes, 2 pools, 4 servers\n");
-    const Ran bad = run({"check", folder.file("bad.txtpb", "pool { nane: 1 }\npool { name: \"\" }")});
+    const Ran bad =
+        run({"check", folder.file("bad.txtpb", "pool { nane: 1 }\npool { name: \"\" }")});
     CHECK((bad.code == command::kUnusable && bad.out.empty() &&
            std::count(bad.err.begin(), bad.err.end(), '\n') >= 3));
 
@@ -131,13 +136,16 @@
     const Ran image = explain({"--path", "/img/x"});
     CHECK((image.code == command::kDone && image.out.find("static") != std::string::npos &&
            image.out.find("a 1.0000") != std::string::npos));
-    const auto web = nlohmann::json::parse(explain({"--path", "/", "--down", "web/a", "b", "--json"}).out);
+    const auto web =
+        nlohmann::json::parse(explain({"--path", "/", "--down", "web/a", "b", "--json"}).out);
     CHECK((web["pool"] == "web" && web["tier"] == "backup" && web["parts"][0]["server"] == "c"));
     const auto drained = nlohmann::json::parse(explain({"--draining", "web/a", "--json"}).out);
     CHECK((drained["parts"].size() == 1 && drained["parts"][0]["server"] == "b"));
-    CHECK(nlohmann::json::parse(explain({"--down", "web/a", "web/b", "c", "--json"}).out)["status"] == 503);
+    CHECK(nlohmann::json::parse(
+              explain({"--down", "web/a", "web/b", "c", "--json"}).out)["status"] == 503);
     CHECK(explain({"--down", "nobody"}).code == command::kWrongUsage);
-    CHECK(explain({"--down", "a"}).err.find("several servers: web/a, static/a") != std::string::npos);
+    CHECK(explain({"--down", "a"}).err.find("several servers: web/a, static/a") !=
+          std::string::npos);
     CHECK(explain({"--listener", "none"}).code == command::kWrongUsage);
     CHECK(explain({"--source", "x"}).code == command::kWrongUsage);
     CHECK(explain({"--header", "x"}).code == command::kWrongUsage);
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -1,14 +1,15 @@
-// The core without sockets: streams that replace each other, lists, probes, timers, and the start file.
+// The core without sockets: streams that replace each other, lists, probes, timers, and the start
+// file.
 #include "planner/core.hpp"
-#include "daemon/limits.hpp"
 
 #include <malloc.h>
 
 #include <catch2/catch.hpp>
 #include <future>
 
-#include "helpers.hpp"
+#include "daemon/limits.hpp"
 #include "daemon/start_configuration.hpp"
+#include "helpers.hpp"
 
 using namespace micaroad;
 
@@ -34,7 +35,9 @@
 
     void turn(std::vector<CoreEvent> arrivals = {}) {
         std::vector<Inbox::Item> items;
-        for (auto& arrival : arrivals) items.push_back({clock.now(), std::move(arrival)});
+        for (auto& arrival : arrivals) {
+            items.push_back({clock.now(), std::move(arrival)});
+        }
         core.turn(items, clock.now());
         core.note_lag(items, clock.now());
     }
@@ -47,7 +50,8 @@
         clock.tenths = end.time_since_epoch().count();
     }
     static CoreEvent told(const std::string& text) {
-        return core_event::EndpointListReceived{protocol::EndpointListReader(test::names()).read(text).value()};
+        return core_event::EndpointListReceived{
+            protocol::EndpointListReader(test::names()).read(text).value()};
     }
     static CoreEvent begun(std::uint64_t stream, int proxy, bool standing = true) {
         return core_event::StreamOpened{{stream}, {{proxy}, {0}, 5, standing}};
@@ -60,8 +64,8 @@
 
 std::string change(int version, const char* state, long long started_ms = 0) {
     return R"({"version":)" + std::to_string(version) +
-           R"(,"full":false,"servers":[{"id":"s-1","addr":"h:1","zone":"a","kind":"m1","state":")" + state +
-           R"(","weight":1,"started_ms":)" + std::to_string(started_ms) + "}]}";
+           R"(,"full":false,"servers":[{"id":"s-1","addr":"h:1","zone":"a","kind":"m1","state":")" +
+           state + R"(","weight":1,"started_ms":)" + std::to_string(started_ms) + "}]}";
 }
 
 }  // namespace
@@ -90,13 +94,15 @@
 
 TEST_CASE("what an earlier life shut out is let back once its proxy is taken back") {
     Stage stage;
-    const auto start = stage.clock.now().time_since_epoch().count() / 10 - 60'000;  // ms; warm by now
+    const auto start =
+        stage.clock.now().time_since_epoch().count() / 10 - 60'000;  // ms; warm by now
     stage.turn({Stage::told(test::kList), Stage::told(change(42, "up", start))});
     stage.turn({Stage::begun(1, 3, false)});
     CHECK(stage.names(1, "restore=s-1"));
 }
 
-TEST_CASE("changes of an older version are dropped; an entry that can't be used leaves what was known") {
+TEST_CASE(
+    "changes of an older version are dropped; an entry that can't be used leaves what was known") {
     Stage stage;
     stage.turn({Stage::told(test::kList), Stage::begun(1, 0)});
     stage.said(1);
@@ -118,7 +124,8 @@
     Stage stage;
     stage.turn({Stage::told(test::kList), Stage::begun(1, 0)});
     stage.said(1);
-    stage.turn({core_event::WatchLost{}, core_event::HealthCheckCompleted{{{"s-9"}, true, Duration{5}}},
+    stage.turn({core_event::WatchLost{},
+                core_event::HealthCheckCompleted{{{"s-9"}, true, Duration{5}}},
                 core_event::StreamAcknowledged{{9}, {{0}, {0}}}});
     stage.run(3'000);
     CHECK(!stage.names(1, "eject"));
@@ -127,7 +134,8 @@
     CHECK(stage.core.stopping());
 }
 
-TEST_CASE("a reload asks for another discovery; lists that count anew lose no server and revive none") {
+TEST_CASE(
+    "a reload asks for another discovery; lists that count anew lose no server and revive none") {
     Stage stage;
     stage.turn({Stage::told(test::kList), Stage::begun(1, 0), Stage::told(change(50, "removed"))});
     CHECK(stage.names(1, "s-2:"));
@@ -154,16 +162,32 @@
     std::uint64_t stream = 1;
     int number = 0;
     const auto entry = [](int n, const char* state) {
-        return R"({"id":"n-)" + std::to_string(n) + R"(","addr":"h:1","zone":"a","kind":"m1","state":")" + state + R"("})";
+        return R"({"id":"n-)" + std::to_string(n) +
+               R"(","addr":"h:1","zone":"a","kind":"m1","state":")" + state + R"("})";
     };
     const auto live = [&](int seconds) {
         for (const int end = number + seconds; number < end; ++number) {
-            const std::string entries = entry(number, "up") + "," + entry(number - 4, "draining") + "," + entry(number - 8, "removed");
-            stage.turn({Stage::told(R"({"version":)" + std::to_string(100 + number) + R"(,"full":false,"servers":[)" + entries + "]}"),
+            const std::string entries = entry(number, "up") + "," + entry(number - 4, "draining") +
+                                        "," + entry(number - 8, "removed");
+            stage.turn({Stage::told(R"({"version":)" + std::to_string(100 + number) +
+                                    R"(,"full":false,"servers":[)" + entries + "]}"),
                         Stage::begun(++stream, number % 8, false),
-                        core_event::StreamAcknowledged{{stream - 1}, {{(number + 7) % 8}, {number % 65'536}}},
-                        core_event::ReportReceived{event::EndpointLoadReport{{"n-" + std::to_string(number - 9)}, {0}, 3, 1, Duration{30}, Duration{5'000}}},
-                        core_event::ReportReceived{event::EndpointLoadReport{{"n-" + std::to_string(number - 2)}, {0}, 3, 0, Duration{300}, Duration{5'000}}}});
+                        core_event::StreamAcknowledged{{stream - 1},
+                                                       {{(number + 7) % 8}, {number % 65'536}}},
+                        core_event::ReportReceived{
+                            event::EndpointLoadReport{{"n-" + std::to_string(number - 9)},
+                                                      {0},
+                                                      3,
+                                                      1,
+                                                      Duration{30},
+                                                      Duration{5'000}}},
+                        core_event::ReportReceived{
+                            event::EndpointLoadReport{{"n-" + std::to_string(number - 2)},
+                                                      {0},
+                                                      3,
+                                                      0,
+                                                      Duration{300},
+                                                      Duration{5'000}}}});
             stage.run(1'000);
             stage.ear.written.clear(), stage.ear.closed.clear();
         }
@@ -183,20 +207,24 @@
     UpdateBuilder update_builder(2);
     update_builder.on_proxy_joined({0});
     const auto marked = [&](int mark) {
-        update_builder.build_updates({order::SetWithdrawn{{"s-1"}, mark % 2 == 1}, order::SendNonce{{mark}, false}});
+        update_builder.build_updates(
+            {order::SetWithdrawn{{"s-1"}, mark % 2 == 1}, order::SendNonce{{mark}, false}});
     };
     marked(1), marked(2), marked(3);
     CHECK(!update_builder.on_acknowledgement({0}, {9}));
     CHECK(!update_builder.on_acknowledgement({1}, {1}));
     CHECK(update_builder.on_acknowledgement({0}, {2}));
-    CHECK((!update_builder.on_acknowledgement({0}, {1}) && !update_builder.on_acknowledgement({0}, {2})));
+    CHECK((!update_builder.on_acknowledgement({0}, {1}) &&
+           !update_builder.on_acknowledgement({0}, {2})));
     CHECK(update_builder.on_acknowledgement({0}, {3}));
 }
 
 TEST_CASE("a shut-out is said once on a stream, and again on the next") {
     UpdateBuilder update_builder(2);
     update_builder.on_proxy_joined({0}), update_builder.on_proxy_joined({1});
-    const auto updates = [&] { return update_builder.build_updates({order::SetWithdrawn{{"s-1"}, true}}).size(); };
+    const auto updates = [&] {
+        return update_builder.build_updates({order::SetWithdrawn{{"s-1"}, true}}).size();
+    };
     CHECK(updates() == 2);
     CHECK(updates() == 0);
     update_builder.on_proxy_left({1}), update_builder.on_proxy_joined({1});
@@ -205,10 +233,12 @@
 
 TEST_CASE("room follows from both limits, proxies first") {
     const Limits small = Limits::of(32, 256, 150, 3);
-    CHECK((small.enough && small.connections <= 256 - Limits::kSocketsKept && small.unidentified >= 32));
+    CHECK((small.enough && small.connections <= 256 - Limits::kSocketsKept &&
+           small.unidentified >= 32));
     CHECK(small.connections - small.unidentified >= 156);
     const std::size_t buffers = small.connections + small.line_buffers * 2 + small.out_buffers;
-    CHECK(small.connections * (Limits::kConnection - protocol::BufferPool::kBlock) + buffers * protocol::BufferPool::kBlock + Limits::kProgram <=
+    CHECK(small.connections * (Limits::kConnection - protocol::BufferPool::kBlock) +
+              buffers * protocol::BufferPool::kBlock + Limits::kProgram <=
           std::size_t{32} << 20);
     const Limits wide = Limits::of(192, 1024, 400, 3);
     CHECK((wide.enough && wide.connections > 500));
@@ -224,10 +254,13 @@
         std::string all = "{";
         for (const std::string& part :
              {std::string(R"("name":"n3")"), std::string(R"("listen":"127.0.0.1:0")"),
-              std::string(R"("discovery":"127.0.0.1:1")"), std::string(R"("seed":"8c1f30d27a5be964")"),
-              std::string(R"("limits":{"sockets":1024,"memory_mb":192})"), R"("known":)" + test::kList, settings}) {
-            if (without.empty() || !part.starts_with('"' + without + '"'))
+              std::string(R"("discovery":"127.0.0.1:1")"),
+              std::string(R"("seed":"8c1f30d27a5be964")"),
+              std::string(R"("limits":{"sockets":1024,"memory_mb":192})"),
+              R"("known":)" + test::kList, settings}) {
+            if (without.empty() || !part.starts_with('"' + without + '"')) {
                 all += (all.size() > 1 ? "," : "") + part;
+            }
         }
         return all + "}";
     };
@@ -235,37 +268,52 @@
     CHECK((start.name == "n3" && start.seed == 0x8c1f30d27a5be964 && start.sockets == 1024));
     CHECK((start.settings.proxy_count == 4 && start.names.methods.size() == 1 &&
            start.known.list.servers.size() == 2));
-    const auto set = [](const char* name) { return std::string_view(name) == "LB_NAME" ? "n9" : nullptr; };
+    const auto set = [](const char* name) {
+        return std::string_view(name) == "LB_NAME" ? "n9" : nullptr;
+    };
     CHECK(parse_start_configuration(text(), set).name == "n9");
-    for (const std::string key : {"name", "listen", "discovery", "seed", "limits", "known", "settings"}) {
+    for (const std::string key :
+         {"name", "listen", "discovery", "seed", "limits", "known", "settings"}) {
         CHECK_THROWS_WITH(parse_start_configuration(text(key), none), Catch::Contains(key));
     }
     // Read again: discovery alone counts, before any variable; what else differs is named.
     const ReloadedConfiguration same = parse_reloaded_configuration(text(), start);
     CHECK((same.discovery == "127.0.0.1:1" && same.restart_required_keys.empty()));
     std::string other = text("known");
-    other.replace(other.find("127.0.0.1:1"), 11, "127.0.0.1:2").replace(other.find("1024"), 4, "2048");
+    other.replace(other.find("127.0.0.1:1"), 11, "127.0.0.1:2")
+        .replace(other.find("1024"), 4, "2048");
     const ReloadedConfiguration reread = parse_reloaded_configuration(other, start);
-    CHECK((reread.discovery == "127.0.0.1:2" && reread.restart_required_keys == std::vector<std::string>{"limits"}));
-    // Another deployment's file changes nothing, not even where the list comes from; one that has grown is ours.
+    CHECK((reread.discovery == "127.0.0.1:2" &&
+           reread.restart_required_keys == std::vector<std::string>{"limits"}));
+    // Another deployment's file changes nothing, not even where the list comes from; one that has
+    // grown is ours.
     const auto with = [&other](const std::string& from, const std::string& to) {
         std::string changed = other;
         return changed.replace(changed.find(from), from.size(), to);
     };
-    CHECK_THROWS_WITH(parse_reloaded_configuration(with("lookup", "fare"), start), Catch::Contains("another deployment"));
-    CHECK_THROWS_WITH(parse_reloaded_configuration(with(R"("a","b")", R"("x","y")"), start), Catch::Contains("another deployment"));
-    CHECK_THROWS_WITH(parse_reloaded_configuration(with(R"(["a","b"])", "7"), start), Catch::Contains("settings"));
-    const ReloadedConfiguration grown = parse_reloaded_configuration(with(R"("a","b")", R"("b","c")"), start);
+    CHECK_THROWS_WITH(parse_reloaded_configuration(with("lookup", "fare"), start),
+                      Catch::Contains("another deployment"));
+    CHECK_THROWS_WITH(parse_reloaded_configuration(with(R"("a","b")", R"("x","y")"), start),
+                      Catch::Contains("another deployment"));
+    CHECK_THROWS_WITH(parse_reloaded_configuration(with(R"(["a","b"])", "7"), start),
+                      Catch::Contains("settings"));
+    const ReloadedConfiguration grown =
+        parse_reloaded_configuration(with(R"("a","b")", R"("b","c")"), start);
     CHECK((grown.discovery == "127.0.0.1:2" && grown.restart_required_keys.back() == "settings"));
-    CHECK_THROWS_AS(parse_reloaded_configuration(other.substr(0, other.size() / 2), start), ConfigurationError);
-    CHECK_THROWS_WITH(parse_reloaded_configuration(text("discovery"), start), Catch::Contains("discovery"));
+    CHECK_THROWS_AS(parse_reloaded_configuration(other.substr(0, other.size() / 2), start),
+                    ConfigurationError);
+    CHECK_THROWS_WITH(parse_reloaded_configuration(text("discovery"), start),
+                      Catch::Contains("discovery"));
     CHECK_THROWS_AS(parse_start_configuration("", none), ConfigurationError);
     CHECK_THROWS_AS(parse_start_configuration("{\"seed\":", none), ConfigurationError);
     CHECK_THROWS_WITH(load_start_configuration(none), Catch::Contains("LB_CONFIG"));
-    CHECK_THROWS_WITH(load_start_configuration([](const char*) { return "/nowhere"; }), Catch::Contains("/nowhere"));
+    CHECK_THROWS_WITH(load_start_configuration([](const char*) { return "/nowhere"; }),
+                      Catch::Contains("/nowhere"));
 }
 
-TEST_CASE("a list that belongs to another deployment is not mixed in, whole or in parts; one that has grown is") {
+TEST_CASE(
+    "a list that belongs to another deployment is not mixed in, whole or in parts; one that has "
+    "grown is") {
     Stage stage;
     stage.turn({Stage::told(test::kList)});
     stage.turn({Stage::begun(1, 3)});
@@ -275,15 +323,16 @@
                R"(","state":"up","weight":1,"started_ms":0})";
     };
     const auto list = [](int version, bool full, const std::string& entries) {
-        return Stage::told(R"({"version":)" + std::to_string(version) + R"(,"full":)" + (full ? "true" : "false") +
-                           R"(,"servers":[)" + entries + "]}");
+        return Stage::told(R"({"version":)" + std::to_string(version) + R"(,"full":)" +
+                           (full ? "true" : "false") + R"(,"servers":[)" + entries + "]}");
     };
     stage.turn({list(900, false, entry("x-1", "hall-a", "m1"))});
     CHECK(stage.ear.fetched == 1);
     stage.turn({list(900, true, entry("x-1", "hall-a", "m1") + "," + entry("x-2", "a", "type-b"))});
     stage.run(3'000);
     CHECK(stage.said(1).find("x-") == std::string::npos);
-    stage.turn({Stage::told(change(42, "draining"))});  // its version has not been taken over either
+    stage.turn(
+        {Stage::told(change(42, "draining"))});  // its version has not been taken over either
     CHECK(stage.names(1, "eject=s-1"));
     stage.turn({list(43, true, entry("s-2", "b", "m2") + "," + entry("s-9", "hall-a", "m1"))});
     stage.run(6'000);
@@ -293,30 +342,46 @@
 namespace {
 
 // All that a deployment is told by its planner over some seconds of the same events.
-std::string day_of(const DeploymentSettings& settings, const SymbolTable& names, const std::string& list, std::uint64_t seed) {
+std::string day_of(const DeploymentSettings& settings, const SymbolTable& names,
+                   const std::string& list, std::uint64_t seed) {
     test::Quiet quiet;
     test::HandClock clock;
     Ear ear;
     Core core(settings, names, seed, ear, quiet.log);
     const auto turn = [&](std::vector<CoreEvent> arrivals) {
         std::vector<Inbox::Item> items;
-        for (auto& arrival : arrivals) items.push_back({clock.now(), std::move(arrival)});
+        for (auto& arrival : arrivals) {
+            items.push_back({clock.now(), std::move(arrival)});
+        }
         core.turn(items, clock.now());
     };
-    turn({core_event::EndpointListReceived{protocol::EndpointListReader(names).read(list).value()}});
-    for (int p = 0; p < settings.proxy_count; ++p) turn({Stage::begun(static_cast<std::uint64_t>(p) + 1, p, p % 2 == 0)});
+    turn(
+        {core_event::EndpointListReceived{protocol::EndpointListReader(names).read(list).value()}});
+    for (int p = 0; p < settings.proxy_count; ++p) {
+        turn({Stage::begun(static_cast<std::uint64_t>(p) + 1, p, p % 2 == 0)});
+    }
     for (int step = 0; step < 200; ++step) {
         clock.tenths += 1'000;
         std::vector<CoreEvent> arrivals;
-        for (int m = 0; m < std::ssize(names.methods); ++m)
-            arrivals.push_back(core_event::ReportReceived{event::DemandReport{{step % settings.proxy_count}, {m}, 9.0 + m, 0, Duration{1'000}}});
-        for (const char* server : {"s-1", "s-2"})
+        for (int m = 0; m < std::ssize(names.methods); ++m) {
+            arrivals.push_back(core_event::ReportReceived{event::DemandReport{
+                {step % settings.proxy_count}, {m}, 9.0 + m, 0, Duration{1'000}}});
+        }
+        for (const char* server : {"s-1", "s-2"}) {
             arrivals.push_back(core_event::ReportReceived{
-                event::EndpointLoadReport{{server}, {0}, 12, 12.0 * (step % 50 > 30), Duration{300 + step * 9 + server[2]}, Duration{1'000}}});
+                event::EndpointLoadReport{{server},
+                                          {0},
+                                          12,
+                                          12.0 * (step % 50 > 30),
+                                          Duration{300 + step * 9 + server[2]},
+                                          Duration{1'000}}});
+        }
         turn(std::move(arrivals));
     }
     std::string all;
-    for (const auto& [stream, text] : ear.written) all += std::to_string(stream.value) + ": " + text;
+    for (const auto& [stream, text] : ear.written) {
+        all += std::to_string(stream.value) + ": " + text;
+    }
     return all;
 }
 
@@ -324,14 +389,21 @@
 
 TEST_CASE("two deployments at once in one process decide as each does alone, byte for byte") {
     DeploymentSettings other = test::terms();
-    other.methods = {Method{Duration{9'000}, 2, true, {}, {}}, Method{Duration{30'000}, 1, false, {}, {}}, Method{Duration{12'000}, 5, false, {}, {}}};
-    other.zone_count = 3, other.proxy_count = 5, other.admission_kind = AdmissionKind::rate, other.default_retry_policy = RetryPolicy::never;
+    other.methods = {Method{Duration{9'000}, 2, true, {}, {}},
+                     Method{Duration{30'000}, 1, false, {}, {}},
+                     Method{Duration{12'000}, 5, false, {}, {}}};
+    other.zone_count = 3, other.proxy_count = 5, other.admission_kind = AdmissionKind::rate,
+    other.default_retry_policy = RetryPolicy::never;
     other.drain_grace = Duration{60'000}, other.channel_lines_per_second = 90;
-    const SymbolTable names{{"seat-map", "seat-hold", "pay"}, {"cusco", "puno", "juliaca"}, {"n-8"}};
+    const SymbolTable names{
+        {"seat-map", "seat-hold", "pay"}, {"cusco", "puno", "juliaca"}, {"n-8"}};
     std::string list = test::kList;
-    for (const auto& [from, to] : {std::pair{"\"zone\":\"a\"", "\"zone\":\"puno\""}, {"\"zone\":\"b\"", "\"zone\":\"cusco\""},
-                                   {"\"m1\"", "\"n-8\""}, {"\"m2\"", "\"n-8\""}})
+    for (const auto& [from, to] : {std::pair{"\"zone\":\"a\"", "\"zone\":\"puno\""},
+                                   {"\"zone\":\"b\"", "\"zone\":\"cusco\""},
+                                   {"\"m1\"", "\"n-8\""},
+                                   {"\"m2\"", "\"n-8\""}}) {
         list.replace(list.find(from), std::string(from).size(), to);
+    }
     const auto one = [&] { return day_of(test::terms(), test::names(), test::kList, 7); };
     const auto two = [&] { return day_of(other, names, list, 9); };
     const std::string first = one(), second = two();
--- a/tests/corpus.hpp
+++ b/tests/corpus.hpp
@@ -1,10 +1,13 @@
-// tests/haproxy/*.cfg: configurations with what must be said of them, in comments that the importer passes
-// over.
+// tests/haproxy/*.cfg: configurations with what must be said of them, in comments that the importer
+// passes over.
 //
-//   backend web            #= translated: pool web       a verdict, and words that what is said must have
-//   #! pool web a=0.25 b=0.75                             shares in the normal state; all servers of the pool
+//   backend web            #= translated: pool web       a verdict, and words that what is said
+//   must have
+//   #! pool web a=0.25 b=0.75                             shares in the normal state; all servers
+//   of the pool
 //   #! state web/a draining
-//   #! route LISTENER METHOD HOST PATH [src=IP] [h:NAME=VALUE] [down=POOL/SERVER] -> POOL or status; HOST
+//   #! route LISTENER METHOD HOST PATH [src=IP] [h:NAME=VALUE] [down=POOL/SERVER] -> POOL or
+//   status; HOST
 //   "-": none
 #pragma once
 
--- a/tests/counting_servers.hpp
+++ b/tests/counting_servers.hpp
@@ -1,5 +1,5 @@
-// Stand-in servers on loopback that count: each listens on a port of its own, takes one connection and counts
-// what comes on it, a byte an RPC.
+// Stand-in servers on loopback that count: each listens on a port of its own, takes one connection
+// and counts what comes on it, a byte an RPC.
 #pragma once
 
 #include <map>
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -1,5 +1,5 @@
-// Rare moments on real sockets: a thread is held at a named line (SyncPoints) while something else comes in between. Every
-// crossing is forced, none is hoped for.
+// Rare moments on real sockets: a thread is held at a named line (SyncPoints) while something else
+// comes in between. Every crossing is forced, none is hoped for.
 #include <sys/resource.h>
 
 #include <cstdio>
@@ -19,7 +19,9 @@
     char bytes[4096];
     socket.wait_at_most(10s);
     ssize_t got;
-    while ((got = socket.receive(bytes, sizeof bytes)) > 0) continue;
+    while ((got = socket.receive(bytes, sizeof bytes)) > 0) {
+        continue;
+    }
     return got;
 }
 
@@ -46,7 +48,8 @@
             REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM, 0, ends) == 0);
             *peer = Socket(ends[1]);
             const StreamId id{connections.size() + 1};
-            connections.push_back(std::make_shared<Connection>(shared, id, Socket(ends[0]), "peer"));
+            connections.push_back(
+                std::make_shared<Connection>(shared, id, Socket(ends[0]), "peer"));
             REQUIRE(loop.add(connections.back()));
         }
         REQUIRE(threads.start([this] { loop.work(); }));
@@ -58,7 +61,8 @@
 
 // ---- connections: dates, ends and shutdowns between two lines
 
-TEST_CASE_METHOD(Entrance, "a joining that came in time is heard, however late this process gets to it") {
+TEST_CASE_METHOD(Entrance,
+                 "a joining that came in time is heard, however late this process gets to it") {
     const Socket busy = enter();
     sync.hold(SyncPoint::connection_ready);
     busy.send_all("probe\r\n");
@@ -71,7 +75,8 @@
     CHECK(ended(busy));  // it only asked, and its date is over
 }
 
-TEST_CASE_METHOD(Entrance, "a connection whose date passes before it is watched ends, and nobody else by it") {
+TEST_CASE_METHOD(
+    Entrance, "a connection whose date passes before it is watched ends, and nobody else by it") {
     sync.hold(SyncPoint::connection_listed);
     const Socket slow = enter();
     sync.await(SyncPoint::connection_listed);
@@ -80,7 +85,8 @@
     CHECK(alive(enter()));
 }
 
-TEST_CASE_METHOD(Entrance, "who is accepted in the instant of the shutdown is ended with the others") {
+TEST_CASE_METHOD(Entrance,
+                 "who is accepted in the instant of the shutdown is ended with the others") {
     const Socket before = enter();
     REQUIRE(alive(before));
     sync.hold(SyncPoint::connection_accepted);
@@ -98,20 +104,29 @@
 
 TEST_CASE_METHOD(Entrance, "bytes that come in the instant of the shutdown hold nothing up") {
     std::vector<Socket> peers;
-    for (int i = 0; i < 8; ++i) peers.push_back(enter()), peers.back().send_all(hello(i));
-    for (int i = 0; i < 8; ++i) next<core_event::StreamOpened>();
+    for (int i = 0; i < 8; ++i) {
+        peers.push_back(enter()), peers.back().send_all(hello(i));
+    }
+    for (int i = 0; i < 8; ++i) {
+        next<core_event::StreamOpened>();
+    }
     sync.hold(SyncPoint::bytes_received);
-    for (int i = 0; i < 8; ++i) peers[i].send_all(usage(i) + answer(i, 1));
+    for (int i = 0; i < 8; ++i) {
+        peers[i].send_all(usage(i) + answer(i, 1));
+    }
     sync.await(SyncPoint::bytes_received);
     acceptor.begin_shut();
     sync.let_go(SyncPoint::bytes_received);
     const auto begun = steady_clock::now();
     acceptor.shut();
     CHECK(steady_clock::now() - begun < 600ms);  // the event loop looks up every 200 ms
-    for (const Socket& peer : peers) CHECK(ended(peer));
+    for (const Socket& peer : peers) {
+        CHECK(ended(peer));
+    }
 }
 
-TEST_CASE_METHOD(Entrance, "who is in the middle of sending when the shutdown comes is told of it") {
+TEST_CASE_METHOD(Entrance,
+                 "who is in the middle of sending when the shutdown comes is told of it") {
     const Socket peer = enter();
     peer.send_all(hello(5));
     next<core_event::StreamOpened>();
@@ -153,19 +168,25 @@
     };
     const Socket slow = says(hello(5).substr(0, 12));
     std::vector<Socket> silent, halves;
-    for (int i = 0; i < 30; ++i) silent.push_back(says(""));
+    for (int i = 0; i < 30; ++i) {
+        silent.push_back(says(""));
+    }
     CHECK(ended(silent.front()));
     slow.send_all(hello(5).substr(12));
     CHECK(entrance.next<core_event::StreamOpened>().joined.proxy == ProxyId{5});
-    // Where all are in the middle of it, the oldest goes: hundreds that send half a message keep nobody out.
-    for (int i = 0; i < 30; ++i) halves.push_back(says("hel"));
+    // Where all are in the middle of it, the oldest goes: hundreds that send half a message keep
+    // nobody out.
+    for (int i = 0; i < 30; ++i) {
+        halves.push_back(says("hel"));
+    }
     const Socket proxy = entrance.enter();
     proxy.send_all(hello(6));
     CHECK(entrance.next<core_event::StreamOpened>().joined.proxy == ProxyId{6});
     CHECK(ended(halves.front()));
 }
 
-TEST_CASE_METHOD(Entrance, "a joining that drips in joins past the usual date; one that never ends is ended") {
+TEST_CASE_METHOD(
+    Entrance, "a joining that drips in joins past the usual date; one that never ends is ended") {
     const auto begun = steady_clock::now();
     const Socket slow = enter(), never = enter();
     const std::string line = hello(5);
@@ -180,7 +201,9 @@
     CHECK(steady_clock::now() < begun + 3s);  // the platform's date
 }
 
-TEST_CASE_METHOD(Entrance, "`error` comes through although more was sent than anybody read, and an orderly end after it") {
+TEST_CASE_METHOD(
+    Entrance,
+    "`error` comes through although more was sent than anybody read, and an orderly end after it") {
     const Socket peer = enter();
     peer.send_all(std::string(20'000, 'x'));
     CHECK(read_some(peer, 7) == "error\r\n");
@@ -192,15 +215,20 @@
     CHECK(last_of(peer) == 0);
 }
 
-TEST_CASE_METHOD(Entrance, "who goes on sending after `error` is not read for ever, and makes way for others") {
+TEST_CASE_METHOD(
+    Entrance, "who goes on sending after `error` is not read for ever, and makes way for others") {
     const auto begun = steady_clock::now();
     const Socket flood = enter(), quiet_one = enter();
     quiet_one.send_all("GET / HTTP/1.1\r\n\r\n");  // and keeps its connection open
     const std::string much(64 * 1024, 'x');
-    while (flood.send_all(much)) continue;
+    while (flood.send_all(much)) {
+        continue;
+    }
     // Its half is closed at once; that all of it is, shows in that nothing is taken any more.
     bool taken = true;
-    for (; taken && steady_clock::now() < begun + 2s; std::this_thread::sleep_for(10ms)) taken = quiet_one.send_now("x");
+    for (; taken && steady_clock::now() < begun + 2s; std::this_thread::sleep_for(10ms)) {
+        taken = quiet_one.send_now("x");
+    }
     CHECK(!taken);
     Entrance narrow(2, 1);
     const Socket collector = narrow.enter();
@@ -215,20 +243,25 @@
     refused.send_all("and more, which nobody has read");
     const Socket newcomer = narrow.enter();
     const auto until = steady_clock::now() + 2s;  // it goes: nothing more is taken from it
-    for (taken = true; taken && steady_clock::now() < until; std::this_thread::sleep_for(1ms)) taken = refused.send_now("x");
+    for (taken = true; taken && steady_clock::now() < until; std::this_thread::sleep_for(1ms)) {
+        taken = refused.send_now("x");
+    }
     CHECK(!taken);
     narrow.sync.let_go(SyncPoint::connection_ready);
     CHECK(alive(newcomer));
 }
 
-TEST_CASE_METHOD(Entrance, "a long line right behind the joining is that proxy's, not a stranger's") {
+TEST_CASE_METHOD(Entrance,
+                 "a long line right behind the joining is that proxy's, not a stranger's") {
     const Socket proxy = enter();
-    proxy.send_all(hello(5) + "demand sidecar=5 kind=lookup" + std::string(3'000, ' ') + "n=4 bad=0 window=500\r\n");
+    proxy.send_all(hello(5) + "demand sidecar=5 kind=lookup" + std::string(3'000, ' ') +
+                   "n=4 bad=0 window=500\r\n");
     next<core_event::StreamOpened>();
     next<core_event::ReportReceived>();
 }
 
-TEST_CASE_METHOD(Entrance, "joining, answer and usage in one segment count, whether an end or a reset follows") {
+TEST_CASE_METHOD(
+    Entrance, "joining, answer and usage in one segment count, whether an end or a reset follows") {
     const bool by_reset = GENERATE(false, true);
     Socket proxy = enter();
     sync.hold(SyncPoint::connection_ready);
@@ -244,14 +277,17 @@
     CHECK(alive(enter()));
 }
 
-TEST_CASE_METHOD(Two, "a flood of answers costs its stream the rest of them, and no other stream one") {
+TEST_CASE_METHOD(Two,
+                 "a flood of answers costs its stream the rest of them, and no other stream one") {
     constexpr int kFlood = 50'000;
     flood.send_all(hello(5));
     const StreamId flooding = next<core_event::StreamOpened>().stream;
     other.send_all(hello(6));
     const StreamId good = next<core_event::StreamOpened>().stream;
     std::string lines;
-    for (int i = 0; i < kFlood; ++i) lines += i % 2 ? answer(5, i % 1000) : usage(5);
+    for (int i = 0; i < kFlood; ++i) {
+        lines += i % 2 ? answer(5, i % 1000) : usage(5);
+    }
     flood.send_all(lines);
     other.send_all(answer(6, 1) + usage(6));
     REQUIRE(alive(other));
@@ -263,8 +299,10 @@
             CHECK((said->stream == flooding || said->stream == good));
             ++(said->stream == flooding ? of_flood : of_other);
         }
-        if (const auto* said = std::get_if<core_event::ReportReceived>(&item.arrival))
-            ++(std::get<event::DemandReport>(said->report).proxy == ProxyId{5} ? of_flood : of_other);
+        if (const auto* said = std::get_if<core_event::ReportReceived>(&item.arrival)) {
+            ++(std::get<event::DemandReport>(said->report).proxy == ProxyId{5} ? of_flood
+                                                                               : of_other);
+        }
     }
     CHECK(of_flood == Connection::kMostAnswers);
     CHECK(of_other == 2);
@@ -276,29 +314,36 @@
     flood.send_all("agent az=a\r\n"), other.send_all("agent az=b\r\n");
     const std::string report = "outcomes az=a host=s-1 n=4 bad=1 avg=30 window=500\r\n";
     std::string lines;
-    for (std::size_t i = 0; i < Inbox::kMostReports + 5'000; ++i) lines += report;
+    for (std::size_t i = 0; i < Inbox::kMostReports + 5'000; ++i) {
+        lines += report;
+    }
     flood.send_all(lines);
     REQUIRE(alive(flood));
     other.send_all("outcomes az=b host=s-1 n=9 bad=1 avg=30 window=500\r\n");
     REQUIRE(alive(other));
     const auto items = inbox.wait({});
     CHECK(items.size() == Inbox::kMostReportsOfOne + 1);
-    CHECK(std::get<event::EndpointLoadReport>(std::get<core_event::ReportReceived>(items.back().arrival).report).attempts == 9);
+    CHECK(std::get<event::EndpointLoadReport>(
+              std::get<core_event::ReportReceived>(items.back().arrival).report)
+              .attempts == 9);
 }
 
 // ---- discovery: between any two lines of the watch
 
 namespace {
 
-const std::vector<SyncPoint> kWatchPoints{SyncPoint::watch_registered, SyncPoint::watch_connected, SyncPoint::watch_asked,
-                                  SyncPoint::watch_answered};
+const std::vector<SyncPoint> kWatchPoints{SyncPoint::watch_registered, SyncPoint::watch_connected,
+                                          SyncPoint::watch_asked, SyncPoint::watch_answered};
 
 std::string whole(int number, const std::string& tail = "") {
     std::string list = kList;
     list.replace(list.find("41"), 2, std::to_string(number));
-    return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list + tail;
+    return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list +
+           tail;
+}
+std::string half(const std::string& answer) {
+    return answer.substr(0, answer.size() - 60) + "!";
 }
-std::string half(const std::string& answer) { return answer.substr(0, answer.size() - 60) + "!"; }
 
 struct Watched : Base {
     DiscoveryWatch::Patience patience;
@@ -306,8 +351,9 @@
         patience.first_wait = 1ms, patience.longest_wait = 20ms, patience.between_fetches = 5ms;
     }
     std::unique_ptr<DiscoveryWatch> watch(Discovery& discovery) {
-        return std::make_unique<DiscoveryWatch>("d", discovery.listener.local(), names, 41, kListBytes, pool, inbox, quiet.log,
-                                                patience, &sync);
+        return std::make_unique<DiscoveryWatch>("d", discovery.listener.local(), names, 41,
+                                                kListBytes, pool, inbox, quiet.log, patience,
+                                                &sync);
     }
     // The next list, past whatever else is said.
     core_event::EndpointListReceived list() {
@@ -316,20 +362,27 @@
             while (!held.empty()) {
                 const CoreEvent first = held.front();
                 held.erase(held.begin());
-                if (const auto* told = std::get_if<core_event::EndpointListReceived>(&first)) return *told;
+                if (const auto* told = std::get_if<core_event::EndpointListReceived>(&first)) {
+                    return *told;
+                }
             }
             REQUIRE(clock_now()() < limit);
-            for (auto& item : inbox.wait(limit)) held.push_back(std::move(item.arrival));
+            for (auto& item : inbox.wait(limit)) {
+                held.push_back(std::move(item.arrival));
+            }
         }
     }
 };
 
 }  // namespace
 
-TEST_CASE_METHOD(Watched, "a fetch of the whole list that breaks off is made again, until the list has come") {
-    const std::string bad = GENERATE(as<std::string>{}, half(whole(30)), "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
+TEST_CASE_METHOD(
+    Watched, "a fetch of the whole list that breaks off is made again, until the list has come") {
+    const std::string bad = GENERATE(as<std::string>{}, half(whole(30)),
+                                     "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
                                      "HTTP/1.1 200 OK\r\n\r\n" + kList.substr(0, 90) + "!", "!");
-    Discovery discovery({kWatch + chunk(version(42)), bad, bad, whole(30), kWatch + chunk(version(31))});
+    Discovery discovery(
+        {kWatch + chunk(version(42)), bad, bad, whole(30), kWatch + chunk(version(31))});
     const auto watching = watch(discovery);
     discovery.begin();
     REQUIRE(watching->start());
@@ -339,14 +392,19 @@
     CHECK(list().message.version == 31);
     watching->stop();
     const auto& asked = discovery.all_asked();
-    for (int n = 1; n <= 3; ++n) CHECK(asked.at(n) == "GET /catalog/members HTTP/1.1");
+    for (int n = 1; n <= 3; ++n) {
+        CHECK(asked.at(n) == "GET /catalog/members HTTP/1.1");
+    }
     // Versions count anew, and the watch with them: not from 42, which may never come.
     CHECK(asked.at(4) == "GET /catalog/members?stream=1&index=30 HTTP/1.1");
 }
 
-TEST_CASE_METHOD(Watched, "where the whole list never comes, the watch goes on from the first version") {
+TEST_CASE_METHOD(Watched,
+                 "where the whole list never comes, the watch goes on from the first version") {
     std::vector<std::string> answers{kWatch + chunk(version(42))};
-    for (int i = 0; i < 3; ++i) answers.push_back(half(whole(30)));
+    for (int i = 0; i < 3; ++i) {
+        answers.push_back(half(whole(30)));
+    }
     answers.push_back(kWatch + chunk(version(31)));
     Discovery discovery(answers);
     const auto watching = watch(discovery);
@@ -362,7 +420,9 @@
 TEST_CASE_METHOD(Watched, "a discovery whose versions never fit is asked for its list at a pace") {
     patience.between_fetches = 50ms;
     std::vector<std::string> answers{kWatch + chunk(version(42))};
-    for (int i = 0; i < 6; ++i) answers.push_back(whole(50)), answers.push_back(kWatch + chunk(version(7)));
+    for (int i = 0; i < 6; ++i) {
+        answers.push_back(whole(50)), answers.push_back(kWatch + chunk(version(7)));
+    }
     Discovery discovery(answers);
     const auto watching = watch(discovery);
     discovery.begin();
@@ -381,7 +441,8 @@
 TEST_CASE_METHOD(Watched, "a fetch that is asked for between any two lines of the watch is made") {
     const SyncPoint point = GENERATE(from_range(kWatchPoints));
     patience.silence = 100ms;  // of the second answer, which is no whole list
-    Discovery discovery({kWatch + chunk(version(42)) + "!", kWatch + chunk(version(43)), whole(50), whole(50), kWatch});
+    Discovery discovery({kWatch + chunk(version(42)) + "!", kWatch + chunk(version(43)), whole(50),
+                         whole(50), kWatch});
     const auto watching = watch(discovery);
     sync.hold(point);
     discovery.begin();
@@ -389,7 +450,9 @@
     sync.await(point);
     watching->fetch();
     sync.let_go(point);
-    while (list().message.list.form != event::EndpointListUpdate::Form::complete) continue;
+    while (list().message.list.form != event::EndpointListUpdate::Form::complete) {
+        continue;
+    }
     watching->stop();
     discovery.all_asked();
 }
@@ -411,7 +474,8 @@
     CHECK(steady_clock::now() - begun < 300ms);  // of the 700 that the platform grants
 }
 
-TEST_CASE_METHOD(Watched, "a new address that is told between any two lines of the watch is followed") {
+TEST_CASE_METHOD(Watched,
+                 "a new address that is told between any two lines of the watch is followed") {
     const SyncPoint point = GENERATE(from_range(kWatchPoints));
     Discovery old({kWatch + chunk(version(42)) + "!", kWatch + chunk(version(42))});
     Discovery moved({kWatch + chunk(version(43)), ""});
@@ -422,7 +486,9 @@
     sync.await(point);
     watching->follow("moved", moved.listener.local());
     sync.let_go(point);
-    while (list().message.version != 43) continue;
+    while (list().message.version != 43) {
+        continue;
+    }
     // There and back, and there again while the way back is being dialled.
     watching->follow("d", old.listener.local());
     watching->follow("moved", moved.listener.local());
@@ -430,7 +496,8 @@
     watching->stop();
 }
 
-TEST_CASE_METHOD(Watched, "of more addresses than there are threads for, the one told last is followed") {
+TEST_CASE_METHOD(Watched,
+                 "of more addresses than there are threads for, the one told last is followed") {
     Discovery old({kWatch + chunk(version(42))}), last({kWatch + chunk(version(60))});
     const auto watching = watch(old);
     old.begin(), last.begin();
@@ -441,10 +508,14 @@
     sync.await(SyncPoint::watch_registered);
     watching->follow("n-2", *address_of("127.0.0.1:1"));
     sync.await(SyncPoint::watch_registered, 2);  // all threads are taken
-    for (int n = 3; n < 12; ++n) watching->follow("n-" + std::to_string(n), *address_of("127.0.0.1:1"));
+    for (int n = 3; n < 12; ++n) {
+        watching->follow("n-" + std::to_string(n), *address_of("127.0.0.1:1"));
+    }
     watching->follow("last", last.listener.local());
     sync.let_go(SyncPoint::watch_registered);
-    while (list().message.version != 60) continue;
+    while (list().message.version != 60) {
+        continue;
+    }
     CHECK(ended(old.connection(0)));
     watching->stop();
 }
@@ -463,19 +534,23 @@
     sync.await(SyncPoint::watch_answered);  // and now it was
     sync.let_go(SyncPoint::watch_answered);
     old.connection(0).send_all(chunk("\n") + chunk(version(43)));
-    CHECK(next<core_event::EndpointListReceived>().message.version == 43);  // and no word of a lost list before it
+    CHECK(next<core_event::EndpointListReceived>().message.version ==
+          43);  // and no word of a lost list before it
     watching->stop();
 }
 
-TEST_CASE_METHOD(Watched, "answers that drip, never end or break off anywhere are left in time, and nothing of them is believed") {
+TEST_CASE_METHOD(Watched,
+                 "answers that drip, never end or break off anywhere are left in time, and nothing "
+                 "of them is believed") {
     patience.silence = 300ms, patience.whole_line = 150ms;
     const std::string good = kWatch + chunk(version(42));
-    const std::string bad = GENERATE_COPY(as<std::string>{},
-        kWatch + chunk(version(42)).substr(0, 1) + "!",                        // a chunk cut in its length line
-        kWatch + "zzz\r\n", "HTTP/1.1 2",                                      // a status line that never ends
-        "HTTP/1.1 200 OK\r\nX-Long: " + std::string(9'000, 'x'),               // nor a header
-        "HTTP/1.1 200 OK\r\n\r\n" + version(42).substr(0, 20) + "!",           // no length, and cut
-        kWatch + chunk(kList.substr(0, kList.find("},{") + 1)) + "!",          // between two servers
+    const std::string bad = GENERATE_COPY(
+        as<std::string>{},
+        kWatch + chunk(version(42)).substr(0, 1) + "!",           // a chunk cut in its length line
+        kWatch + "zzz\r\n", "HTTP/1.1 2",                         // a status line that never ends
+        "HTTP/1.1 200 OK\r\nX-Long: " + std::string(9'000, 'x'),  // nor a header
+        "HTTP/1.1 200 OK\r\n\r\n" + version(42).substr(0, 20) + "!",   // no length, and cut
+        kWatch + chunk(kList.substr(0, kList.find("},{") + 1)) + "!",  // between two servers
         "HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + kList.substr(0, 80));
     Discovery discovery({bad, kWatch + chunk(version(77))});
     const auto watching = watch(discovery);
@@ -483,7 +558,9 @@
     const auto begun = steady_clock::now();
     REQUIRE(watching->start());
     const auto drips = beside([&] {
-        for (int i = 0; i < 60 && discovery.connection(0).send_now("0"); ++i) std::this_thread::sleep_for(10ms);
+        for (int i = 0; i < 60 && discovery.connection(0).send_now("0"); ++i) {
+            std::this_thread::sleep_for(10ms);
+        }
     });
     drips.wait();
     CHECK(list().message.version == 77);
@@ -520,20 +597,30 @@
     std::atomic<bool> over{false};
     const Socket flood = dial(address);
     flood.send_all(hello(3));
-    while (planner.heard.all().empty()) std::this_thread::yield();
+    while (planner.heard.all().empty()) {
+        std::this_thread::yield();
+    }
     const auto floods = beside([&] {
         std::string lines;
-        for (int i = 0; i < 500; ++i) lines += usage(3) + answer(3, 9'999);
-        while (!over && flood.send_all(lines)) continue;
+        for (int i = 0; i < 500; ++i) {
+            lines += usage(3) + answer(3, 9'999);
+        }
+        while (!over && flood.send_all(lines)) {
+            continue;
+        }
     });
     const auto dials = beside([&] {
         for (int i = 0; i < 100 && !over; ++i) {
             Socket socket = Socket::unconnected(address);
-            if (!socket.connect(address, 1s)) break;
+            if (!socket.connect(address, 1s)) {
+                break;
+            }
             socket.send_now(hello(i % 8));
         }
     });
-    while (planner.heard.all().size() < 3) std::this_thread::yield();  // some of them have joined
+    while (planner.heard.all().size() < 3) {
+        std::this_thread::yield();  // some of them have joined
+    }
     const auto took = planner.stop();
     over = true;
     floods.wait(), dials.wait();
@@ -567,7 +654,9 @@
     CHECK(program.stage() == Stage::ended);
 }
 
-TEST_CASE("a proxy's new stream and its old one cross: one joining at a time, answers of the old one count no more") {
+TEST_CASE(
+    "a proxy's new stream and its old one cross: one joining at a time, answers of the old one "
+    "count no more") {
     Running planner;
     const Socket old = dial(planner.program.address());
     old.send_all(hello(3));
--- a/tests/golden_stored_test.cpp
+++ b/tests/golden_stored_test.cpp
@@ -1,19 +1,20 @@
-// Stored data of today: a recording, an operator's file and a start file that the program wrote or read
-// before a large renaming. Each is read with the program's code and compared with a golden, or with figures
-// written here.
+// Stored data of today: a recording, an operator's file and a start file that the program wrote or
+// read before a large renaming. Each is read with the program's code and compared with a golden, or
+// with figures written here.
 //
-//   tests/data/recording/           two lives; it must replay to the same orders, and be recorded again alike
-//   tests/data/recording-spoilt/    the first life with one order another, and a segment that was cut: both
-//   are told tests/data/operator.txtpb       read, and written to the bytes of
-//   tests/data/golden/operator.txtpb tests/data/start.json           read; its values are written here
+//   tests/data/recording/           two lives; it must replay to the same orders, and be recorded
+//   again alike tests/data/recording-spoilt/    the first life with one order another, and a
+//   segment that was cut: both are told tests/data/operator.txtpb       read, and written to the
+//   bytes of tests/data/golden/operator.txtpb tests/data/start.json           read; its values are
+//   written here
 //
-// MICAROAD_WRITE_GOLDENS=1 writes the recording and the golden anew, and the test then fails, so that no run
-// passes by writing. Renew them only with a change of behaviour that is intended and that its commit states:
-// a recording or a file in use must stay readable. What a renewed recording replaces must be read by a test
-// of its own from then on.
+// MICAROAD_WRITE_GOLDENS=1 writes the recording and the golden anew, and the test then fails, so
+// that no run passes by writing. Renew them only with a change of behaviour that is intended and
+// that its commit states: a recording or a file in use must stay readable. What a renewed recording
+// replaces must be read by a test of its own from then on.
 //
-// The packed bytes of a recording are not compared with new ones: they depend on the version of zstd. The
-// records in them are, byte for byte.
+// The packed bytes of a recording are not compared with new ones: they depend on the version of
+// zstd. The records in them are, byte for byte.
 #include <unistd.h>
 
 #include <algorithm>
@@ -40,7 +41,9 @@
 
 const fs::path kData = TEST_DATA;
 
-bool writing() { return std::getenv("MICAROAD_WRITE_GOLDENS") != nullptr; }
+bool writing() {
+    return std::getenv("MICAROAD_WRITE_GOLDENS") != nullptr;
+}
 
 std::string bytes_of(const fs::path& path) {
     std::ifstream file(path, std::ios::binary);
@@ -50,13 +53,15 @@
     return text.str();
 }
 
-// One life of a planner that is recorded: it is fed events of every kind on a clock moved by hand, and its
-// timers and marks come back to it.
+// One life of a planner that is recorded: it is fed events of every kind on a clock moved by hand,
+// and its timers and marks come back to it.
 class Life {
  public:
-    Life(record::Disk& disk, const DeploymentSettings& settings, std::uint64_t seed, std::int64_t begins_after)
+    Life(record::Disk& disk, const DeploymentSettings& settings, std::uint64_t seed,
+         std::int64_t begins_after)
         : recorder_(disk, {},
-                    record::head_of(settings, test::names(), seed, "planner-0", "golden", begin(begins_after)),
+                    record::head_of(settings, test::names(), seed, "planner-0", "golden",
+                                    begin(begins_after)),
                     nullptr),
           planner_(settings, seed),
           chance_(seed) {
@@ -72,13 +77,28 @@
         decide();
         for (int step = 0; step < tenths_of_seconds; ++step) {
             clock_.tenths += 1'000;
-            if (step % 5 == 0) report();
-            if (step == 60) handle(event::EndpointListUpdate{event::EndpointListUpdate::Form::incremental, {server(1, EndpointPhase::draining)}});
-            if (step == 90) handle(event::ProxyLeft{{2}});
-            if (step == 100) handle(event::ProxyJoined{{2}, {0}, 7, false});
-            if (step == 110) handle(event::EndpointListUpdate{event::EndpointListUpdate::Form::unavailable, {}});
-            if (step == 130) handle(list(event::EndpointListUpdate::Form::complete, EndpointPhase::gone));
-            if (step == 150) handle(event::PeerMessage{{1}, "a word of a peer"});
+            if (step % 5 == 0) {
+                report();
+            }
+            if (step == 60) {
+                handle(event::EndpointListUpdate{event::EndpointListUpdate::Form::incremental,
+                                                 {server(1, EndpointPhase::draining)}});
+            }
+            if (step == 90) {
+                handle(event::ProxyLeft{{2}});
+            }
+            if (step == 100) {
+                handle(event::ProxyJoined{{2}, {0}, 7, false});
+            }
+            if (step == 110) {
+                handle(event::EndpointListUpdate{event::EndpointListUpdate::Form::unavailable, {}});
+            }
+            if (step == 130) {
+                handle(list(event::EndpointListUpdate::Form::complete, EndpointPhase::gone));
+            }
+            if (step == 150) {
+                handle(event::PeerMessage{{1}, "a word of a peer"});
+            }
             hear_due_timers();
             decide();
         }
@@ -86,7 +106,9 @@
     }
 
  private:
-    static TimePoint begin(std::int64_t begins_after) { return test::HandClock().now() + Duration{begins_after}; }
+    static TimePoint begin(std::int64_t begins_after) {
+        return test::HandClock().now() + Duration{begins_after};
+    }
 
     static ListedEndpoint server(int number, EndpointPhase phase) {
         return {{"s-" + std::to_string(number)},
@@ -99,7 +121,8 @@
     }
 
     // All five servers; the last one has that phase.
-    static event::EndpointListUpdate list(event::EndpointListUpdate::Form form, EndpointPhase last) {
+    static event::EndpointListUpdate list(event::EndpointListUpdate::Form form,
+                                          EndpointPhase last) {
         event::EndpointListUpdate list{form, {}};
         for (int number = 1; number <= 5; ++number) {
             list.servers.push_back(server(number, number == 5 ? last : EndpointPhase::ready));
@@ -115,11 +138,12 @@
             const double tries = 20.0 + random_below(9);
             const double bad = random_below(3);
             const Duration mean{500 + static_cast<Duration::rep>(chance_() % 20'000)};
-            handle(event::EndpointLoadReport{server, {number % 2}, tries, bad, mean, Duration{5'000}});
+            handle(
+                event::EndpointLoadReport{server, {number % 2}, tries, bad, mean, Duration{5'000}});
         }
         const int method = static_cast<int>(chance_() % 2);
-        handle(
-            event::DemandReport{{static_cast<int>(chance_() % 4)}, {method}, 10.5, random_below(2), Duration{5'000}});
+        handle(event::DemandReport{
+            {static_cast<int>(chance_() % 4)}, {method}, 10.5, random_below(2), Duration{5'000}});
         handle(event::SliceDemandReport{{3}, {method}, 4, 1, Duration{5'000}});
         handle(event::SliceAssigned{{3}, true});
         handle(event::SliceOwnerReported{{3}, {"s-2"}, 0.1 + 0.2});
@@ -147,10 +171,13 @@
                 timers_.emplace(clock_.now() + timer->after, timer->timer);
             }
             if (const auto* mark = std::get_if<order::SendNonce>(&order)) {
-                for (int proxy = 0; proxy < 4; ++proxy) handle(event::Acknowledgement{{proxy}, mark->nonce});
+                for (int proxy = 0; proxy < 4; ++proxy) {
+                    handle(event::Acknowledgement{{proxy}, mark->nonce});
+                }
             }
         }
-        while (recorder_.work().more) {}
+        while (recorder_.work().more) {
+        }
     }
 
     test::HandClock clock_;
@@ -175,8 +202,9 @@
 std::vector<std::string> records_of(const fs::path& folder) {
     std::vector<std::string> records;
     const auto disk = record::folder(folder.string());
-    record::read_all(
-        *disk, [&records](const records::Record& record) { records.push_back(record.SerializeAsString()); });
+    record::read_all(*disk, [&records](const records::Record& record) {
+        records.push_back(record.SerializeAsString());
+    });
     return records;
 }
 
@@ -190,17 +218,22 @@
     const auto disk = record::folder(recording.string());
     record::read_all(*disk, [&](const records::Record& record) {
         heads += record.has_head() ? 1 : 0;
-        if (heads > 1) return;
+        if (heads > 1) {
+            return;
+        }
         records::Record copy = record;
         for (int i = 0; !changed && records.size() > 20 && i < record.turn().order_size(); ++i) {
-            if (record.turn().order(i).kind() != records::Order::SET_LINE) continue;
+            if (record.turn().order(i).kind() != records::Order::SET_LINE) {
+                continue;
+            }
             copy.mutable_turn()->mutable_order(i)->set_figure(0.25);
             changed = true;
         }
         records.push_back(copy.SerializeAsString());
     });
     REQUIRE(changed);
-    std::ofstream(spoilt / record::Recorder::name_of(0), std::ios::binary) << record::block_of(records, 0);
+    std::ofstream(spoilt / record::Recorder::name_of(0), std::ios::binary)
+        << record::block_of(records, 0);
     const std::string second = disk->list().at(1).name;
     const std::string bytes = bytes_of(recording / second);
     std::ofstream(spoilt / second, std::ios::binary) << bytes.substr(0, bytes.size() / 2);
@@ -232,15 +265,21 @@
     std::set<int> events;
     std::set<int> orders;
     record::read_all(*disk, [&events, &orders](const records::Record& record) {
-        for (const auto& event : record.turn().event()) events.insert(event.kind());
-        for (const auto& order : record.turn().order()) orders.insert(order.kind());
+        for (const auto& event : record.turn().event()) {
+            events.insert(event.kind());
+        }
+        for (const auto& order : record.turn().order()) {
+            orders.insert(order.kind());
+        }
     });
     CHECK(events.size() == std::variant_size_v<Event>);
-    CHECK(orders == std::set<int>{records::Order::SET_LINE, records::Order::BIND, records::Order::SET_LEVEL,
-                                  records::Order::WITHDRAW, records::Order::MARK, records::Order::START_TIMER,
+    CHECK(orders == std::set<int>{records::Order::SET_LINE, records::Order::BIND,
+                                  records::Order::SET_LEVEL, records::Order::WITHDRAW,
+                                  records::Order::MARK, records::Order::START_TIMER,
                                   records::Order::SUBSCRIBE});
 
-    const fs::path again = fs::temp_directory_path() / ("micaroad-golden-" + std::to_string(::getpid()));
+    const fs::path again =
+        fs::temp_directory_path() / ("micaroad-golden-" + std::to_string(::getpid()));
     record_two_lives(again);
     const std::vector<std::string> records = records_of(again);
     const std::vector<std::string> expected = records_of(stored);
@@ -251,7 +290,8 @@
     CHECK(differs == records.end());
 }
 
-TEST_CASE("golden: the stored recording that is spoilt tells its first order that differs, and its cut") {
+TEST_CASE(
+    "golden: the stored recording that is spoilt tells its first order that differs, and its cut") {
     const auto disk = record::folder((kData / "recording-spoilt").string());
     const record::Verdict verdict = record::replay(*disk);
     CHECK(!verdict.same);
@@ -263,7 +303,9 @@
 
 TEST_CASE("golden: the stored operator's file is written back to the same bytes") {
     const operators::Reading reading = operators::read_file((kData / "operator.txtpb").string());
-    for (const auto& fault : reading.faults) UNSCOPED_INFO(fault.text());
+    for (const auto& fault : reading.faults) {
+        UNSCOPED_INFO(fault.text());
+    }
     REQUIRE(reading.faults.empty());
     const std::string text =
         operators::write_text(reading.plan, "Written back by tests/golden_stored_test.cpp.");
@@ -280,7 +322,8 @@
 
 TEST_CASE("golden: the stored start file is read") {
     const auto no_variable = [](const char*) -> const char* { return nullptr; };
-    const StartConfiguration start = parse_start_configuration(bytes_of(kData / "start.json"), no_variable);
+    const StartConfiguration start =
+        parse_start_configuration(bytes_of(kData / "start.json"), no_variable);
     CHECK(start.name == "planner-3");
     CHECK(start.listen == "127.0.0.1:3003");
     CHECK(start.discovery == "127.0.0.1:8503");
--- a/tests/haproxy_test.cpp
+++ b/tests/haproxy_test.cpp
@@ -1,5 +1,6 @@
-// The importer: every line of the corpus gets the verdict that stands behind it, pools have the shares and
-// routes lead where the file says; then what can't be read at all, at any length it may be cut, and size.
+// The importer: every line of the corpus gets the verdict that stands behind it, pools have the
+// shares and routes lead where the file says; then what can't be read at all, at any length it may
+// be cut, and size.
 #include <catch2/catch.hpp>
 #include <chrono>
 #include <cstdlib>
@@ -34,7 +35,9 @@
     for (const Corpus& file : files) {
         DYNAMIC_SECTION(file.name) {
             const haproxy::Import import = file.import();
-            for (const auto& trouble : import.troubles) UNSCOPED_INFO(trouble.text());
+            for (const auto& trouble : import.troubles) {
+                UNSCOPED_INFO(trouble.text());
+            }
             REQUIRE(import.troubles.empty());
             std::map<int, int> found;
             for (const auto& finding : import.findings) {
@@ -46,12 +49,15 @@
                 CHECK_THAT(finding.says, Catch::Contains(wanted->second.says));
             }
             CHECK(found.size() == file.verdicts.size());
-            for (const auto& [line, n] : found) CHECK(n == 1);
+            for (const auto& [line, n] : found) {
+                CHECK(n == 1);
+            }
         }
     }
 }
 
-TEST_CASE("pools of the corpus have the shares and states that their files say, and routes lead there") {
+TEST_CASE(
+    "pools of the corpus have the shares and states that their files say, and routes lead there") {
     for (const Corpus& file : Corpus::all()) {
         DYNAMIC_SECTION(file.name) {
             const haproxy::Import import = file.import();
@@ -61,16 +67,20 @@
             for (const auto& pool : report["pools"]) {
                 for (const auto& server : pool["servers"]) {
                     shares[pool["name"]][server["name"]] = server["share"];
-                    states[std::string(pool["name"]) + "/" + std::string(server["name"])] = server["state"];
+                    states[std::string(pool["name"]) + "/" + std::string(server["name"])] =
+                        server["state"];
                 }
             }
             for (const auto& [pool, wanted] : file.shares) {
                 CAPTURE(pool);
                 REQUIRE(shares[pool].size() == wanted.size());
-                for (const auto& [server, share] : wanted)
+                for (const auto& [server, share] : wanted) {
                     CHECK(shares[pool][server] == Approx(share).margin(1e-4));
+                }
+            }
+            for (const auto& [server, state] : file.states) {
+                CHECK(states[server] == state);
             }
-            for (const auto& [server, state] : file.states) CHECK(states[server] == state);
             CHECK(report["counts"]["lines"] == file.verdicts.size());
 
             const routing::Router router(import.plan);
@@ -82,8 +92,11 @@
                 CHECK((sent ? decision.pool : std::to_string(decision.status)) == route.to);
             }
             // What is written reads back as the same plan.
-            const operators::Reading back = operators::read_text(operators::write_text(import.plan), "back");
-            for (const auto& fault : back.faults) UNSCOPED_INFO(fault.text());
+            const operators::Reading back =
+                operators::read_text(operators::write_text(import.plan), "back");
+            for (const auto& fault : back.faults) {
+                UNSCOPED_INFO(fault.text());
+            }
             CHECK(back.faults.empty());
             CHECK(back.plan == import.plan);
         }
@@ -100,18 +113,23 @@
     CHECK(trouble("backend web\n server a \"1.1\n") == "x.cfg:2:11: a quote without its end");
     CHECK(trouble("backend web\n balance 'x\n") == "x.cfg:2:10: a quote without its end");
     CHECK(trouble("backend\n") == "x.cfg:1:1: backend without a name");
-    CHECK(trouble("backend we/b\n") == "x.cfg:1:9: 'we/b' is no name: letters, digits and -_.:, 128 at most");
+    CHECK(trouble("backend we/b\n") ==
+          "x.cfg:1:9: 'we/b' is no name: letters, digits and -_.:, 128 at most");
     CHECK(trouble(std::string("backend web\n id \0 x\n", 20)) == "x.cfg:2:5: a NUL byte");
     CHECK(trouble("backend web\n id \"${A\"\n") == "x.cfg:2:6: ${ without its }");
     CHECK(trouble("backend web\n id \\xZZ\n") == "x.cfg:2:5: \\x without two hexadecimal digits");
     CHECK(trouble("backend web\nbackend web\n") == "x.cfg:2:1: a second backend web");
-    CHECK(trouble("backend web from none\n") == "x.cfg:1:1: there is no defaults section none before it");
+    CHECK(trouble("backend web from none\n") ==
+          "x.cfg:1:1: there is no defaults section none before it");
     CHECK(trouble(".if 1\nbackend web\n") == "x.cfg:1:1: .if without its .endif");
     CHECK(trouble(".endif\n") == "x.cfg:1:1: no .if is open");
-    CHECK(trouble("backend web\n id " + std::string(haproxy::Lexer::kLongestLine, 'x') + "\n id 2\n")
-              .starts_with("x.cfg:2:1: a line over"));
+    CHECK(
+        trouble("backend web\n id " + std::string(haproxy::Lexer::kLongestLine, 'x') + "\n id 2\n")
+            .starts_with("x.cfg:2:1: a line over"));
     std::string words = "backend web\n id";
-    for (int i = 0; i < 64; ++i) words += " w";
+    for (int i = 0; i < 64; ++i) {
+        words += " w";
+    }
     CHECK(trouble(words + "\n").find("over 64 words") != std::string::npos);
     // Every trouble at once.
     CHECK(import_text("backend\nbackend a'b\n id \"x\n").troubles.size() == 3);
@@ -132,20 +150,25 @@
     CHECK(plan == plan_of("backend web\n server a \\\n10.0.0.1:80\n"));
     CHECK(plan == plan_of("backend web\n 'ser'\"ver\" \\x61 10.0.0.1:80\n"));
     // A line of 64 KiB, fed byte by byte.
-    const std::string wide = "backend web\n id " + std::string(65'536, 'y') + "\n server a 10.0.0.1:80\n";
+    const std::string wide =
+        "backend web\n id " + std::string(65'536, 'y') + "\n server a 10.0.0.1:80\n";
     CHECK(plan == plan_of(wide));
     std::vector<haproxy::Line> lines;
     const haproxy::Environment environment{{"MANY", "a b  c"}, {"ONE", "x y"}};
-    haproxy::Lexer lexer("f", environment, [&](haproxy::Line&& line) { lines.push_back(std::move(line)); });
+    haproxy::Lexer lexer("f", environment,
+                         [&](haproxy::Line&& line) { lines.push_back(std::move(line)); });
     for (const char c :
-         std::string("k \"${MANY[*]}\" \"$ONE\" '$ONE' $ONE \"${NO-d e}\" \"${.LINE}\" \xff\xfe"))
+         std::string("k \"${MANY[*]}\" \"$ONE\" '$ONE' $ONE \"${NO-d e}\" \"${.LINE}\" \xff\xfe")) {
         lexer.feed({&c, 1});
+    }
     lexer.finish();
     REQUIRE(lines.size() == 1);
     std::vector<std::string> words;
-    for (const auto& word : lines[0].words) words.push_back(word.text);
-    CHECK(words ==
-          std::vector<std::string>{"k", "a", "b", "c", "x y", "$ONE", "$ONE", "d e", "1", "\xff\xfe"});
+    for (const auto& word : lines[0].words) {
+        words.push_back(word.text);
+    }
+    CHECK(words == std::vector<std::string>{"k", "a", "b", "c", "x y", "$ONE", "$ONE", "d e", "1",
+                                            "\xff\xfe"});
     // Bytes that are no UTF-8 don't spoil a report.
     const auto odd = import_text("backend web\n \xff\xfe 1\n");
     CHECK_NOTHROW(nlohmann::json::parse(haproxy::json_report(odd, {"x"})));
@@ -156,7 +179,8 @@
     const auto& health = import.plan.pools.at(0).health;
     CHECK((health.kind == routing::HealthRule::Kind::http && health.http_path == "/ping" &&
            health.http_host == "shop.example"));
-    CHECK((health.status_least == 200 && health.status_most == 299 && health.rise == 3 && health.fall == 4));
+    CHECK((health.status_least == 200 && health.status_most == 299 && health.rise == 3 &&
+           health.fall == 4));
     CHECK((health.every == Duration{30'000} && health.every_in_doubt == Duration{5'000} &&
            health.every_while_down == Duration{100'000}));
     CHECK((health.patience == Duration{9'000} && health.errors_most == 0));
@@ -172,29 +196,37 @@
     using routing::FurtherTries;
     CHECK(sticky.further ==
           FurtherTries{5, FurtherTries::Proof::any_failure, FurtherTries::Where::other_at_last});
-    CHECK((sticky.stickiness.by == routing::Stickiness::By::cookie && sticky.stickiness.keeps_down));
+    CHECK(
+        (sticky.stickiness.by == routing::Stickiness::By::cookie && sticky.stickiness.keeps_down));
     CHECK((sticky.servers.at(1).mark == "s2" && sticky.servers[1].checked));
 
     const auto slow = Corpus::named("slow-start").import().plan.pools.at(0);
     CHECK(slow.servers.at(2).slow_start == Duration{160'000});
-    CHECK(Corpus::named("slow-start-static").import().plan.pools.at(0).servers.at(0).slow_start == Duration{});
+    CHECK(Corpus::named("slow-start-static").import().plan.pools.at(0).servers.at(0).slow_start ==
+          Duration{});
     const auto from = Corpus::named("defaults-from").import().plan;
-    CHECK((from.pools.at(0).connect_within == Duration{10'000} && from.pools[0].answer_within == Duration{90'000}));
+    CHECK((from.pools.at(0).connect_within == Duration{10'000} &&
+           from.pools[0].answer_within == Duration{90'000}));
     CHECK((from.pools.at(2).connect_within == Duration{30'000} && !from.pools[2].all_backups));
 }
 
 TEST_CASE("several files and directories are read in order, and one that is missing is named") {
     namespace fs = std::filesystem;
-    const fs::path folder = fs::temp_directory_path() / ("micaroad-haproxy-" + std::to_string(::getpid()));
+    const fs::path folder =
+        fs::temp_directory_path() / ("micaroad-haproxy-" + std::to_string(::getpid()));
     fs::create_directories(folder / "d");
-    const auto write = [&](const char* name, const char* text) { std::ofstream(folder / name) << text; };
+    const auto write = [&](const char* name, const char* text) {
+        std::ofstream(folder / name) << text;
+    };
     write("one.cfg", "defaults\n timeout connect 1s\n timeout server 1s\n");
     write("d/20.cfg", " server b 10.0.0.2:80 weight 3\n");
     write("d/10.cfg", "backend web\n server a 10.0.0.1:80\n");
     write("d/30.txt", "nonsense");
     write("d/empty.cfg", "");
     const auto read = [&](std::vector<std::string> names) {
-        for (auto& name : names) name = (folder / name).string();
+        for (auto& name : names) {
+            name = (folder / name).string();
+        }
         return haproxy::translate(haproxy::read_files(names, {}));
     };
     const auto import = read({"one.cfg", "d"});
@@ -211,13 +243,18 @@
     for (const char* name : {"quoting", "macros", "acl-thrice-is-or", "health-rules"}) {
         const std::string text = Corpus::named(name).text;
         for (std::size_t length = 0; length <= text.size(); ++length) {
-            const auto import = import_text(text.substr(0, length), {{"MICAROAD_TEST_WEIGHT", "3"}});
-            if (!import.troubles.empty()) CHECK(import.plan.pools.empty());
+            const auto import =
+                import_text(text.substr(0, length), {{"MICAROAD_TEST_WEIGHT", "3"}});
+            if (!import.troubles.empty()) {
+                CHECK(import.plan.pools.empty());
+            }
             for (const auto& finding : import.findings) {
-                if (finding.verdict == haproxy::Verdict::refused && finding.says.empty())
+                if (finding.verdict == haproxy::Verdict::refused && finding.says.empty()) {
                     FAIL(name << " at " << length);
-                if (finding.says == "nothing here knows this line" && import.troubles.empty())
+                }
+                if (finding.says == "nothing here knows this line" && import.troubles.empty()) {
                     FAIL(name << " at " << length << ", line " << finding.line);
+                }
             }
         }
     }
@@ -227,25 +264,33 @@
     std::string text = "defaults\n timeout connect 1s\n timeout server 1s\n";
     int lines = 3;
     for (int pool = 0; pool < 100; ++pool) {
-        text += "frontend f" + std::to_string(pool) + "\n bind :" + std::to_string(1'000 + pool) + "\n",
+        text +=
+            "frontend f" + std::to_string(pool) + "\n bind :" + std::to_string(1'000 + pool) + "\n",
             lines += 2;
         for (int i = 0; i < 99; ++i, lines += 2) {
             const std::string id = std::to_string(i);
-            text += " acl a" + id + " path_beg /p" + id + "\n use_backend b" + std::to_string(i) + " if a" +
-                    id + "\n";
+            text += " acl a" + id + " path_beg /p" + id + "\n use_backend b" + std::to_string(i) +
+                    " if a" + id + "\n";
         }
-        text += " default_backend b" + std::to_string(pool) + "\nbackend b" + std::to_string(pool) + "\n",
+        text += " default_backend b" + std::to_string(pool) + "\nbackend b" + std::to_string(pool) +
+                "\n",
             lines += 2;
-        for (int i = 0; i < 200; ++i, ++lines)
+        for (int i = 0; i < 200; ++i, ++lines) {
             text += " server s" + std::to_string(i) + " 10.0." + std::to_string(pool) + "." +
                     std::to_string(i) + ":80 check weight " + std::to_string(1 + i % 9) + "\n";
+        }
+    }
+    while (lines < 50'000) {
+        text += "# filler\n frobnicate 1\n", lines += 1;
     }
-    while (lines < 50'000) text += "# filler\n frobnicate 1\n", lines += 1;
     const auto begun = std::chrono::steady_clock::now();
     const auto import = import_text(text);
-    const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - begun).count();
+    const double took =
+        std::chrono::duration<double>(std::chrono::steady_clock::now() - begun).count();
     std::size_t servers = 0;
-    for (const auto& pool : import.plan.pools) servers += pool.servers.size();
+    for (const auto& pool : import.plan.pools) {
+        servers += pool.servers.size();
+    }
     CHECK(import.troubles.empty());
     CHECK(servers == 20'000);
     CHECK(import.findings.size() == static_cast<std::size_t>(lines));
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -11,17 +11,23 @@
 
 namespace micaroad::test {
 
-inline SymbolTable names() { return {{"lookup", "order"}, {"a", "b"}, {"m1", "m2"}}; }
+inline SymbolTable names() {
+    return {{"lookup", "order"}, {"a", "b"}, {"m1", "m2"}};
+}
 
 inline DeploymentSettings terms() {
     DeploymentSettings settings;
-    settings.methods = {Method{Duration{15'000}, 3, false, {}, {}}, Method{Duration{15'000}, 9, false, {}, {}}};
+    settings.methods = {Method{Duration{15'000}, 3, false, {}, {}},
+                        Method{Duration{15'000}, 9, false, {}, {}}};
     settings.zone_count = 2, settings.proxy_count = 8;
-    settings.channel_lines_per_second = 1'000, settings.overhead_lines_per_message = 3, settings.max_pending_lines = 2'000;
+    settings.channel_lines_per_second = 1'000, settings.overhead_lines_per_message = 3,
+    settings.max_pending_lines = 2'000;
     settings.report_interval = Duration{5'000}, settings.max_message_delay = Duration{5'000};
     settings.drain_grace = Duration{20'000}, settings.warm_up_duration = Duration{150'000};
-    settings.cold_capacity_fraction = 0.2, settings.overload_factor = 3, settings.overload_window = Duration{15'000};
-    settings.admission_kind = AdmissionKind::fraction, settings.default_retry_policy = RetryPolicy::once_if_not_executed;
+    settings.cold_capacity_fraction = 0.2, settings.overload_factor = 3,
+    settings.overload_window = Duration{15'000};
+    settings.admission_kind = AdmissionKind::fraction,
+    settings.default_retry_policy = RetryPolicy::once_if_not_executed;
     return settings;
 }
 
--- a/tests/large_list_test.cpp
+++ b/tests/large_list_test.cpp
@@ -1,20 +1,21 @@
-// Lists of 56,000 servers: whole, in pieces of any size, cut off, twice and over the bound; as bytes and over
-// loopback. What a list takes while it is read is counted by the allocator's own figures.
+// Lists of 56,000 servers: whole, in pieces of any size, cut off, twice and over the bound; as
+// bytes and over loopback. What a list takes while it is read is counted by the allocator's own
+// figures.
 #include <malloc.h>
 
 #include <catch2/catch.hpp>
 #include <thread>
 
-#include "net_helpers.hpp"
 #include "daemon/limits.hpp"
+#include "net_helpers.hpp"
 #include "protocol/endpoint_list.hpp"
 
 using namespace micaroad;
 using namespace micaroad::test;
 using protocol::EndpointListError;
-using protocol::EndpointListParser;
 using protocol::EndpointListFraming;
 using protocol::EndpointListMessage;
+using protocol::EndpointListParser;
 
 namespace {
 
@@ -27,10 +28,11 @@
     char entry[256];
     for (int i = 0; i < servers; ++i) {
         std::snprintf(entry, sizeof entry,
-                      "%s{\"id\":\"s-%08x\",\"addr\":\"10.%d.%d.%d:3000\",\"zone\":\"%s\",\"kind\":\"m%d\",\"cell\":%d,"
+                      "%s{\"id\":\"s-%08x\",\"addr\":\"10.%d.%d.%d:3000\",\"zone\":\"%s\",\"kind\":"
+                      "\"m%d\",\"cell\":%d,"
                       "\"state\":\"up\",\"weight\":1.0,\"started_ms\":1700000000123}",
-                      i > 0 ? "," : "", static_cast<unsigned>(i) * 2'654'435'761u, i / 65'536, i / 256 % 256, i % 256,
-                      i % 2 ? "a" : "b", 1 + i % 2, i % 64);
+                      i > 0 ? "," : "", static_cast<unsigned>(i) * 2'654'435'761u, i / 65'536,
+                      i / 256 % 256, i % 256, i % 2 ? "a" : "b", 1 + i % 2, i % 64);
         text += entry;
     }
     return text + "]}\n";
@@ -51,10 +53,13 @@
     std::vector<EndpointListMessage> lists;
 };
 
-Read read_in_pieces(EndpointListParser& feed, std::string_view text, const std::vector<std::size_t>& sizes) {
+Read read_in_pieces(EndpointListParser& feed, std::string_view text,
+                    const std::vector<std::size_t>& sizes) {
     Read read;
     const auto take = [&read](std::optional<EndpointListMessage> said) {
-        if (said) read.lists.push_back(std::move(*said));
+        if (said) {
+            read.lists.push_back(std::move(*said));
+        }
     };
     for (std::size_t n = 0; !text.empty() && read.fault == EndpointListError::none; ++n) {
         const std::size_t size = std::min(sizes[n % sizes.size()], text.size());
@@ -64,7 +69,9 @@
     return read;
 }
 
-std::size_t bound_at(std::size_t memory_mb) { return Limits::of(memory_mb, 1'024, 16, 2).list_bytes; }
+std::size_t bound_at(std::size_t memory_mb) {
+    return Limits::of(memory_mb, 1'024, 16, 2).list_bytes;
+}
 
 // Discovery's answers to a fetch and to a watch.
 std::string answer_of(const std::string& list) {
@@ -76,25 +83,30 @@
     std::size_t list_bytes = bound_at(kPlannerMemoryMb);
     LargeWatch() { patience.first_wait = 1ms, patience.longest_wait = 2ms; }
     std::unique_ptr<DiscoveryWatch> watch(Discovery& discovery) {
-        return std::make_unique<DiscoveryWatch>("d", discovery.listener.local(), names, 41, list_bytes, pool, inbox,
-                                                quiet.log, patience);
+        return std::make_unique<DiscoveryWatch>("d", discovery.listener.local(), names, 41,
+                                                list_bytes, pool, inbox, quiet.log, patience);
     }
     EndpointListMessage next_list() {
         for (;;) {
-            for (auto& item : inbox.wait(clock_now()() + Duration{200'000})) held.push_back(std::move(item.arrival));
+            for (auto& item : inbox.wait(clock_now()() + Duration{200'000})) {
+                held.push_back(std::move(item.arrival));
+            }
             REQUIRE(!held.empty());
             while (!held.empty()) {
                 CoreEvent first = std::move(held.front());
                 held.erase(held.begin());
-                if (auto* told = std::get_if<core_event::EndpointListReceived>(&first)) return std::move(told->message);
+                if (auto* told = std::get_if<core_event::EndpointListReceived>(&first)) {
+                    return std::move(told->message);
+                }
             }
         }
     }
 };
 
 bool is_whole(const EndpointListMessage& said) {
-    return said.list.form == event::EndpointListUpdate::Form::complete && std::ssize(said.list.servers) == kServers &&
-           std::ssize(said.addresses) == kServers && said.dropped.empty();
+    return said.list.form == event::EndpointListUpdate::Form::complete &&
+           std::ssize(said.list.servers) == kServers && std::ssize(said.addresses) == kServers &&
+           said.dropped.empty();
 }
 
 }  // namespace
@@ -108,8 +120,9 @@
 }
 
 TEST_CASE("a list of 56,000 servers is taken in pieces of any size, and twice") {
-    const auto sizes = GENERATE(std::vector<std::size_t>{1}, std::vector<std::size_t>{7, 1, 4'096, 64},
-                                std::vector<std::size_t>{64 * 1024 * 1024});
+    const auto sizes =
+        GENERATE(std::vector<std::size_t>{1}, std::vector<std::size_t>{7, 1, 4'096, 64},
+                 std::vector<std::size_t>{64 * 1024 * 1024});
     SymbolTable names = test::names();
     EndpointListParser feed(names, EndpointListFraming::line, bound_at(kPlannerMemoryMb));
     for (int twice = 0; twice < 2; ++twice) {
@@ -140,13 +153,16 @@
         most = std::max(most, bytes_allocated() - before);
         rest.remove_prefix(piece.size());
     }
-    INFO("text " << whole_list().size() << ", while it is read " << most << ", as a list " << kept << " bytes");
+    INFO("text " << whole_list().size() << ", while it is read " << most << ", as a list " << kept
+                 << " bytes");
     CHECK(kept < 16 * 1024 * 1024);
     CHECK(most < kept + whole_list().size() / 4);
     CHECK(bytes_allocated() < before + 1024 * 1024);
 }
 
-TEST_CASE("a list over the bound is refused wherever its bytes are cut, short entries by what they take") {
+TEST_CASE(
+    "a list over the bound is refused wherever its bytes are cut, short entries by what they "
+    "take") {
     SymbolTable names = test::names();
     EndpointListParser narrow(names, EndpointListFraming::line, bound_at(32));
     const Read read = read_in_pieces(narrow, whole_list(), {4'096});
@@ -155,15 +171,20 @@
     // The text alone would fit.
     constexpr int kMany = 40'000;
     std::string text = R"({"version":1,"servers":[{"id":"x","state":"removed"})";
-    for (int i = 1; i < kMany; ++i) text += R"(,{"id":"x","state":"removed"})";
+    for (int i = 1; i < kMany; ++i) {
+        text += R"(,{"id":"x","state":"removed"})";
+    }
     REQUIRE(text.size() < kMany * EndpointListParser::kLeastEntry / 2);
-    EndpointListParser short_entries(names, EndpointListFraming::line, kMany * EndpointListParser::kLeastEntry / 2);
+    EndpointListParser short_entries(names, EndpointListFraming::line,
+                                     kMany * EndpointListParser::kLeastEntry / 2);
     CHECK(read_in_pieces(short_entries, text, {4'096}).fault == EndpointListError::too_long);
 }
 
-TEST_CASE_METHOD(LargeWatch, "a whole list of 56,000 is taken from the watch and from a fetch, and twice") {
+TEST_CASE_METHOD(LargeWatch,
+                 "a whole list of 56,000 is taken from the watch and from a fetch, and twice") {
     const std::string on_watch = kWatch + chunk(whole_list());
-    Discovery discovery({on_watch, answer_of(whole_list()), kWatch + chunk(version(44)) + chunk(whole_list())});
+    Discovery discovery(
+        {on_watch, answer_of(whole_list()), kWatch + chunk(version(44)) + chunk(whole_list())});
     const auto watching = watch(discovery);
     discovery.begin();
     REQUIRE(watching->start());
@@ -176,20 +197,27 @@
     CHECK(discovery.all_asked().at(1) == "GET /catalog/members HTTP/1.1");
 }
 
-TEST_CASE_METHOD(LargeWatch, "a whole list that breaks off midway is asked for again, and is then whole") {
+TEST_CASE_METHOD(LargeWatch,
+                 "a whole list that breaks off midway is asked for again, and is then whole") {
     const std::string half = whole_list().substr(0, whole_list().size() / 2);
     const std::string told = kWatch + chunk(version(42));
     const bool by_fetch = GENERATE(false, true);
-    const std::string cut = by_fetch ? answer_of(whole_list()).substr(0, half.size()) + "!" : kWatch + chunk(half) + "!";
-    Discovery discovery({told + (by_fetch ? "" : "!"), cut, by_fetch ? answer_of(whole_list()) : kWatch + chunk(whole_list()), kWatch});
+    const std::string cut = by_fetch ? answer_of(whole_list()).substr(0, half.size()) + "!"
+                                     : kWatch + chunk(half) + "!";
+    Discovery discovery({told + (by_fetch ? "" : "!"), cut,
+                         by_fetch ? answer_of(whole_list()) : kWatch + chunk(whole_list()),
+                         kWatch});
     const auto watching = watch(discovery);
     discovery.begin();
     REQUIRE(watching->start());
     CHECK(next_list().version == 42);
-    if (by_fetch) watching->fetch();
+    if (by_fetch) {
+        watching->fetch();
+    }
     CHECK(is_whole(next_list()));  // and nothing of the half before it
     watching->stop();
-    const std::string again = by_fetch ? "GET /catalog/members HTTP/1.1" : "GET /catalog/members?stream=1&index=42 HTTP/1.1";
+    const std::string again = by_fetch ? "GET /catalog/members HTTP/1.1"
+                                       : "GET /catalog/members?stream=1&index=42 HTTP/1.1";
     CHECK(discovery.all_asked().at(1) == again);
     CHECK(discovery.asked.at(2) == again);
 }
@@ -205,14 +233,17 @@
     constexpr std::size_t kPieces = 20;  // some 0.4 MB each 50 ms; 512 KiB may take a second
     for (std::size_t n = 0; n <= kPieces; ++n) {
         const std::size_t size = text.size() / kPieces;
-        REQUIRE(connection.send_all(std::string_view(text).substr(std::min(n * size, text.size()), size)));
+        REQUIRE(connection.send_all(
+            std::string_view(text).substr(std::min(n * size, text.size()), size)));
         std::this_thread::sleep_for(50ms);
     }
     CHECK(is_whole(next_list()));
     watching->stop();
 }
 
-TEST_CASE("a list over the bound is refused with one line in the log, and what came before and after it counts") {
+TEST_CASE(
+    "a list over the bound is refused with one line in the log, and what came before and after it "
+    "counts") {
     int ends[2];
     REQUIRE(::pipe(ends) == 0);
     std::string written;
@@ -222,10 +253,11 @@
         Base base;
         DiscoveryWatch::Patience patience;
         patience.after_too_long = 20ms;
-        Discovery discovery({kWatch + chunk(version(42)) + chunk("\n") + chunk(list_line(50, 40'000)), too_long, too_long,
-                             kWatch + chunk(version(43))});
-        DiscoveryWatch watching("d", discovery.listener.local(), base.names, 41, bound_at(32), base.pool, base.inbox, log,
-                                patience);
+        Discovery discovery(
+            {kWatch + chunk(version(42)) + chunk("\n") + chunk(list_line(50, 40'000)), too_long,
+             too_long, kWatch + chunk(version(43))});
+        DiscoveryWatch watching("d", discovery.listener.local(), base.names, 41, bound_at(32),
+                                base.pool, base.inbox, log, patience);
         discovery.begin();
         REQUIRE(watching.start());
         CHECK(base.next<core_event::EndpointListReceived>().message.version == 42);
@@ -234,11 +266,15 @@
         watching.stop();
         const auto& asked = discovery.all_asked();
         REQUIRE(asked.size() == 4);
-        for (int n = 1; n < 4; ++n) CHECK(asked[n] == "GET /catalog/members?stream=1&index=42 HTTP/1.1");
+        for (int n = 1; n < 4; ++n) {
+            CHECK(asked[n] == "GET /catalog/members?stream=1&index=42 HTTP/1.1");
+        }
     }
     ::close(ends[1]);
     char bytes[4'096];
-    for (ssize_t got; (got = ::read(ends[0], bytes, sizeof bytes)) > 0;) written.append(bytes, static_cast<std::size_t>(got));
+    for (ssize_t got; (got = ::read(ends[0], bytes, sizeof bytes)) > 0;) {
+        written.append(bytes, static_cast<std::size_t>(got));
+    }
     ::close(ends[0]);
     const std::string said = "a list over 4194304 bytes";
     REQUIRE(written.find(said) != std::string::npos);
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -1,8 +1,8 @@
 // What may still wait in the channel, against what a channel of either kind could hold.
-#include "decision/send_window.hpp"
-
 #include <catch2/catch.hpp>
 
+#include "decision/send_window.hpp"
+
 using namespace micaroad;
 using namespace micaroad::decision;
 
@@ -40,7 +40,9 @@
     window.pass(1'900, 1'140, false);
     REQUIRE(window.answered(kTwo, second));
     CHECK(window.waiting() == 25'100 - 1'140);  // the dead are counted as leaving at what is sure
-    for (int i = 0; i < 21; ++i) window.pass(1'900, 1'140, false);
+    for (int i = 0; i < 21; ++i) {
+        window.pass(1'900, 1'140, false);
+    }
     CHECK(window.waiting() < 25'100 - 21 * 1'140);
     window.pass(1'900, 1'140, false);
     CHECK(window.waiting() == 0);
@@ -65,7 +67,9 @@
     for (int i = 0; i < 70'000; ++i) {
         window.charge(kThree, 1);
         last = window.mark().value();
-        if (i % 3 > 0) continue;
+        if (i % 3 > 0) {
+            continue;
+        }
         REQUIRE(window.answered(kThree, last));
         window.pass(1'000, 600, false);
         REQUIRE(window.waiting() == 0);
--- a/tests/net_helpers.hpp
+++ b/tests/net_helpers.hpp
@@ -1,5 +1,5 @@
-// What tests of the drivers share: stand-ins of our own on loopback, and arrivals as they come. Waits end with what they
-// wait for; their limits only keep a failing test from hanging.
+// What tests of the drivers share: stand-ins of our own on loopback, and arrivals as they come.
+// Waits end with what they wait for; their limits only keep a failing test from hanging.
 #pragma once
 
 #include <sys/socket.h>
@@ -37,7 +37,9 @@
     void await(SyncPoint point, int number = 1) {  // until as many are held there
         std::unique_lock lock(mutex_);
         const bool there = changed_.wait_for(lock, 10s, [&] { return held_.at(point) >= number; });
-        if (!there) let_go_all();  // else the failing test could not end
+        if (!there) {
+            let_go_all();  // else the failing test could not end
+        }
         REQUIRE(there);
     }
     void let_go(SyncPoint point) {
@@ -49,7 +51,9 @@
     void reached(SyncPoint point) override {
         std::unique_lock lock(mutex_);
         const auto at = held_.find(point);
-        if (at == held_.end()) return;
+        if (at == held_.end()) {
+            return;
+        }
         ++at->second;
         changed_.notify_all();
         changed_.wait(lock, [&, time = times_[point]] { return times_[point] != time; });
@@ -57,7 +61,9 @@
 
  private:
     void let_go_all() {
-        for (const auto& [point, number] : std::exchange(held_, {})) ++times_[point];
+        for (const auto& [point, number] : std::exchange(held_, {})) {
+            ++times_[point];
+        }
         changed_.notify_all();
     }
 
@@ -69,7 +75,8 @@
 
 inline Clock clock_now() {
     return [] {
-        return TimePoint{std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch())};
+        return TimePoint{std::chrono::duration_cast<Duration>(
+            std::chrono::steady_clock::now().time_since_epoch())};
     };
 }
 
@@ -84,14 +91,18 @@
     const protocol::Bounds bounds{8};
 
     Holder sync;
-    ConnectionContext context() { return {names, bounds, pool, lines, writing, inbox, quiet.log, &sync}; }
+    ConnectionContext context() {
+        return {names, bounds, pool, lines, writing, inbox, quiet.log, &sync};
+    }
 
     // The next arrival; any that is no `Kind` fails the test.
     template <class Kind>
     Kind next() {
         const TimePoint limit = clock_now()() + Duration{100'000};
         while (held.empty() && clock_now()() < limit) {
-            for (auto& item : inbox.wait(limit)) held.push_back(std::move(item.arrival));
+            for (auto& item : inbox.wait(limit)) {
+                held.push_back(std::move(item.arrival));
+            }
         }
         REQUIRE(!held.empty());
         const CoreEvent first = held.front();
@@ -108,7 +119,9 @@
     std::size_t size = 0;
     while (size < least) {
         const ssize_t got = socket.receive(text.data() + size, least - size);
-        if (got <= 0) break;
+        if (got <= 0) {
+            break;
+        }
         size += static_cast<std::size_t>(got);
     }
     return text.substr(0, size);
@@ -117,7 +130,9 @@
     char bytes[64];
     socket.wait_at_most(10s);
     ssize_t got;
-    while ((got = socket.receive(bytes, sizeof bytes)) > 0) continue;
+    while ((got = socket.receive(bytes, sizeof bytes)) > 0) {
+        continue;
+    }
     return got == 0 || got == -1;
 }
 
@@ -162,20 +177,28 @@
         open.reserve(answers.size());
     }
     Socket& connection(std::size_t n) {  // once it has been answered
-        while (taken <= n) std::this_thread::yield();
+        while (taken <= n) {
+            std::this_thread::yield();
+        }
         return open.data()[n];
     }
     void begin() {
         thread = std::thread([this] {
             for (const std::string& answer : answers) {
                 Socket socket(::accept(listener.fd(), nullptr, nullptr));
-                if (!socket.open()) return;
+                if (!socket.open()) {
+                    return;
+                }
                 std::string text;
-                for (char c; text.find("\r\n\r\n") == std::string::npos && socket.receive(&c, 1) == 1;)
+                for (char c;
+                     text.find("\r\n\r\n") == std::string::npos && socket.receive(&c, 1) == 1;) {
                     text += c;
+                }
                 asked.push_back(text.substr(0, text.find('\r')));
                 socket.send_all(answer);
-                if (answer.ends_with('!')) socket.shut_down();
+                if (answer.ends_with('!')) {
+                    socket.shut_down();
+                }
                 open.push_back(std::move(socket));
                 ++taken;
             }
@@ -183,7 +206,9 @@
     }
     const std::vector<std::string>& all_asked() {  // it answers no more
         listener.shut_down();
-        if (thread.joinable()) thread.join();
+        if (thread.joinable()) {
+            thread.join();
+        }
         return asked;
     }
     ~Discovery() { all_asked(); }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -1,5 +1,5 @@
-// The drivers, over socket pairs and against stand-ins of our own on loopback. Waits end with what they wait
-// for; their limits only keep a failing test from hanging.
+// The drivers, over socket pairs and against stand-ins of our own on loopback. Waits end with what
+// they wait for; their limits only keep a failing test from hanging.
 #include <sys/resource.h>
 #include <sys/socket.h>
 #include <sys/un.h>
@@ -12,12 +12,12 @@
 #include <set>
 #include <thread>
 
-#include "net_helpers.hpp"
-#include "net/event_loop.hpp"
-#include "net/discovery_watch.hpp"
+#include "daemon/planner_process.hpp"
 #include "net/acceptor.hpp"
+#include "net/discovery_watch.hpp"
+#include "net/event_loop.hpp"
 #include "net/prober.hpp"
-#include "daemon/planner_process.hpp"
+#include "net_helpers.hpp"
 
 using namespace micaroad;
 using namespace micaroad::net;
@@ -25,10 +25,13 @@
 using namespace std::chrono_literals;
 
 TEST_CASE_METHOD(Pair, "a stream's messages become arrivals, and orders go out on it") {
-    for (const char c : kHello) REQUIRE(peer.send_all({&c, 1}));
+    for (const char c : kHello) {
+        REQUIRE(peer.send_all({&c, 1}));
+    }
     CHECK(next<core_event::StreamOpened>().joined.proxy == ProxyId{3});
     peer.send_all(
-        "demand sidecar=3 kind=lookup n=4 bad=0 window=500\r\nack sidecar=3 version=9 lag_ms=1\r\nprobe\r\n");
+        "demand sidecar=3 kind=lookup n=4 bad=0 window=500\r\nack sidecar=3 version=9 "
+        "lag_ms=1\r\nprobe\r\n");
     next<core_event::ReportReceived>();
     CHECK(next<core_event::StreamAcknowledged>().acknowledgement.nonce == Nonce{9});
     CHECK(read_some(peer, 7) == "alive\r\n");
@@ -39,15 +42,28 @@
     CHECK(next<core_event::StreamClosed>().reason == "its end, in mid-line");
 }
 
-TEST_CASE_METHOD(Pair, "an unidentified peer is answered; what its role does not allow ends the connection") {
+TEST_CASE_METHOD(
+    Pair, "an unidentified peer is answered; what its role does not allow ends the connection") {
     peer.send_all("probe\r\n");
     CHECK(read_some(peer, 7) == "alive\r\n");
-    SECTION("usage of an unidentified peer") { peer.send_all("demand sidecar=3 kind=lookup n=4 bad=0 window=500\r\n"); }
-    SECTION("a proxy that can't exist") { peer.send_all("hello sidecar=8 az=a share=2 standing=1\r\n"); }
-    SECTION("a zone that does not exist") { peer.send_all("agent az=z\r\n"); }
-    SECTION("an order") { peer.send_all("push eject=s-1\r\n"); }
-    SECTION("a line without end") { peer.send_all(std::string(2'000, 'x')); }
-    SECTION("what can't be read") { peer.send_all("GET / HTTP/1.1\r\n\r\n"); }
+    SECTION("usage of an unidentified peer") {
+        peer.send_all("demand sidecar=3 kind=lookup n=4 bad=0 window=500\r\n");
+    }
+    SECTION("a proxy that can't exist") {
+        peer.send_all("hello sidecar=8 az=a share=2 standing=1\r\n");
+    }
+    SECTION("a zone that does not exist") {
+        peer.send_all("agent az=z\r\n");
+    }
+    SECTION("an order") {
+        peer.send_all("push eject=s-1\r\n");
+    }
+    SECTION("a line without end") {
+        peer.send_all(std::string(2'000, 'x'));
+    }
+    SECTION("what can't be read") {
+        peer.send_all("GET / HTTP/1.1\r\n\r\n");
+    }
     CHECK(read_some(peer, 7) == "error\r\n");
     CHECK(ended(peer));
     CHECK(connection->role() != Role::stream);
@@ -56,7 +72,8 @@
     next<core_event::StopRequested>();  // and nothing before it
 }
 
-TEST_CASE_METHOD(Pair, "why a stream was ended is what it did last, not what it might have done before") {
+TEST_CASE_METHOD(Pair,
+                 "why a stream was ended is what it did last, not what it might have done before") {
     peer.send_all(kHello + "probe\r\nprobe\n");
     next<core_event::StreamOpened>();
     CHECK(next<core_event::StreamClosed>().reason == "a line that ends without CR");
@@ -64,9 +81,10 @@
 
 TEST_CASE_METHOD(Pair, "a spoilt line costs a stream that line, what can't be read its end") {
     const std::string good = "demand sidecar=3 kind=lookup n=4 bad=0 window=500\r\n";
-    const std::string spoilt = "demand sidecar=4 kind=lookup n=4 bad=0 window=500\r\n" + kHello +
-                               "ack sidecar=3 version=x lag_ms=1\r\nagent az=a\r\nack sidecar=4 version=1 lag_ms=1\r\n"
-                               "demand sidecar=3 kind=lookup n=-4 bad=0 window=500\r\ndemand\r\n";
+    const std::string spoilt =
+        "demand sidecar=4 kind=lookup n=4 bad=0 window=500\r\n" + kHello +
+        "ack sidecar=3 version=x lag_ms=1\r\nagent az=a\r\nack sidecar=4 version=1 lag_ms=1\r\n"
+        "demand sidecar=3 kind=lookup n=-4 bad=0 window=500\r\ndemand\r\n";
     peer.send_all(kHello + spoilt + good);
     next<core_event::StreamOpened>();
     next<core_event::ReportReceived>();
@@ -79,12 +97,16 @@
 }
 
 TEST_CASE_METHOD(Pair, "a spoilt report leaves a collector its connection") {
-    peer.send_all("agent az=a\r\nack sidecar=1 version=1 lag_ms=1\r\noutcomes az=a host=s-1 n=4 bad=9 avg=1 window=500\r\n"
-                  "outcomes az=a host=s-1 n=4 bad=1 avg=30 window=500\r\n");
-    CHECK(std::get<event::EndpointLoadReport>(next<core_event::ReportReceived>().report).failures == 1);
+    peer.send_all(
+        "agent az=a\r\nack sidecar=1 version=1 lag_ms=1\r\noutcomes az=a host=s-1 n=4 bad=9 avg=1 "
+        "window=500\r\n"
+        "outcomes az=a host=s-1 n=4 bad=1 avg=30 window=500\r\n");
+    CHECK(std::get<event::EndpointLoadReport>(next<core_event::ReportReceived>().report).failures ==
+          1);
 }
 
-TEST_CASE_METHOD(Base, "who has not joined in time is ended, whatever it sends, and costs a stream nothing") {
+TEST_CASE_METHOD(
+    Base, "who has not joined in time is ended, whatever it sends, and costs a stream nothing") {
     Acceptor acceptor(context(), 40, 20);
     std::string why;
     REQUIRE(acceptor.open(*address_of("127.0.0.1:0"), why));
@@ -92,16 +114,21 @@
     proxy.send_all(kHello);
     const StreamId stream = next<core_event::StreamOpened>().stream;
     const auto begun = std::chrono::steady_clock::now();
-    const Socket silent = dial(acceptor.address()), asks = dial(acceptor.address()), trickles = dial(acceptor.address());
+    const Socket silent = dial(acceptor.address()), asks = dial(acceptor.address()),
+                 trickles = dial(acceptor.address());
     while (std::chrono::steady_clock::now() < begun + Connection::kJoinDue - 200ms) {
         asks.send_all("probe\r\n"), trickles.send_all("h");
         std::this_thread::sleep_for(50ms);
     }
-    for (const Socket* one : {&silent, &asks, &trickles}) CHECK(ended(*one));
+    for (const Socket* one : {&silent, &asks, &trickles}) {
+        CHECK(ended(*one));
+    }
     CHECK(std::chrono::steady_clock::now() < begun + 2 * Connection::kJoinDue);
     // A flood of silent ones: the oldest go, each newcomer is heard, the stream stands.
     std::vector<Socket> flood;
-    for (int i = 0; i < 60; ++i) flood.push_back(dial(acceptor.address()));
+    for (int i = 0; i < 60; ++i) {
+        flood.push_back(dial(acceptor.address()));
+    }
     const Socket late = dial(acceptor.address());
     late.send_all("hello sidecar=5 az=a share=2 standing=1\r\n");
     CHECK(next<core_event::StreamOpened>().joined.proxy == ProxyId{5});
@@ -110,13 +137,16 @@
     CHECK(read_some(proxy, 18).size() == 18);
 }
 
-TEST_CASE_METHOD(Pair, "who does not read makes nobody wait, and in the end can't be kept up with") {
+TEST_CASE_METHOD(Pair,
+                 "who does not read makes nobody wait, and in the end can't be kept up with") {
     peer.send_all(kHello);
     next<core_event::StreamOpened>();
     const std::string much(64 * 1024, 'x');
     Connection::Posted posted = Connection::Posted::yes;
     int number = 0;
-    for (; posted == Connection::Posted::yes && number < 1'000; ++number) posted = connection->post(much);
+    for (; posted == Connection::Posted::yes && number < 1'000; ++number) {
+        posted = connection->post(much);
+    }
     CHECK(posted == Connection::Posted::not_read);
     CHECK(number >= 2);
     connection->close();
@@ -150,13 +180,17 @@
     // A reset, not an end.
     const linger at_once{1, 0};
     ::setsockopt(again.fd(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
-    { const Socket gone = std::move(const_cast<Socket&>(again)); }
+    {
+        const Socket gone = std::move(const_cast<Socket&>(again));
+    }
     CHECK(next<core_event::StreamClosed>().reason == "reset");
     acceptor.shut();
     CHECK(ended(collector));
 }
 
-TEST_CASE_METHOD(Base, "a thousand proxies that dial at once all join, among unidentified peers that say nothing") {
+TEST_CASE_METHOD(
+    Base,
+    "a thousand proxies that dial at once all join, among unidentified peers that say nothing") {
     constexpr int kProxies = 1'000;
     rlimit files{};
     REQUIRE(::getrlimit(RLIMIT_NOFILE, &files) == 0);
@@ -165,47 +199,60 @@
     REQUIRE(files.rlim_cur > 2 * kProxies + 500);
     const protocol::Bounds wide{kProxies};
     const Limits limits = Limits::of(192, 2'944, kProxies, 3);
-    Acceptor acceptor(ConnectionContext{names, wide, pool, lines, writing, inbox, quiet.log}, limits.connections, limits.unidentified);
+    Acceptor acceptor(ConnectionContext{names, wide, pool, lines, writing, inbox, quiet.log},
+                      limits.connections, limits.unidentified);
     std::string why;
     REQUIRE(acceptor.open(*address_of("127.0.0.1:0"), why));
     std::vector<Socket> proxies, silent;
     for (int i = 0; i < kProxies; ++i) {
         proxies.push_back(dial(acceptor.address()));
-        proxies.back().send_all("hello sidecar=" + std::to_string(i) + " az=a share=2 standing=1\r\n");
-        if (i % 5 == 0) silent.push_back(dial(acceptor.address()));
+        proxies.back().send_all("hello sidecar=" + std::to_string(i) +
+                                " az=a share=2 standing=1\r\n");
+        if (i % 5 == 0) {
+            silent.push_back(dial(acceptor.address()));
+        }
     }
     std::set<StreamId> streams;
-    for (int i = 0; i < kProxies; ++i) streams.insert(next<core_event::StreamOpened>().stream);
+    for (int i = 0; i < kProxies; ++i) {
+        streams.insert(next<core_event::StreamOpened>().stream);
+    }
     CHECK(streams.size() == kProxies);
     // No thread for each: processes are given 512 of them on the fleet's days.
     const std::filesystem::directory_iterator threads("/proc/self/task");
     CHECK(std::distance(begin(threads), end(threads)) < 16);
-    for (const StreamId stream : streams) acceptor.write(stream, "push\r\n");
-    for (const Socket& proxy : proxies) CHECK(read_some(proxy, 6) == "push\r\n");
+    for (const StreamId stream : streams) {
+        acceptor.write(stream, "push\r\n");
+    }
+    for (const Socket& proxy : proxies) {
+        CHECK(read_some(proxy, 6) == "push\r\n");
+    }
     acceptor.shut();
 }
 
 TEST_CASE_METHOD(Base, "the watch goes on through every kind of break, from the version it holds") {
-    Discovery discovery({"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "nonsense\r\n\r\n",
-                         kWatch + chunk(version(42)) + chunk("\n"),              // then silence
-                         kWatch + chunk(version(43)) + "zz\r\n",                 // a broken chunk
-                         kWatch + chunk(version(44)) + chunk("{\"version\":4"),  // an object cut off
-                         kWatch + chunk("{oh}\n"),
-                         kWatch + chunk(version(45).substr(0, 9)) + chunk(version(45).substr(9)) + "!",
-                         kWatch + chunk(version(46))});
+    Discovery discovery(
+        {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "nonsense\r\n\r\n",
+         kWatch + chunk(version(42)) + chunk("\n"),              // then silence
+         kWatch + chunk(version(43)) + "zz\r\n",                 // a broken chunk
+         kWatch + chunk(version(44)) + chunk("{\"version\":4"),  // an object cut off
+         kWatch + chunk("{oh}\n"),
+         kWatch + chunk(version(45).substr(0, 9)) + chunk(version(45).substr(9)) + "!",
+         kWatch + chunk(version(46))});
     DiscoveryWatch::Patience patience;
     patience.silence = 150ms, patience.first_wait = 1ms, patience.longest_wait = 2ms;
-    DiscoveryWatch watch("d", discovery.listener.local(), names, 41, kListBytes, pool, inbox, quiet.log, patience);
+    DiscoveryWatch watch("d", discovery.listener.local(), names, 41, kListBytes, pool, inbox,
+                         quiet.log, patience);
     discovery.begin();
     REQUIRE(watch.start());
     std::vector<std::int64_t> versions;
     int lost = 0;
     while (versions.empty() || versions.back() < 46) {
         for (auto& item : inbox.wait(clock_now()() + Duration{100'000})) {
-            if (const auto* told = std::get_if<core_event::EndpointListReceived>(&item.arrival))
+            if (const auto* told = std::get_if<core_event::EndpointListReceived>(&item.arrival)) {
                 versions.push_back(told->message.version);
-            else
+            } else {
                 ++lost;
+            }
         }
     }
     watch.stop();
@@ -217,11 +264,14 @@
     CHECK(discovery.asked[7] == "GET /catalog/members?stream=1&index=45 HTTP/1.1");
 }
 
-TEST_CASE_METHOD(Base, "told another discovery, the watch keeps the old one until the new one has spoken") {
-    Discovery old({kWatch + chunk(version(42))}), next_one({kWatch, kWatch + chunk(version(43))}), third({kWatch + chunk("\n")});
+TEST_CASE_METHOD(
+    Base, "told another discovery, the watch keeps the old one until the new one has spoken") {
+    Discovery old({kWatch + chunk(version(42))}), next_one({kWatch, kWatch + chunk(version(43))}),
+        third({kWatch + chunk("\n")});
     DiscoveryWatch::Patience patience;
     patience.silence = 300ms;
-    DiscoveryWatch watch("old", old.listener.local(), names, 41, kListBytes, pool, inbox, quiet.log, patience);
+    DiscoveryWatch watch("old", old.listener.local(), names, 41, kListBytes, pool, inbox, quiet.log,
+                         patience);
     old.begin(), next_one.begin(), third.begin();
     REQUIRE(watch.start());
     CHECK(next<core_event::EndpointListReceived>().message.version == 42);
@@ -232,8 +282,11 @@
     // It falls silent as well, and the list is said to be without a watch; then the new one speaks.
     std::int64_t last = 0;
     while (last != 43) {
-        for (auto& item : inbox.wait(clock_now()() + Duration{100'000}))
-            if (const auto* told = std::get_if<core_event::EndpointListReceived>(&item.arrival)) last = told->message.version;
+        for (auto& item : inbox.wait(clock_now()() + Duration{100'000})) {
+            if (const auto* told = std::get_if<core_event::EndpointListReceived>(&item.arrival)) {
+                last = told->message.version;
+            }
+        }
     }
     CHECK(ended(old.connection(0)));
     // Two at once: the first of them is left before it has spoken.
@@ -246,21 +299,24 @@
 
 TEST_CASE_METHOD(Base, "the whole list is fetched when it is asked for") {
     Discovery discovery({kWatch + chunk(version(42)),
-                         "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(test::kList.size()) +
-                             "\r\n\r\n" + test::kList,
+                         "HTTP/1.1 200 OK\r\nContent-Length: " +
+                             std::to_string(test::kList.size()) + "\r\n\r\n" + test::kList,
                          kWatch});
-    DiscoveryWatch watch("d", discovery.listener.local(), names, 41, kListBytes, pool, inbox, quiet.log);
+    DiscoveryWatch watch("d", discovery.listener.local(), names, 41, kListBytes, pool, inbox,
+                         quiet.log);
     discovery.begin();
     REQUIRE(watch.start());
     CHECK(next<core_event::EndpointListReceived>().message.version == 42);
     watch.fetch();
-    CHECK(next<core_event::EndpointListReceived>().message.list.form == event::EndpointListUpdate::Form::complete);
+    CHECK(next<core_event::EndpointListReceived>().message.list.form ==
+          event::EndpointListUpdate::Form::complete);
     watch.stop();
     CHECK(discovery.all_asked().at(1) == "GET /catalog/members HTTP/1.1");
 }
 
 TEST_CASE_METHOD(Base, "probes tell who answers") {
-    Discovery server({"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 503 Busy\r\n\r\n!", "!"});
+    Discovery server(
+        {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 503 Busy\r\n\r\n!", "!"});
     server.begin();
     Prober prober(pool, inbox, clock_now());
     for (const bool ok : {true, false, false}) {
@@ -277,14 +333,18 @@
     Discovery discovery({kWatch + chunk(version(41))});
     discovery.begin();
     StartConfiguration start;
-    start.name = "n1", start.listen = "127.0.0.1:0", start.discovery = text_of(discovery.listener.local());
-    start.sockets = 1024, start.memory_mb = 192, start.bounds = {8}, start.settings = test::terms(), start.names = test::names();
+    start.name = "n1", start.listen = "127.0.0.1:0",
+    start.discovery = text_of(discovery.listener.local());
+    start.sockets = 1024, start.memory_mb = 192, start.bounds = {8}, start.settings = test::terms(),
+    start.names = test::names();
     start.known = *protocol::EndpointListReader(start.names).read(test::kList);
     PlannerProcess program(start, clock_now(), quiet.log);
     CHECK(program.stage() == Stage::made);
     int code = -1;
     std::thread runs([&] { code = program.run(); });
-    while (program.stage() != Stage::serving && program.stage() != Stage::failed) std::this_thread::yield();
+    while (program.stage() != Stage::serving && program.stage() != Stage::failed) {
+        std::this_thread::yield();
+    }
     REQUIRE(program.stage() == Stage::serving);
     const Socket proxy = dial(program.address());
     proxy.send_all("probe\r\n" + kHello);
@@ -292,8 +352,11 @@
     CHECK(read_some(proxy, 40).find("push routes=lookup+order full=1") == 0);
     // A reload that can't be read leaves all as it was; a good one goes on at the new address.
     static const std::string file = "/tmp/micaroad-test-" + std::to_string(::getpid()) + ".json";
-    const auto path = [](const char* name) { return std::string_view(name) == "LB_CONFIG" ? file.c_str() : nullptr; };
-    for (const std::string& text : {std::string("{\"discovery\":"), std::string(), std::string("{\"discovery\":7}")}) {
+    const auto path = [](const char* name) {
+        return std::string_view(name) == "LB_CONFIG" ? file.c_str() : nullptr;
+    };
+    for (const std::string& text :
+         {std::string("{\"discovery\":"), std::string(), std::string("{\"discovery\":7}")}) {
         std::ofstream(file) << text;
         program.reload(path);
     }
@@ -325,7 +388,8 @@
     CHECK_THROWS_WITH(PlannerProcess(start, clock_now(), quiet.log), Catch::Contains("listen"));
 }
 
-TEST_CASE_METHOD(Base, "one that does not read loses its stream before it costs another its orders") {
+TEST_CASE_METHOD(Base,
+                 "one that does not read loses its stream before it costs another its orders") {
     Acceptor acceptor(context(), 4, 4);
     std::string why;
     REQUIRE(acceptor.open(*address_of("127.0.0.1:0"), why));
@@ -334,10 +398,12 @@
     const StreamId stuck = next<core_event::StreamOpened>().stream;
     reader.send_all("hello sidecar=4 az=a share=2 standing=1\r\n");
     const StreamId read = next<core_event::StreamOpened>().stream;
-    // More than the kernel takes for it and the buffers hold; then what is ordered to the other goes out
-    // whole.
+    // More than the kernel takes for it and the buffers hold; then what is ordered to the other
+    // goes out whole.
     const std::string much(100 * 1024, 'x'), order(800 * 1024, 'y');
-    for (int i = 0; i < 20; ++i) acceptor.write(stuck, much);
+    for (int i = 0; i < 20; ++i) {
+        acceptor.write(stuck, much);
+    }
     acceptor.write(read, order);
     CHECK(read_some(reader, order.size()) == order);
     CHECK(next<core_event::StreamClosed>().stream == stuck);
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -1,5 +1,5 @@
-// The operator's file: what is read, and that every fault is named at once with its place, value and what is
-// allowed.
+// The operator's file: what is read, and that every fault is named at once with its place, value
+// and what is allowed.
 #include <catch2/catch.hpp>
 #include <random>
 
@@ -44,28 +44,35 @@
 
 std::vector<std::string> faults_of(const std::string& text) {
     std::vector<std::string> faults;
-    for (const Fault& fault : read_text(text, "f").faults) faults.push_back(fault.text());
+    for (const Fault& fault : read_text(text, "f").faults) {
+        faults.push_back(fault.text());
+    }
     return faults;
 }
 std::string pool_with(const std::string& words) {
     return "pool { name: \"p\" server { name: \"a\" address: \"10.0.0.1:80\" }\n" + words + "\n}\n";
 }
 std::string server_with(const std::string& words) {
-    return "pool { name: \"p\"\n server { name: \"a\" address: \"10.0.0.1:80\"\n" + words + "\n}\n}\n";
+    return "pool { name: \"p\"\n server { name: \"a\" address: \"10.0.0.1:80\"\n" + words +
+           "\n}\n}\n";
 }
 
 }  // namespace
 
 TEST_CASE("a sound file is read, and written so that it reads back alike") {
     const Reading reading = read_text(kSound, "f");
-    for (const Fault& fault : reading.faults) UNSCOPED_INFO(fault.text());
+    for (const Fault& fault : reading.faults) {
+        UNSCOPED_INFO(fault.text());
+    }
     REQUIRE(reading.faults.empty());
     const routing::Plan& plan = reading.plan;
     REQUIRE((plan.listeners.size() == 1 && plan.pools.size() == 2));
     CHECK((plan.listeners[0].routes.size() == 4 && plan.listeners[0].connections_most == 2'000));
     const routing::Pool& web = plan.pools[0];
-    CHECK((web.queue_patience == Duration{15'000} && web.connect_within == Duration{50'000} && web.all_backups));
-    CHECK((web.servers[0].slow_start == Duration{600'000} && web.servers[1].state == routing::State::draining));
+    CHECK((web.queue_patience == Duration{15'000} && web.connect_within == Duration{50'000} &&
+           web.all_backups));
+    CHECK((web.servers[0].slow_start == Duration{600'000} &&
+           web.servers[1].state == routing::State::draining));
     CHECK((web.health.http_path == "/ping" && web.health.status_most == 299 &&
            web.health.status_least == 200 && web.health.rise == 2));
     CHECK(std::get<routing::HostIs>(plan.listeners[0].routes[1].when.is).text.values.front() ==
@@ -78,7 +85,8 @@
 
 TEST_CASE("the schema's defaults are those of the plan's types") {
     const Reading reading = read_text(
-        "pool { name: \"p\" health {} server { name: \"a\" address: \"10.0.0.1:80\" } further_tries { most: "
+        "pool { name: \"p\" health {} server { name: \"a\" address: \"10.0.0.1:80\" } "
+        "further_tries { most: "
         "1 } }",
         "f");
     REQUIRE(reading.faults.empty());
@@ -113,13 +121,17 @@
         const bool found = std::any_of(faults.begin(), faults.end(), [&](const auto& f) {
             return f.starts_with(start) && f.find(with) != std::string::npos;
         });
-        if (!found)
-            for (const auto& fault : faults) UNSCOPED_INFO(fault);
+        if (!found) {
+            for (const auto& fault : faults) {
+                UNSCOPED_INFO(fault);
+            }
+        }
         return found;
     };
     CHECK(has("f:2:3: 'a b': no name", "letters, digits"));
     CHECK(has("f:3:3: 'nowhere': no address", "host:port"));
-    CHECK(has("f:4:", "'adress': no field of Listener (perhaps 'address'); allowed: name, address"));
+    CHECK(
+        has("f:4:", "'adress': no field of Listener (perhaps 'address'); allowed: name, address"));
     CHECK(has("f:5:21: 'wev': no such pool (perhaps 'web')", ""));
     CHECK(has("f:6:11: 'r': a second route", ""));
     CHECK(has("f:6:11: 'r': the route says nothing", "turn_away"));
@@ -128,7 +140,8 @@
     CHECK(has("f:12:3: '99999999999999999999s': no duration", ""));
     CHECK(has("f:13:22: 'web.internal:80': no address", "look-up"));
     CHECK(has("f:13:49: '300': out of range; allowed: 0 to 256", ""));
-    CHECK(has("f:13:", "'SLEEPY': no value of state; allowed: READY, DRAINING, DISABLED, MAINTENANCE"));
+    CHECK(has("f:13:",
+              "'SLEEPY': no value of state; allowed: READY, DRAINING, DISABLED, MAINTENANCE"));
     CHECK(has("f:14:12: 'a': a second server", ""));
     CHECK(has("f:14:45: 'web/zz': no such server", "pool/server"));
     CHECK(has("f:15:3: 'Server': it lacks 'address'", ""));
@@ -160,13 +173,14 @@
                                  "name: 3",
                                  "server { name: \"b\" address: \":80\" }",
                                  "server { name: \"\" address: \"10.0.0.1:80\" }"};
-    for (const char* words : {"", "path: \"\"", "path: \"x\" segment_mb: 0", "path: \"x\" all_mb: 15",
-                              "path: \"x\" keep: \"0s\"", "path: \"x\" processor_percent: 101"}) {
+    for (const char* words :
+         {"", "path: \"\"", "path: \"x\" segment_mb: 0", "path: \"x\" all_mb: 15",
+          "path: \"x\" keep: \"0s\"", "path: \"x\" processor_percent: 101"}) {
         CAPTURE(words);
         CHECK(faults_of(std::string("recording { ") + words + " }").size() == 1);
     }
-    for (const char* words : {"proxies: 0", "listen: \"x\"", "drain_grace: \"100ms\"", "memory_mb: 1",
-                              "name: \"\"", "lines_per_second: 0"}) {
+    for (const char* words : {"proxies: 0", "listen: \"x\"", "drain_grace: \"100ms\"",
+                              "memory_mb: 1", "name: \"\"", "lines_per_second: 0"}) {
         CAPTURE(words);
         CHECK(faults_of(std::string("planner { ") + words + " }").size() == 1);
     }
@@ -174,15 +188,17 @@
         CAPTURE(words);
         CHECK(faults_of(pool_with(words)).size() == 1);
     }
-    const char* const servers[] = {"weight: 257",        "weight: -1",         "connections_most: 0",
-                                   "queue_most: 0",      "slow_start: \"0s\"", "health_of: \"p/a\"",
-                                   "health_of: \"p/b\"", "tier: THIRD",        "state: \"READY\""};
+    const char* const servers[] = {
+        "weight: 257",        "weight: -1",         "connections_most: 0",
+        "queue_most: 0",      "slow_start: \"0s\"", "health_of: \"p/a\"",
+        "health_of: \"p/b\"", "tier: THIRD",        "state: \"READY\""};
     for (const char* words : servers) {
         CAPTURE(words);
         CHECK(faults_of(server_with(words)).size() == 1);
     }
     const auto route = [](const std::string& when) {
-        return "pool { name: \"p\" server { name: \"a\" address: \"10.0.0.1:80\" } }\nlistener { name: \"l\" "
+        return "pool { name: \"p\" server { name: \"a\" address: \"10.0.0.1:80\" } }\nlistener { "
+               "name: \"l\" "
                "route { name: \"r\" pool: \"p\" when { " +
                when + " } } }";
     };
@@ -203,7 +219,9 @@
         CHECK(faults_of(route(when)).size() == 1);
     }
     std::string deep = "path { exact: \"/\" }";
-    for (int i = 0; i < 200; ++i) deep = "not { " + deep + " }";
+    for (int i = 0; i < 200; ++i) {
+        deep = "not { " + deep + " }";
+    }
     CHECK(!faults_of(route(deep)).empty());
 }
 
@@ -211,11 +229,15 @@
     std::mt19937_64 chance(3);
     for (std::size_t length = 0; length < kSound.size(); length += 3) {
         const Reading reading = read_text(kSound.substr(0, length), "f");
-        for (const Fault& fault : reading.faults) CHECK(!fault.text().empty());
+        for (const Fault& fault : reading.faults) {
+            CHECK(!fault.text().empty());
+        }
     }
     for (int i = 0; i < 400; ++i) {
         std::string text = kSound;
-        for (int k = 0; k < 4; ++k) text[chance() % text.size()] = static_cast<char>(chance() % 256);
+        for (int k = 0; k < 4; ++k) {
+            text[chance() % text.size()] = static_cast<char>(chance() % 256);
+        }
         (void)read_text(text, "f");
     }
     CHECK(read_file("/nowhere/x").faults.at(0).text() == "/nowhere/x: can't be opened");
@@ -226,10 +248,13 @@
     CHECK((duration_of("0s") == Duration{} && duration_of("1500ms") == Duration{15'000} &&
            duration_of("24d") == Duration{20'736'000'000}));
     for (const char* odd : {"", "s", "1", "1.5s", "-1s", "1 s", "25d", "9223372036854775807s",
-                            "9223372036854775807us", "99999999999999999999us", "1sec"})
+                            "9223372036854775807us", "99999999999999999999us", "1sec"}) {
         CHECK(!duration_of(odd));
-    for (const std::int64_t tenths : {0, 1, 7, 10, 25, 10'000, 600'000, 36'000'000, 864'000'000, 123'457})
+    }
+    for (const std::int64_t tenths :
+         {0, 1, 7, 10, 25, 10'000, 600'000, 36'000'000, 864'000'000, 123'457}) {
         CHECK(duration_of(text_of(Duration{tenths})) == Duration{tenths});
+    }
     CHECK(nearest("adress", {"name", "address", "route"}) == "address");
     CHECK(nearest("zzz", {"name", "address"}).empty());
 }
--- a/tests/original.cpp
+++ b/tests/original.cpp
@@ -25,50 +25,61 @@
 std::vector<std::string> words_of(const std::string& line) {
     std::istringstream in(line.substr(0, line.find('#')));
     std::vector<std::string> words;
-    for (std::string word; in >> word;) words.push_back(word);
+    for (std::string word; in >> word;) {
+        words.push_back(word);
+    }
     return words;
 }
 
 void read_words(const std::vector<std::string>& words, std::size_t from, Original::Node& node) {
     for (std::size_t i = from; i < words.size(); ++i) {
         const auto next = [&] { return i + 1 < words.size() ? words[++i] : std::string("0"); };
-        if (words[i] == "weight")
+        if (words[i] == "weight") {
             node.weight = static_cast<int>(std::strtol(next().c_str(), nullptr, 10));
-        else if (words[i] == "backup")
+        } else if (words[i] == "backup") {
             node.backup = true;
-        else if (words[i] == "disabled")
+        } else if (words[i] == "disabled") {
             node.disabled = true;
-        else if (words[i] == "maxconn")
+        } else if (words[i] == "maxconn") {
             node.max_conn = static_cast<int>(std::strtol(next().c_str(), nullptr, 10));
-        else if (words[i] == "slowstart")
+        } else if (words[i] == "slowstart") {
             node.slow_start = seconds_of(next());
-        else if (words[i] == "inter")
+        } else if (words[i] == "inter") {
             node.check_every = seconds_of(next());
+        }
     }
 }
 
-// Of a server that has come up: "the weight grows linearly from 1 to 100%", renewed at every check, for kinds
-// that can change weights while they run.
+// Of a server that has come up: "the weight grows linearly from 1 to 100%", renewed at every check,
+// for kinds that can change weights while they run.
 double weight_now(const Original::Pool& pool, const Original::Node& node) {
     const bool moves =
         pool.balance == "roundrobin" || pool.balance == "leastconn" || pool.balance == "random";
-    if (!moves || node.slow_start <= 0 || node.up_for >= node.slow_start) return node.weight;
+    if (!moves || node.slow_start <= 0 || node.up_for >= node.slow_start) {
+        return node.weight;
+    }
     const double seen = std::floor(node.up_for / node.check_every) * node.check_every;
     return node.weight * std::max(0.01, seen / node.slow_start);
 }
 
-// Who takes part: active servers that are up and weigh anything; without any, the backups, of which the first
-// alone unless allbackups is set.
+// Who takes part: active servers that are up and weigh anything; without any, the backups, of which
+// the first alone unless allbackups is set.
 std::vector<Original::Node*> in_use(Original::Pool& pool) {
     std::vector<Original::Node*> nodes;
     for (const bool backup : {false, true}) {
         for (auto& node : pool.nodes) {
-            if (node.backup != backup || node.down || node.disabled || pool.disabled || node.weight == 0)
+            if (node.backup != backup || node.down || node.disabled || pool.disabled ||
+                node.weight == 0) {
                 continue;
+            }
             nodes.push_back(&node);
-            if (backup && !pool.all_backups) break;
+            if (backup && !pool.all_backups) {
+                break;
+            }
+        }
+        if (!nodes.empty()) {
+            break;
         }
-        if (!nodes.empty()) break;
     }
     return nodes;
 }
@@ -76,7 +87,9 @@
 // FNV-1a, then each server as often in a row as it weighs: "map-based" hashing by the manual.
 std::uint64_t hash_of(const std::string& text) {
     std::uint64_t hash = 14'695'981'039'346'656'037ULL;
-    for (const unsigned char c : text) hash = (hash ^ c) * 1'099'511'628'211ULL;
+    for (const unsigned char c : text) {
+        hash = (hash ^ c) * 1'099'511'628'211ULL;
+    }
     hash ^= hash >> 33, hash *= 0xff51afd7ed558ccdULL, hash ^= hash >> 33;
     return hash;
 }
@@ -94,12 +107,16 @@
     std::istringstream in(text);
     for (std::string line; std::getline(in, line);) {
         const auto words = words_of(line);
-        if (words.empty()) continue;
+        if (words.empty()) {
+            continue;
+        }
         const auto from = std::find(words.begin(), words.end(), "from");
         if (words[0] == "defaults") {
             section = words.size() > 1 && words[1] != "from" ? words[1] : "";
             standard = {}, all_backups = false, pool = nullptr;
-            if (from != words.end()) std::tie(all_backups, standard) = defaults[*(from + 1)];
+            if (from != words.end()) {
+                std::tie(all_backups, standard) = defaults[*(from + 1)];
+            }
             last = section, defaults[last] = {all_backups, standard};
         } else if (words[0] == "backend" || words[0] == "listen") {
             std::tie(all_backups, standard) = defaults[from != words.end() ? *(from + 1) : last];
@@ -110,12 +127,16 @@
             pool = nullptr;
         } else if (words[0] == "default-server") {
             read_words(words, 1, standard);
-            if (pool == nullptr) defaults[last].second = standard;
+            if (pool == nullptr) {
+                defaults[last].second = standard;
+            }
         } else if (words[0] == "option" && words.size() > 1 && words[1] == "allbackups") {
             pool ? (void)(pool->all_backups = true) : (void)(defaults[last].first = true);
         } else if (pool != nullptr && words[0] == "balance") {
             pool->balance = words[1].substr(0, words[1].find('('));
-            if (words[1] == "hash") pool->balance = "source";
+            if (words[1] == "hash") {
+                pool->balance = "source";
+            }
         } else if (pool != nullptr && words[0] == "disabled") {
             pool->disabled = true;
         } else if (pool != nullptr && words[0] == "server" && words.size() > 2) {
@@ -138,17 +159,25 @@
     }
     std::vector<double> weights;
     double sum = 0;
-    for (const Node* node : nodes) weights.push_back(weight_now(pool, *node)), sum += weights.back();
+    for (const Node* node : nodes) {
+        weights.push_back(weight_now(pool, *node)), sum += weights.back();
+    }
     const auto by_weight = [&](double at) {  // at: within 0..1
         at *= sum;
-        for (std::size_t i = 0; i + 1 < nodes.size(); ++i)
-            if ((at -= weights[i]) < 0) return nodes[i];
+        for (std::size_t i = 0; i + 1 < nodes.size(); ++i) {
+            if ((at -= weights[i]) < 0) {
+                return nodes[i];
+            }
+        }
         return nodes.back();
     };
     const auto round = [&] {  // the one furthest behind its part goes next
-        for (std::size_t i = 0; i < nodes.size(); ++i) nodes[i]->turn += weights[i];
-        Node* next = *std::max_element(nodes.begin(), nodes.end(),
-                                       [](const Node* a, const Node* b) { return a->turn < b->turn; });
+        for (std::size_t i = 0; i < nodes.size(); ++i) {
+            nodes[i]->turn += weights[i];
+        }
+        Node* next =
+            *std::max_element(nodes.begin(), nodes.end(),
+                              [](const Node* a, const Node* b) { return a->turn < b->turn; });
         next->turn -= sum;
         return next;
     };
@@ -159,13 +188,23 @@
     double now = 0;
     for (const Client& client : clients) {
         now += 1;
-        while (!ends.empty() && ends.top().first <= now) --ends.top().second->running, ends.pop();
+        while (!ends.empty() && ends.top().first <= now) {
+            --ends.top().second->running, ends.pop();
+        }
         Node* node = nullptr;
         std::string key;
-        if (pool.balance == "source") key = client.source;
-        if (pool.balance == "uri") key = client.path;
-        if (pool.balance == "url_param") key = client.query;
-        if (pool.balance == "hdr") key = client.header;
+        if (pool.balance == "source") {
+            key = client.source;
+        }
+        if (pool.balance == "uri") {
+            key = client.path;
+        }
+        if (pool.balance == "url_param") {
+            key = client.query;
+        }
+        if (pool.balance == "hdr") {
+            key = client.header;
+        }
         if (!key.empty()) {
             node = by_weight(static_cast<double>(hash_of(key) >> 11) / 9007199254740992.0);
         } else if (pool.balance == "random") {
@@ -173,12 +212,18 @@
         } else if (pool.balance == "leastconn") {
             const auto load = [&](std::size_t i) { return (nodes[i]->running + 1) / weights[i]; };
             std::size_t best = chance() % nodes.size();
-            for (std::size_t i = 0; i < nodes.size(); ++i)
-                if (load(i) < load(best)) best = i;
+            for (std::size_t i = 0; i < nodes.size(); ++i) {
+                if (load(i) < load(best)) {
+                    best = i;
+                }
+            }
             node = nodes[best];
         } else if (pool.balance == "first") {
-            for (Node* at : nodes)
-                if (node == nullptr && (at->max_conn == 0 || at->running < at->max_conn)) node = at;
+            for (Node* at : nodes) {
+                if (node == nullptr && (at->max_conn == 0 || at->running < at->max_conn)) {
+                    node = at;
+                }
+            }
         } else {
             node = round();
         }
--- a/tests/play.cpp
+++ b/tests/play.cpp
@@ -1,4 +1,5 @@
-// Plays every file in tests/scenarios against the module. tests/scenarios/README.md tells the notation.
+// Plays every file in tests/scenarios against the module. tests/scenarios/README.md tells the
+// notation.
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
 
@@ -12,7 +13,9 @@
     const auto files = test::scenario_files();
     REQUIRE(!files.empty());
     for (const auto& file : files) {
-        DYNAMIC_SECTION(file.stem().string()) { CHECK(test::play<Planner>(file) == test::play<Planner>(file)); }
+        DYNAMIC_SECTION(file.stem().string()) {
+            CHECK(test::play<Planner>(file) == test::play<Planner>(file));
+        }
     }
 }
 
@@ -26,7 +29,8 @@
         RealVector up = rate, down = rate;
         up[i] += h;
         down[i] -= h;
-        const double rise = predict_queues(up, capacity, tail).cost - predict_queues(down, capacity, tail).cost;
+        const double rise =
+            predict_queues(up, capacity, tail).cost - predict_queues(down, capacity, tail).cost;
         CHECK(here.gradient[i] == Approx(rise / (2 * h)).epsilon(1e-3));
     }
 }
--- a/tests/processes_test.cpp
+++ b/tests/processes_test.cpp
@@ -1,4 +1,5 @@
-// The daemon itself, many at a time: real processes, each with its start file and a discovery it shares with the others.
+// The daemon itself, many at a time: real processes, each with its start file and a discovery it
+// shares with the others.
 #include <signal.h>
 #include <spawn.h>
 #include <sys/wait.h>
@@ -17,10 +18,12 @@
 
 constexpr int kPlanners = 20, kProxiesOfEach = 2, kServers = 6;
 
-// A port that was free a moment ago, on a loopback address of the process's own, so that none takes another's.
+// A port that was free a moment ago, on a loopback address of the process's own, so that none takes
+// another's.
 Address free_address(int number) {
     std::string why;
-    const Socket socket = Socket::listening(*address_of("127.0.1." + std::to_string(number + 1) + ":0"), why);
+    const Socket socket =
+        Socket::listening(*address_of("127.0.1." + std::to_string(number + 1) + ":0"), why);
     REQUIRE(socket.open());
     return socket.local();
 }
@@ -31,26 +34,31 @@
     std::string text = "{\"version\":" + std::to_string(version) + ",\"full\":true,\"servers\":[";
     for (int n = 0; n < kServers; ++n) {
         text += n > 0 ? "," : "";
-        text += "{\"id\":\"s-" + std::to_string(n) + "\",\"addr\":\"127.0.0.1:1\",\"zone\":\"a\",\"kind\":\"m1\",\"cell\":0,\"state\":\"" +
-                (n + 1 < kServers ? state_of_all_but_one : "up") +
-                "\",\"weight\":1.0,\"started_ms\":" + std::to_string(n < cold ? started : 0) + "}";
+        text +=
+            "{\"id\":\"s-" + std::to_string(n) +
+            "\",\"addr\":\"127.0.0.1:1\",\"zone\":\"a\",\"kind\":\"m1\",\"cell\":0,\"state\":\"" +
+            (n + 1 < kServers ? state_of_all_but_one : "up") +
+            "\",\"weight\":1.0,\"started_ms\":" + std::to_string(n < cold ? started : 0) + "}";
     }
     return text + "]}";
 }
 
 class Process {
  public:
-    Process(const std::filesystem::path& folder, int number, const std::string& discovery, const std::string& known)
+    Process(const std::filesystem::path& folder, int number, const std::string& discovery,
+            const std::string& known)
         : address(free_address(number)) {
         const std::string file = folder / ("start-" + std::to_string(number) + ".json");
-        std::ofstream(file) << R"({"name":"n)" << number << R"(","listen":")" << text_of(address) << R"(","discovery":")" << discovery
-                            << R"(","seed":")" << number + 1 << R"(","limits":{"sockets":256,"memory_mb":32},"known":)" << known
-                            << R"(,"settings":{"classes":[{"name":"lookup","aim_us":1500000,"credit":3.0}],"zones":["a"],)"
-                            << R"("kinds":["m1"],"family_info":{"admission":"share","base_mode":1,"channel_rate":1600.0,)"
-                            << R"("data_plane_size":)" << kPlanners * kProxiesOfEach
-                            << R"(,"head":3.0,"queue_cap":1600.0,"report_every_us":500000,"stays_local":[false],"transit_max_us":442500},)"
-                            << R"("rules":{"fall_multiple":3.0,"fall_us":1500000,"start_capacity":0.17,)"
-                            << R"("stop_sending_within_us":2000000,"warm_after_us":18000000}}})";
+        std::ofstream(file)
+            << R"({"name":"n)" << number << R"(","listen":")" << text_of(address)
+            << R"(","discovery":")" << discovery << R"(","seed":")" << number + 1
+            << R"(","limits":{"sockets":256,"memory_mb":32},"known":)" << known
+            << R"(,"settings":{"classes":[{"name":"lookup","aim_us":1500000,"credit":3.0}],"zones":["a"],)"
+            << R"("kinds":["m1"],"family_info":{"admission":"share","base_mode":1,"channel_rate":1600.0,)"
+            << R"("data_plane_size":)" << kPlanners * kProxiesOfEach
+            << R"(,"head":3.0,"queue_cap":1600.0,"report_every_us":500000,"stays_local":[false],"transit_max_us":442500},)"
+            << R"("rules":{"fall_multiple":3.0,"fall_us":1500000,"start_capacity":0.17,)"
+            << R"("stop_sending_within_us":2000000,"warm_after_us":18000000}}})";
         const std::string variable = "LB_CONFIG=" + file;
         char* environment[] = {const_cast<char*>(variable.c_str()), nullptr};
         char program[] = MICAROAD_PROGRAM;
@@ -62,7 +70,9 @@
         ::posix_spawn_file_actions_destroy(&actions);
     }
     ~Process() {
-        if (pid_ > 0) ::kill(pid_, SIGKILL), exit_code();
+        if (pid_ > 0) {
+            ::kill(pid_, SIGKILL), exit_code();
+        }
     }
     bool serves() const {
         const Socket socket = Socket::unconnected(address);
@@ -82,33 +92,51 @@
 
 }  // namespace
 
-TEST_CASE("twenty processes of 32 MB each answer and serve their proxies, however many servers are cold") {
+TEST_CASE(
+    "twenty processes of 32 MB each answer and serve their proxies, however many servers are "
+    "cold") {
     const int cold = GENERATE(2, kServers);
     char name[] = "/tmp/micaroad-processes-XXXXXX";
     REQUIRE(::mkdtemp(name) != nullptr);
     const std::filesystem::path folder = name;
-    Discovery discovery(std::vector<std::string>(kPlanners, kWatch + chunk(listed(42, cold, "up") + "\n")));
+    Discovery discovery(
+        std::vector<std::string>(kPlanners, kWatch + chunk(listed(42, cold, "up") + "\n")));
     discovery.begin();
     std::vector<std::unique_ptr<Process>> planners;
-    for (int n = 0; n < kPlanners; ++n)
-        planners.push_back(std::make_unique<Process>(folder, n, text_of(discovery.listener.local()), listed(41, cold, "up")));
+    for (int n = 0; n < kPlanners; ++n) {
+        planners.push_back(std::make_unique<Process>(folder, n, text_of(discovery.listener.local()),
+                                                     listed(41, cold, "up")));
+    }
     const auto until = steady_clock::now() + 20s;
     for (const auto& planner : planners) {
-        while (!planner->serves() && steady_clock::now() < until) std::this_thread::sleep_for(10ms);
+        while (!planner->serves() && steady_clock::now() < until) {
+            std::this_thread::sleep_for(10ms);
+        }
         CHECK(planner->serves());
     }
     Proxies proxies;
-    for (int n = 0; n < kPlanners * kProxiesOfEach; ++n)
-        proxies.push_back(std::make_unique<ProxyStandIn>(planners[static_cast<std::size_t>(n / kProxiesOfEach)]->address, n));
-    require_of_all(proxies, 10s, "a table", [](const ProxyStandIn& proxy) { return proxy.has_table(); });
+    for (int n = 0; n < kPlanners * kProxiesOfEach; ++n) {
+        proxies.push_back(std::make_unique<ProxyStandIn>(
+            planners[static_cast<std::size_t>(n / kProxiesOfEach)]->address, n));
+    }
+    require_of_all(proxies, 10s, "a table",
+                   [](const ProxyStandIn& proxy) { return proxy.has_table(); });
     const std::string drain = chunk(listed(43, cold, "draining") + "\n");
-    for (std::size_t n = 0; n < kPlanners; ++n) REQUIRE(discovery.connection(n).send_all(drain));
+    for (std::size_t n = 0; n < kPlanners; ++n) {
+        REQUIRE(discovery.connection(n).send_all(drain));
+    }
     require_of_all(proxies, 2s, "the drain of all but one", [](const ProxyStandIn& proxy) {
         bool any = false;
-        for (int n = 0; n + 1 < kServers; ++n) any |= proxy.may_send_to("s-" + std::to_string(n));
+        for (int n = 0; n + 1 < kServers; ++n) {
+            any |= proxy.may_send_to("s-" + std::to_string(n));
+        }
         return !any && proxy.has_table();
     });
-    for (const auto& planner : planners) planner->terminate();
-    for (const auto& planner : planners) CHECK(planner->exit_code() == 0);
+    for (const auto& planner : planners) {
+        planner->terminate();
+    }
+    for (const auto& planner : planners) {
+        CHECK(planner->exit_code() == 0);
+    }
     std::filesystem::remove_all(folder);
 }
--- a/tests/program_helpers.hpp
+++ b/tests/program_helpers.hpp
@@ -5,9 +5,9 @@
 
 #include <future>
 
-#include "net_helpers.hpp"
 #include "daemon/clock.hpp"
 #include "daemon/planner_process.hpp"
+#include "net_helpers.hpp"
 
 namespace micaroad::test {
 
@@ -17,7 +17,8 @@
     return "hello sidecar=" + std::to_string(proxy) + " az=a share=2 standing=1\r\n";
 }
 inline std::string answer(int proxy, int mark) {
-    return "ack sidecar=" + std::to_string(proxy) + " version=" + std::to_string(mark) + " lag_ms=1\r\n";
+    return "ack sidecar=" + std::to_string(proxy) + " version=" + std::to_string(mark) +
+           " lag_ms=1\r\n";
 }
 inline std::string usage(int proxy) {
     return "demand sidecar=" + std::to_string(proxy) + " kind=lookup n=4 bad=0 window=500\r\n";
@@ -42,7 +43,8 @@
 inline StartConfiguration start_file(const std::string& discovery) {
     StartConfiguration start;
     start.name = "n1", start.listen = "127.0.0.1:0", start.discovery = discovery;
-    start.sockets = 1024, start.memory_mb = 192, start.bounds = {8}, start.settings = terms(), start.names = names();
+    start.sockets = 1024, start.memory_mb = 192, start.bounds = {8}, start.settings = terms(),
+    start.names = names();
     start.known = *protocol::EndpointListReader(start.names).read(kList);
     return start;
 }
@@ -52,9 +54,15 @@
     std::vector<std::string> events;
     void on_event(const Event& event) override {
         const std::lock_guard lock(mutex);
-        if (std::holds_alternative<event::ProxyJoined>(event)) events.push_back("joined");
-        if (std::holds_alternative<event::ProxyLeft>(event)) events.push_back("left");
-        if (std::holds_alternative<event::Acknowledgement>(event)) events.push_back("answered");
+        if (std::holds_alternative<event::ProxyJoined>(event)) {
+            events.push_back("joined");
+        }
+        if (std::holds_alternative<event::ProxyLeft>(event)) {
+            events.push_back("left");
+        }
+        if (std::holds_alternative<event::Acknowledgement>(event)) {
+            events.push_back("answered");
+        }
     }
     void on_decision(TimePoint, const std::vector<Order>&) override {}
     std::vector<std::string> all() {
@@ -70,10 +78,14 @@
     PlannerProcess program;
     std::future<int> code;
     explicit Running(const std::string& discovery = "") : Running(discovery, start_file("")) {}
-    Running(const std::string& discovery, StartConfiguration start, WatchPatience patience = {}, Clock clock = clock_now())
-        : program(following(std::move(start), discovery), std::move(clock), quiet.log, &heard, &sync, patience),
+    Running(const std::string& discovery, StartConfiguration start, WatchPatience patience = {},
+            Clock clock = clock_now())
+        : program(following(std::move(start), discovery), std::move(clock), quiet.log, &heard,
+                  &sync, patience),
           code(beside([this] { return program.run(); })) {
-        while (program.stage() != Stage::serving && program.stage() != Stage::failed) std::this_thread::yield();
+        while (program.stage() != Stage::serving && program.stage() != Stage::failed) {
+            std::this_thread::yield();
+        }
         REQUIRE(program.stage() == Stage::serving);
     }
     ~Running() { program.stop(), code.wait(); }
@@ -99,7 +111,9 @@
     proxy.wait_at_most(10s);
     for (char c; proxy.receive(&c, 1) == 1;) {
         text += c;
-        if (const auto at = text.find("nonce_out="); c == '\n' && at != std::string::npos) return std::stoi(text.substr(at + 10));
+        if (const auto at = text.find("nonce_out="); c == '\n' && at != std::string::npos) {
+            return std::stoi(text.substr(at + 10));
+        }
     }
     return -1;
 }
