--- a/tests/layers_test.sh
+++ b/tests/layers_test.sh
@@ -10,6 +10,7 @@
         grep -rn "#include \"$above/" "$folder" && { echo "FAILED: src/$folder includes src/$above"; bad=1; }
     done
 }
+keeps_from decision log settings protocol updates planner net daemon command routing operators haproxy record background simhost
 keeps_from log protocol updates planner net daemon command
 keeps_from settings protocol updates planner net daemon command
 keeps_from protocol planner net daemon command
