--- /dev/null
+++ b/src/decision/endpoint_tracker.cpp
@@ -0,0 +1,92 @@
+#include "decision/endpoint_tracker.hpp"
+
+#include <cmath>
+#include <utility>
+
+#include "decision/numeric.hpp"
+
+namespace micaroad::decision {
+
+void EndpointTracker::on(const EndpointListed& message) {
+    if (message.entry.phase == EndpointPhase::gone) {
+        on(EndpointUnlisted{});
+        return;
+    }
+    const bool restarted =
+        message.entry.last_start && message.entry.last_start != status_.listed.last_start;
+    if (restarted) {
+        status_ = EndpointStatus{};
+    }
+    status_.listed = message.entry;
+    if (!std::isfinite(status_.listed.size) || status_.listed.size <= 0) {
+        status_.listed.size = 1;
+    }
+    status_.open = status_.listed.phase == EndpointPhase::ready;
+    status_.steady =
+        (status_.steady || message.in_first_list) && status_.open && !status_.listed.last_start;
+    publish_status();
+}
+
+// Guards against a list that drops endpoints which still run, where the settings say that a list
+// may do so: an endpoint that still answers stays. The price is RPCs to one that is truly gone.
+void EndpointTracker::on(const EndpointUnlisted&) {
+    const EndpointPhase previous = std::exchange(status_.listed.phase, EndpointPhase::gone);
+    if (previous == EndpointPhase::gone) {
+        return;
+    }
+    status_.steady = false;
+    status_.open = status_.open && status_.last_success && context_.settings.unlisted_may_serve;
+    publish_status();
+}
+
+void EndpointTracker::on(const event::EndpointLoadReport& report) {
+    admission_.mailbox.post(ZonedLoadReport{report, status_.listed.zone});
+    // Guards against reports on the incarnation before a restart. The price is a little evidence.
+    const bool before_start =
+        status_.listed.last_start && context_.now - report.window < *status_.listed.last_start;
+    if (!status_.open || before_start) {
+        return;
+    }
+    const double successes = report.attempts - report.failures;
+    status_.attempts += report.attempts;
+    status_.failures += report.failures;
+    status_.success_latency_sum += successes * seconds(report.mean_latency);
+    const bool answered_before = status_.last_success.has_value();
+    if (report.failures < report.attempts) {
+        status_.last_success = context_.now;
+    }
+    // Until a success has been reported, each report is published at once: the first success ends
+    // an endpoint's probation, the first failure starts it.
+    if (!answered_before) {
+        publish_status();
+    }
+}
+
+void EndpointTracker::on(const EvidenceWindowClosed&) {
+    status_.window_seconds += seconds(context_.step);
+    const Duration silent_for = context_.now - status_.last_success.value_or(TimePoint{});
+    const bool lost = status_.listed.phase == EndpointPhase::gone &&
+                      silent_for >= context_.settings.warm_up_duration;
+    if (status_.open && lost) {
+        status_.open = false;
+        publish_status();
+    }
+    if (status_.open) {
+        optimizer_.mailbox.post(status_);  // the evidence: of no interest to the slice assigner
+    }
+    fade_evidence();
+}
+
+void EndpointTracker::fade_evidence() {
+    status_.attempts *= kMemory;
+    status_.failures *= kMemory;
+    status_.success_latency_sum *= kMemory;
+    status_.window_seconds *= kMemory;
+}
+
+void EndpointTracker::publish_status() {
+    optimizer_.mailbox.post(status_);
+    slice_assigner_.mailbox.post(status_);
+}
+
+}  // namespace micaroad::decision
--- a/src/decision/messages.hpp
+++ b/src/decision/messages.hpp
@@ -34,19 +34,20 @@
 /// Asks discovery for lists once more.
 struct RenewSubscription {};
 
-/// What an endpoint tracker knows of its server. The sums fade from window to window.
+/// What an endpoint tracker knows of its endpoint. The evidence sums keep the part `kMemory` from
+/// one optimizer step to the next.
 struct EndpointStatus {
-    ListedEndpoint entry;
-    bool open = false;  ///< may get traffic
-    std::optional<TimePoint> last_ok;
-    double tries = 0;
-    double bad = 0;
-    double answer_seconds = 0;
-    double window = 0;
+    ListedEndpoint listed;                  ///< the entry of the last list that named the endpoint
+    bool open = false;                      ///< may get traffic
+    std::optional<TimePoint> last_success;  ///< arrival of the last report with a success
+    double attempts = 0;                    ///< evidence: attempts of this planner's proxies
+    double failures = 0;                    ///< evidence: of these, failed
+    double success_latency_sum = 0;         ///< evidence: latencies of the others, seconds
+    double window_seconds = 0;              ///< evidence: time in which it was collected
     bool steady = false;  ///< ready since the first list and no start known: nobody had a reason to
                           ///< withdraw it
 
-    bool gone() const { return !open && entry.phase == EndpointPhase::gone; }
+    bool gone() const { return !open && listed.phase == EndpointPhase::gone; }
 };
 
 /// A load report with the zone of the server that it is about.
--- a/src/decision/numeric.hpp
+++ b/src/decision/numeric.hpp
@@ -1,134 +1,68 @@
-// Arithmetic and look-ups that decide nothing.
+/// Numeric helpers that know nothing of planning.
 #pragma once
 
 #include <algorithm>
 #include <chrono>
-#include <map>
-#include <set>
+#include <compare>
 #include <utility>
 #include <vector>
 
-#include "decision/queue_model.hpp"
-#include "micaroad/planner.hpp"
+#include "micaroad/types.hpp"
 
 namespace micaroad::decision {
 
-inline double seconds(Duration span) {
-    return std::chrono::duration<double>(span).count();
+[[nodiscard]] inline double seconds(Duration duration) {
+    return std::chrono::duration<double>(duration).count();
 }
 
-// Where a falling function crosses a level.
-template <class Falling>
-double crossing(double low, double high, double level, Falling value) {
-    for (int i = 0; i < 50; ++i) {
+/// Bisects [low, high] for the argument at which the falling function `value` crosses `level`.
+/// Returns the lower end of the last interval.
+template <class FallingFunction>
+[[nodiscard]] double bisect_falling(double low, double high, double level, FallingFunction value) {
+    constexpr int kIterations = 50;  // the interval shrinks to about 1e-15 of its length
+    for (int i = 0; i < kIterations; ++i) {
         const double half = (low + high) / 2;
-        (value(half) > level ? low : high) = half;
+        if (value(half) > level) {
+            low = half;
+        } else {
+            high = half;
+        }
     }
     return low;
 }
 
-// Of values with their weights: the one that half of the weight lies under.
-inline double middle(std::vector<std::pair<double, double>> values) {
+struct WeightedValue {
+    double value = 0;
+    double weight = 0;
+
+    auto operator<=>(const WeightedValue&) const = default;
+};
+
+/// The first value, in ascending order, at which half of the total weight is reached; 0 if there
+/// are no values.
+[[nodiscard]] inline double weighted_median(std::vector<WeightedValue> values) {
     std::sort(values.begin(), values.end());
-    double rest = 0;
-    for (const auto& [value, weight] : values) {
-        rest += weight / 2;
+    double remaining = 0;
+    for (const WeightedValue& item : values) {
+        remaining += item.weight / 2;
     }
-    for (const auto& [value, weight] : values) {
-        if ((rest -= weight) <= 0) {
-            return value;
+    for (const WeightedValue& item : values) {
+        remaining -= item.weight;
+        if (remaining <= 0) {
+            return item.value;
         }
     }
     return 0;
 }
 
-// A figure of each member, in a row.
-template <class Members, class Figure>
-RealVector row_of(const Members& members, Figure figure) {
-    RealVector row(members.size());
-    for (std::size_t i = 0; i < members.size(); ++i) {
-        row[i] = figure(*members[i]);
-    }
-    return row;
-}
-
-// Some figures out of a row, by their places in it.
-inline RealVector row_at(const std::vector<std::size_t>& places, const RealVector& figures) {
-    RealVector row(places.size());
-    for (std::size_t i = 0; i < places.size(); ++i) {
-        row[i] = figures[places[i]];
-    }
-    return row;
-}
-
-// For each member the sum of a figure over all of its kind.
-template <class Members>
-RealVector kind_sums(const Members& members, const RealVector& figure) {
-    std::map<KindId, double> sums;
-    for (std::size_t i = 0; i < members.size(); ++i) {
-        sums[members[i]->seen.entry.kind] += figure[i];
-    }
-    return row_of(members, [&sums](const auto& member) { return sums.at(member.seen.entry.kind); });
-}
-
-// A figure of each member as a part of all members' sum; 0 for each where that is 0.
-template <class Members, class Figure>
-RealVector parts_of(const Members& members, Figure figure) {
-    RealVector row = row_of(members, figure);
-    const double sum = members.empty() ? 0 : row.sum();
-    if (sum > 0) {
-        row /= sum;
-    }
-    return row;
-}
-
-// Sum of the figures of some methods, from figures by method.
-inline double sum_of(const RealVector& figures, const std::vector<MethodId>& methods) {
-    double sum = 0;
-    for (const MethodId method : methods) {
-        sum += figures[method.value];
-    }
-    return sum;
-}
-
-// Number of zones that members are in.
-template <class Members>
-double zone_count(const Members& members) {
-    std::set<ZoneId> zones;
-    for (const auto* member : members) {
-        zones.insert(member->seen.entry.zone);
-    }
-    return static_cast<double>(zones.size());
-}
-
-// The members of those zones whose members have `least` remembered tries or more, all together.
-template <class Members>
-Members in_tried_zones(Members members, double least) {
-    std::map<ZoneId, double> tries;
-    for (const auto* member : members) {
-        tries[member->seen.entry.zone] += member->seen.tries;
-    }
-    std::erase_if(members,
-                  [&](const auto* member) { return tries.at(member->seen.entry.zone) < least; });
-    return members;
-}
-
-// Is a method, at proxies of a zone where it keeps to its own, open to a server?
-inline bool open_to(const Method& method, std::optional<ZoneId> home,
-                    const ListedEndpoint& server) {
-    const auto among = [](const auto& only, const auto& id) {
-        return only.empty() || std::find(only.begin(), only.end(), id) != only.end();
-    };
-    return among(method.only_kinds, server.kind) && among(method.only_zones, server.zone) &&
-           (!home || *home == server.zone);
-}
-
-inline double shortest_soft_deadline(const DeploymentSettings& settings) {
-    Duration span = Duration::max();
-    for (const Method& method : settings.methods) {
-        span = std::min(span, method.soft_deadline);
+/// The weighted median of (value, weight) pairs: the former interface, for callers that have pairs.
+[[nodiscard]] inline double middle(const std::vector<std::pair<double, double>>& values) {
+    std::vector<WeightedValue> items;
+    items.reserve(values.size());
+    for (const auto& [value, weight] : values) {
+        items.push_back({value, weight});
     }
-    return seconds(span);
+    return weighted_median(std::move(items));
 }
 
 }  // namespace micaroad::decision
--- a/src/decision/planner.cpp
+++ b/src/decision/planner.cpp
@@ -111,7 +111,7 @@
         next_step_ = context_.now + context_.step;
         std::erase_if(trackers_, [](const auto& entry) {
             const EndpointTracker& tracker = entry.second;
-            return tracker.mailbox.empty() && tracker.self.gone();
+            return tracker.mailbox.empty() && tracker.status().gone();
         });
         admission_.mailbox.post(EvidenceWindowClosed{});
         for (auto& [server, tracker] : trackers_) {
--- a/src/decision/slice_assigner.hpp
+++ b/src/decision/slice_assigner.hpp
@@ -38,8 +38,8 @@
         }
     }
     void on(const EndpointStatus& message) {
-        message.open ? (void)open.insert(message.entry.server)
-                     : (void)open.erase(message.entry.server);
+        message.open ? (void)open.insert(message.listed.server)
+                     : (void)open.erase(message.listed.server);
     }
     void on(const Tick&) {
         if (slices.empty()) {
--- /dev/null
+++ b/src/decision/weight_optimizer.cpp
@@ -0,0 +1,162 @@
+#include "decision/weight_optimizer.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <map>
+#include <optional>
+#include <set>
+#include <utility>
+
+#include "decision/real_vectors.hpp"
+#include "decision/share_assignment.hpp"
+
+namespace micaroad::decision {
+
+namespace {
+
+/// Remembered attempts of this planner's proxies below which a zone counts as not reached: one.
+constexpr double kMinZoneAttempts = 1;
+/// The least weight, above the logarithm of the endpoint's size: about a twentieth of the listed
+/// share. An endpoint that gets no attempts cannot show that it has recovered. Not in the design.
+constexpr double kMinLogWeight = -3;
+
+double count_zones(const std::vector<PoolMember*>& members) {
+    std::set<ZoneId> zones;
+    for (const PoolMember* const member : members) {
+        zones.insert(member->status.listed.zone);
+    }
+    return static_cast<double>(zones.size());
+}
+
+/// The members of those zones that this planner's proxies reach.
+std::vector<PoolMember*> in_reached_zones(std::vector<PoolMember*> members) {
+    std::map<ZoneId, double> attempts;
+    for (const PoolMember* const member : members) {
+        attempts[member->status.listed.zone] += member->status.attempts;
+    }
+    std::erase_if(members, [&attempts](const PoolMember* member) {
+        return attempts.at(member->status.listed.zone) < kMinZoneAttempts;
+    });
+    return members;
+}
+
+double sum_of_sizes(const std::vector<PoolMember*>& members) {
+    return collect_figures(members,
+                           [](const PoolMember& member) { return member.status.listed.size; })
+        .sum();
+}
+
+}  // namespace
+
+WeightOptimizer::WeightOptimizer(DecisionContext& context, UpdateScheduler& scheduler)
+    : context_(context), scheduler_(scheduler) {
+    for (const Pool& pool : memberships_.pools()) {
+        scheduler_.mailbox.post(pool.binding);
+    }
+}
+
+void WeightOptimizer::on(const EndpointStatus& status) {
+    const auto [member, added] = memberships_.find_or_add(status.listed.server);
+    if (added) {
+        // The first endpoints are trusted: a planner that starts over has no others.
+        member.trusted = !slow_start_.load_known();
+        memberships_.queue_for_publishing(member);
+    }
+    const bool on_probation = !member.trusted && !status.last_success && status.attempts > 0;
+    publish_due_ |= added || on_probation != member.on_probation ||
+                    status.open != member.status.open ||
+                    status.listed.last_start != member.status.listed.last_start;
+    // Steps keep the mean of the weights, so an endpoint may enter at its listed weight.
+    memberships_.update(member, status, on_probation, std::log(status.listed.size));
+}
+
+void WeightOptimizer::on(const DemandEstimate& demand) {
+    demand_ = demand;
+    memberships_.update_traffic(demand.rates);
+}
+
+void WeightOptimizer::on(const OptimizerStep&) {
+    optimize();
+    publish();
+}
+
+void WeightOptimizer::on(const Tick&) {
+    if (std::exchange(publish_due_, false)) {
+        publish();
+    }
+}
+
+/// Endpoints of zones that none of this planner's proxies reaches are left out: there is no
+/// evidence of them, and a step would move nothing there.
+void WeightOptimizer::optimize() {
+    if (memberships_.pools().empty()) {
+        return;
+    }
+    const std::vector<PoolMember*> open = memberships_.open_members();
+    const std::vector<PoolMember*> reached = in_reached_zones(open);
+    const std::optional<EndpointEstimates> estimates = evidence_.estimate(reached);
+    if (!estimates) {
+        return;
+    }
+    const double own_rate = estimates->attempt_rates.sum();
+    slow_start_.update_load(own_rate * demand_.all_over_ours, demand_.announced,
+                            sum_of_sizes(open));
+    PoolMemberships::number_endpoints(open, reached);
+    // The proxies of other planners are taken to load the endpoints as ours do, equally from all
+    // zones.
+    const double reached_fraction = count_zones(reached) / count_zones(open);
+    const double load_factor = std::max(1.0, demand_.all_over_ours * reached_fraction);
+    const GradientStep step(collect_input(*estimates, load_factor));
+    if (const std::optional<WeightChange> change = step.compute()) {
+        memberships_.lower_weights(reached, step.pools(), change->fraction, change->decreases,
+                                   kMinLogWeight);
+    }
+}
+
+/// `load_factor`: the load of all proxies over that of this planner's.
+StepInput WeightOptimizer::collect_input(const EndpointEstimates& estimates, double load_factor) {
+    StepInput input;
+    input.own_rate = estimates.attempt_rates.sum();
+    input.rates = estimates.attempt_rates * load_factor;
+    input.capacities = input.rates + 1.0 / estimates.latencies;
+    input.latency_limit = evidence_.latency_limit();
+    const std::vector<Pool>& pools = memberships_.pools();
+    for (std::size_t k = 0; k < pools.size(); ++k) {
+        if (pools[k].places.empty()) {
+            continue;
+        }
+        PoolSnapshot snapshot = limited_snapshot(k, SnapshotScope::endpoints_of_step);
+        if (!snapshot.places.empty()) {
+            input.pools.push_back(std::move(snapshot));
+            input.traffic_fractions.push_back(pools[k].traffic_fraction);
+        }
+    }
+    return input;
+}
+
+PoolSnapshot WeightOptimizer::limited_snapshot(std::size_t pool_index, SnapshotScope scope) {
+    PoolSnapshot snapshot = memberships_.snapshot(pool_index, scope);
+    snapshot.share_limits = slow_start_.share_limits(snapshot);
+    return snapshot;
+}
+
+/// Posts what has changed since the last time. Shares are computed again for pools that were
+/// changed or that hold an endpoint which still warms up.
+void WeightOptimizer::publish() {
+    if (memberships_.pools().empty()) {
+        return;
+    }
+    const bool any_cold = memberships_.refresh_warming(slow_start_);
+    for (const std::size_t pool_index : memberships_.take_stale_pools()) {
+        const PoolSnapshot snapshot = limited_snapshot(pool_index, SnapshotScope::open_endpoints);
+        memberships_.set_shares(snapshot, capped_softmax(snapshot, snapshot.weights));
+    }
+    const WeightsPublished published{any_cold, !memberships_.empty()};
+    for (PoolMember* const member : memberships_.take_publish_queue()) {
+        member->cold = slow_start_.warm_up_fraction(*member) < 1;
+        scheduler_.mailbox.post(memberships_.take_weights(*member));
+    }
+    scheduler_.mailbox.post(published);
+}
+
+}  // namespace micaroad::decision
