--- a/src/decision/send_window.hpp
+++ b/src/decision/send_window.hpp
@@ -1,94 +1,75 @@
-// What may still wait in a planner's channel: arithmetic over what was charged and what was
-// answered. It decides nothing; how fast a channel surely sends is told by the module.
-//
-// Two counts, of which the larger holds. By answers: messages leave in order, so an answer proves
-// that its message and all before it are gone; what was charged for these is credited, no more. By
-// time: a channel sends no faster than its pace. Answers alone would credit too much after proxies
-// died: what went to them holds up nobody, so that answers come past it, while it stays counted as
-// waiting.
+/// Flow control of a planner's channel: how many lines may still wait in it.
+///
+/// The channel is the platform's; the planner learns nothing of its queue but acknowledgements.
+/// Two estimates are kept, and the larger one holds:
+///
+/// - By acknowledgements: messages leave in order, so an acknowledgement proves that its message
+///   and all before it are gone. Just what was charged for these is credited.
+/// - By time: a channel sends no faster than its configured pace. Acknowledgements alone would
+///   credit too much after proxies died: messages to a dead proxy hold up nobody, so that later
+///   ones are acknowledged while the earlier ones still count as pending.
 #pragma once
 
-#include <algorithm>
 #include <map>
 #include <optional>
-#include <utility>
 
 #include "micaroad/types.hpp"
 
 namespace micaroad::decision {
 
+/// What a channel sent since the last call of SendWindow::advance, as far as time alone tells.
+struct ElapsedSending {
+    double lines_at_most = 0;   ///< at the configured pace
+    double lines_at_least = 0;  ///< at the pace that a channel keeps in any case
+    /// No acknowledgement has come for longer than messages take: only `lines_at_least` tells what
+    /// was sent.
+    bool acknowledgements_stopped = false;
+};
+
+/// Lines that were written to the channel and may not have left it. It knows nothing of tables or
+/// of the clock. Not thread-safe.
 class SendWindow {
  public:
-    double waiting() const { return std::max(ordered_ - passed_, at_pace_); }
+    /// Lines that may still wait in the channel; 0 or more.
+    [[nodiscard]] double pending() const;
+
+    /// Counts the lines of a message that is being written to a proxy; never fewer than are
+    /// written. All charges to one proxy between two nonces count as one message.
+    void charge(ProxyId proxy, double lines);
+
+    /// The nonce for all that was charged since the last one; absent if nothing was.
+    [[nodiscard]] std::optional<Nonce> next_nonce();
 
-    // No less than the lines of a message that is written now. One a proxy until the next mark.
-    void charge(ProxyId proxy, double lines) {
-        open_.charged[proxy] += lines, ordered_ += lines, at_pace_ += lines;
-    }
-    // The mark of all that was charged since the last; absent: nothing was.
-    std::optional<Nonce> mark() {
-        while (!marks_.empty() && end_of(marks_.begin()->second) <= passed_) {
-            marks_.erase(marks_.begin());
-        }
-        if (open_.charged.empty()) {
-            return std::nullopt;
-        }
-        const Nonce mark{next_ % kNumbers};
-        marks_[next_++] = std::exchange(open_, {ordered_, {}, 0});
-        marks_.erase(next_ - kNumbers);
-        return mark;
-    }
-    bool answered(ProxyId proxy, Nonce mark) {
-        const int newer = (next_ - 1 - mark.value % kNumbers + kNumbers) % kNumbers;
-        const auto at = marks_.find(next_ - 1 - newer);
-        if (at == marks_.end()) {
-            return false;
-        }
-        Marked& its = at->second;
-        if (const auto charge = its.charged.extract(proxy)) {
-            its.answered += charge.mapped();
-        }
-        passed_ = std::max(passed_, its.before + its.answered);
-        return true;
-    }
-    // What waits for it will never be answered.
-    void left(ProxyId proxy) {
-        for (const auto& [number, mark] : marks_) {
-            const auto its = mark.charged.find(proxy);
-            orphaned_ += its == mark.charged.end() ? 0 : its->second;
-        }
-    }
-    // `pace`: lines that went at most; `sure`: at least, which is all that counts while some wait
-    // for the dead, and where `silent`: no answer tells any more.
-    void pass(double pace, double sure, bool silent) {
-        if (silent) {
-            passed_ += sure;
-        }
-        passed_ = std::min(passed_, ordered_);
-        at_pace_ = std::max(0.0, at_pace_ - (orphaned_ > 0 ? sure : pace));
-        orphaned_ = std::max(0.0, orphaned_ - sure);
-    }
+    /// Credits what the acknowledgement proves to be gone. Returns false for a nonce that is not
+    /// known, or no longer.
+    bool on_acknowledgement(ProxyId proxy, Nonce nonce);
+
+    /// The proxy will never acknowledge what waits for it.
+    void on_proxy_left(ProxyId proxy);
+
+    /// Credits what was sent by time. While messages to proxies that have left are pending, the
+    /// estimate by time falls at the lower pace only.
+    void advance(const ElapsedSending& elapsed);
 
  private:
-    static constexpr int kNumbers = 65'536;  // the protocol's marks
-    struct Marked {
-        double before = 0;                    // charged before its first message
-        std::map<ProxyId, double> charged{};  // its messages that are not answered yet
-        double answered = 0;                  // the others
+    static constexpr int kNonceCount = 65'536;  // the protocol's; then they begin again at 0
+
+    /// The messages that share a nonce.
+    struct Batch {
+        double charged_before = 0;                   // lines, before its first message
+        std::map<ProxyId, double> unacknowledged{};  // lines of each message
+        double acknowledged = 0;                     // lines of the other messages
     };
-    static double end_of(const Marked& mark) {
-        double sum = mark.before + mark.answered;
-        for (const auto& [proxy, lines] : mark.charged) {
-            sum += lines;
-        }
-        return sum;
-    }
 
-    double ordered_ = 0, passed_ = 0;  // charged in all; of these surely gone
-    double at_pace_ = 0, orphaned_ = 0;
-    Marked open_;
-    std::map<int, Marked> marks_;  // by the count of marks
-    int next_ = 0;
+    static double charged_until_end_of(const Batch& batch);
+
+    double charged_ = 0;              // lines, in all
+    double sent_ = 0;                 // lines of these that are surely gone
+    double pending_by_time_ = 0;      // lines
+    double pending_to_departed_ = 0;  // lines to proxies that have left
+    Batch open_batch_;                // has no nonce yet
+    std::map<int, Batch> batches_;    // by the number of the nonce, counted without wrapping
+    int next_number_ = 0;
 };
 
 }  // namespace micaroad::decision
--- a/src/decision/update_scheduler.hpp
+++ b/src/decision/update_scheduler.hpp
@@ -72,10 +72,10 @@
         std::erase_if(unbound,
                       [&](auto& at) { return std::get<ProxyId>(at.first) == message.proxy; });
         clear_own_table(message.proxy), tables.release(message.proxy),
-            send_window.left(message.proxy);
+            send_window.on_proxy_left(message.proxy);
     }
     void on(const event::Acknowledgement& n) {
-        if (send_window.answered(n.proxy, n.nonce)) {
+        if (send_window.on_acknowledgement(n.proxy, n.nonce)) {
             answered = context.now;
         }
     }
@@ -97,11 +97,11 @@
     void on(const Tick&) {
         const double span = seconds(context.now - std::exchange(counted, context.now));
         const double pace = context.settings.channel_lines_per_second;
-        if (send_window.waiting() == 0) {
+        if (send_window.pending() == 0) {
             answered = context.now;
         }
         const bool silent = context.now > answered + 4 * context.settings.max_message_delay;
-        send_window.pass(pace * span, kSurePace * pace * span, silent);
+        send_window.advance({pace * span, kSurePace * pace * span, silent});
         allowance = std::min(allowance + pace / 2 * span, pace * 2);
         if (stale || again) {
             make_plan();
@@ -117,7 +117,7 @@
         if (subsets.size() == 1) {
             bind_joined(), bind_whole();
         }
-        if (const auto mark = send_window.mark()) {
+        if (const auto mark = send_window.next_nonce()) {
             context.orders.push_back(order::SendNonce{*mark, false});
         }
     }
@@ -148,7 +148,7 @@
         return (rank == 0  ? most
                 : rank < 0 ? half
                            : std::min(half, in_grace)) -
-               send_window.waiting();
+               send_window.pending();
     }
 
     // Mechanism 7. Guards against a channel that can't carry tables of all servers, nor each
@@ -457,7 +457,7 @@
         // servers or many proxies: nothing is let in until they are on their way. It costs service
         // for so long.
         const double each = 1.0 * bound.size() / std::max<std::size_t>(subsets.size(), 1);
-        const double to_go = (send_window.waiting() + pressed * each) /
+        const double to_go = (send_window.pending() + pressed * each) /
                              (kSurePace * context.settings.channel_lines_per_second);
         const Duration left_of_grace = oldest + context.settings.drain_grace -
                                        context.settings.max_message_delay - context.now;
@@ -655,8 +655,8 @@
             const double in_grace = kSurePace * seconds(context.settings.drain_grace) *
                                     context.settings.channel_lines_per_second;
             // What does not fit waits, and its proxy goes on by what it holds.
-            const double most = room(send_window.waiting() > 0 && !urgent ? -1 : 0);
-            const bool few = urgent && send_window.waiting() + cost * unbound.size() > in_grace;
+            const double most = room(send_window.pending() > 0 && !urgent ? -1 : 0);
+            const bool few = urgent && send_window.pending() + cost * unbound.size() > in_grace;
             if (!(few && bind_few(proxy, loose.zone, rate, subset, most) > 0) &&
                 bind(proxy, loose.zone, rate, subset, most) == 0) {
                 break;
@@ -673,7 +673,7 @@
                 continue;
             }
             const auto [zone, rate, subset, few] = at->second;
-            if (bind(proxy, zone, rate, subset, room(send_window.waiting() > 0 ? -1 : 0)) == 0) {
+            if (bind(proxy, zone, rate, subset, room(send_window.pending() > 0 ? -1 : 0)) == 0) {
                 break;
             }
         }
