--- /dev/null
+++ b/src/decision/proxy_binder.cpp
@@ -0,0 +1,197 @@
+#include "decision/proxy_binder.hpp"
+
+#include <algorithm>
+
+namespace micaroad::decision {
+
+namespace {
+
+// Load of a proxy that announced no traffic: enough to spread such proxies over subsets.
+constexpr double kLeastRpcsPerSecond = 1e-3;
+
+constexpr auto kPartialTableSize = static_cast<std::size_t>(kLeastSubsetSize);
+
+}  // namespace
+
+void ProxyBinder::on_proxy_joined(const event::ProxyJoined& joined) {
+    on_proxy_left(joined.proxy);
+    state_.unbound_proxies.add(joined);
+}
+
+void ProxyBinder::on_proxy_left(ProxyId proxy) {
+    state_.unbound_proxies.remove(proxy);
+    clear_own_tables(proxy);
+    state_.subsets.release(proxy);
+    state_.send_window.on_proxy_left(proxy);
+}
+
+// Guards against many proxies that join with another planner's tables amid drains, where the
+// withdrawals that each is owed take more lines than its binding: they are bound in the window of
+// withdrawals. Where whole tables for all of them would take longer than the grace, each gets a few
+// endpoints first. That costs a second binding.
+void ProxyBinder::bind_joined() {
+    const double sent_in_grace =
+        kAssuredPaceFraction * state_.drain_grace_seconds() * state_.pace();
+    while (!state_.unbound_proxies.empty() && !state_.subsets.empty()) {
+        const UnboundProxy& joined = state_.unbound_proxies.first();
+        const double rate = std::max(joined.rpcs_per_second, kLeastRpcsPerSecond);
+        const std::size_t subset = assignment_.least_loaded(joined.zone, rate);
+        const Target target{joined.proxy, joined.zone, rate, subset};
+        const double cost = cost_of_binding(target.zone, subset).value_or(0);
+        const bool urgent = state_.withdrawals.owed_to_unbound_proxy > cost;
+        const double pending = state_.send_window.pending();
+        const double waiting_proxies = static_cast<double>(state_.unbound_proxies.size());
+        const bool partial = urgent && pending + cost * waiting_proxies > sent_in_grace;
+        const double available =
+            urgent ? state_.available_window(WindowUse::urgent) : available_for_next_binding();
+        // What does not fit waits, and its proxy goes on by what it holds.
+        if (!(partial && bind_partially(target, available)) && !bind(target, available)) {
+            break;
+        }
+        state_.unbound_proxies.remove(target.proxy);
+    }
+}
+
+void ProxyBinder::complete_partial_bindings() {
+    while (state_.unbound_proxies.empty() && !partially_bound_.empty()) {
+        const ProxyId proxy = partially_bound_.front();
+        const auto at = state_.subsets.bound_proxies().find(proxy);
+        if (at != state_.subsets.bound_proxies().end() && at->second.partial) {
+            const BoundProxy& bound = at->second;
+            const Target target{proxy, bound.zone, bound.rpcs_per_second, bound.subset};
+            if (!bind(target, available_for_next_binding())) {
+                break;
+            }
+        }
+        partially_bound_.pop_front();
+    }
+}
+
+void ProxyBinder::rebalance() {
+    if (!state_.unbound_proxies.empty() || state_.context.settings.max_messages_per_proxy > 0) {
+        return;
+    }
+    while (const std::optional<ProxyMove> move = assignment_.next_move()) {
+        const BoundProxy& bound = state_.subsets.bound_proxies().at(move->proxy);
+        const Target target{move->proxy, bound.zone, bound.rpcs_per_second, move->to};
+        const double available =
+            std::min(state_.available_window(WindowUse::learnt), state_.learnt_allowance);
+        const std::optional<double> cost = bind(target, available);
+        if (!cost) {
+            return;
+        }
+        state_.learnt_allowance -= *cost;
+    }
+}
+
+// A single binding may be larger than the window of bindings: where nothing is pending it goes out
+// within that of withdrawals.
+double ProxyBinder::available_for_next_binding() const {
+    const bool some_pending = state_.send_window.pending() > 0;
+    return state_.available_window(some_pending ? WindowUse::binding : WindowUse::urgent);
+}
+
+std::optional<double> ProxyBinder::cost_of_binding(ZoneId zone, std::size_t subset) const {
+    double lines = 0;
+    double tables = 0;
+    for (const TablePool& pool : state_.tables.pools()) {
+        if (pool.serves(zone)) {
+            lines += pool.binding_lines[subset];
+            ++tables;
+        }
+    }
+    if (lines == 0) {
+        return std::nullopt;
+    }
+    return state_.lines_per_message() + lines + tables + state_.admission_lines();
+}
+
+std::optional<double> ProxyBinder::bind(const Target& target, double available_lines) {
+    const std::optional<double> cost = cost_of_binding(target.zone, target.subset);
+    if (!cost || *cost > available_lines) {
+        return std::nullopt;
+    }
+    std::vector<Order> orders;
+    for (std::size_t pool = 0; pool < state_.tables.pools().size(); ++pool) {
+        if (state_.tables.pools()[pool].serves(target.zone)) {
+            orders.push_back(order::BindProxy{state_.table_of(pool, target.subset),
+                                              state_.binding(pool).methods, target.proxy});
+        }
+    }
+    apply(target, false, orders, *cost);
+    return cost;
+}
+
+std::optional<double> ProxyBinder::bind_partially(const Target& target, double available_lines) {
+    const std::size_t own_tables = state_.own_table_set(target.proxy);
+    double cost = state_.lines_per_message() + state_.admission_lines();
+    bool any_endpoint = false;
+    std::vector<Order> orders;
+    if (admission_.any_sent()) {
+        admission_.order_sent({&own_tables, 1}, orders);
+    }
+    for (std::size_t pool = 0; pool < state_.tables.pools().size(); ++pool) {
+        if (!state_.tables.pools()[pool].serves(target.zone)) {
+            continue;
+        }
+        const TableId own_table = state_.table_of(pool, own_tables);
+        for (const TableEntry* const entry : partial_table(pool, target.subset, target.proxy)) {
+            cost += entry->endpoint->may_be_withdrawn_at_proxies ? 2 : 1;
+            any_endpoint = true;
+            orders.push_back(
+                order::SetTableEntry{own_table, *entry->endpoint->server, entry->sent});
+        }
+        orders.push_back(order::BindProxy{own_table, state_.binding(pool).methods, target.proxy});
+        ++cost;
+    }
+    if (!any_endpoint || cost > available_lines) {
+        return std::nullopt;
+    }
+    apply(target, true, orders, cost);
+    return cost;
+}
+
+// A few of the subset's endpoints that are not withdrawn, others for each proxy.
+std::vector<const TableEntry*> ProxyBinder::partial_table(std::size_t pool, std::size_t subset,
+                                                          ProxyId proxy) const {
+    std::vector<const TableEntry*> entries;
+    for (const auto& [server, entry] : state_.tables.pools()[pool].entries) {
+        if (entry.endpoint->subset == subset && entry.sent > 0 && !entry.endpoint->withdrawn) {
+            entries.push_back(&entry);
+        }
+    }
+    if (entries.size() <= kPartialTableSize) {
+        return entries;
+    }
+    const auto first = static_cast<std::size_t>(proxy.value) * kPartialTableSize % entries.size();
+    std::ranges::rotate(entries, entries.begin() + static_cast<std::ptrdiff_t>(first));
+    entries.resize(kPartialTableSize);
+    return entries;
+}
+
+void ProxyBinder::apply(const Target& target, bool partial, const std::vector<Order>& orders,
+                        double cost) {
+    std::vector<Order>& sink = state_.context.orders;
+    sink.insert(sink.end(), orders.begin(), orders.end());
+    clear_own_tables(target.proxy);
+    state_.subsets.bind(target.proxy,
+                        {target.zone, target.rpcs_per_second, target.subset, partial});
+    state_.send_window.charge(target.proxy, cost);
+    if (partial) {
+        partially_bound_.push_back(target.proxy);
+    }
+}
+
+// The tables of a partial binding; they are the proxy's alone.
+void ProxyBinder::clear_own_tables(ProxyId proxy) {
+    const auto at = state_.subsets.bound_proxies().find(proxy);
+    if (at == state_.subsets.bound_proxies().end() || !at->second.partial) {
+        return;
+    }
+    for (std::size_t pool = 0; pool < state_.tables.pools().size(); ++pool) {
+        state_.context.orders.push_back(
+            order::ClearTable{state_.table_of(pool, state_.own_table_set(proxy))});
+    }
+}
+
+}  // namespace micaroad::decision
--- /dev/null
+++ b/src/decision/proxy_subsets.cpp
@@ -0,0 +1,95 @@
+#include "decision/proxy_subsets.hpp"
+
+#include <algorithm>
+
+namespace micaroad::decision {
+
+void ProxySubsets::divide(std::size_t count, int zone_count) {
+    const std::size_t pool_count = tables_.pools().size();
+    subsets_.assign(count, {});
+    for (std::size_t i = 0; i < count; ++i) {
+        Subset& subset = subsets_[i];
+        if (zone_count > 1) {
+            subset.zone = ZoneId{static_cast<int>(i) % zone_count};
+        }
+        subset.endpoint_count = RealVector(pool_count);
+        subset.wanted_weight = RealVector(pool_count);
+    }
+    wanted_weight_ = RealVector(pool_count);
+    tables_.set_subset_count(count);
+}
+
+void ProxySubsets::recount(const RoutingTables::PoolSet& pools) {
+    for (const std::size_t pool : pools) {
+        recount(pool);
+    }
+    least_pool_parts_.clear();
+}
+
+void ProxySubsets::recount(std::size_t pool) {
+    for (Subset& subset : subsets_) {
+        subset.endpoint_count[pool] = 0;
+        subset.wanted_weight[pool] = 0;
+    }
+    for (const auto& [server, table_entry] : tables_.pools()[pool].entries) {
+        if (table_entry.endpoint->sent() == 0) {
+            continue;
+        }
+        Subset& subset = subsets_[table_entry.endpoint->subset];
+        subset.wanted_weight[pool] += table_entry.wanted;
+        subset.endpoint_count[pool] += table_entry.wanted > 0 ? 1 : 0;
+    }
+    wanted_weight_[pool] = 0;
+    for (const Subset& subset : subsets_) {
+        wanted_weight_[pool] += subset.wanted_weight[pool];
+    }
+}
+
+void ProxySubsets::add_endpoint(const RoutingEntry& entry, double sign) {
+    Subset& subset = subsets_[entry.subset];
+    for (const PoolTableEntry& place : entry.table_entries) {
+        if (place.table_entry->wanted > 0) {
+            subset.endpoint_count[place.pool] += sign;
+        }
+    }
+}
+
+double ProxySubsets::least_pool_part(std::size_t subset, ZoneId zone) {
+    const auto [at, added] = least_pool_parts_.try_emplace({subset, zone}, 1);
+    double& least = at->second;
+    if (!added || subsets_.size() == 1) {
+        return least;
+    }
+    for (std::size_t pool = 0; pool < tables_.pools().size(); ++pool) {
+        if (tables_.pools()[pool].serves(zone) && wanted_weight_[pool] > 0) {
+            least = std::min(least, subsets_[subset].wanted_weight[pool] / wanted_weight_[pool]);
+        }
+    }
+    return least;
+}
+
+void ProxySubsets::reset_success_margins() {
+    for (Subset& subset : subsets_) {
+        subset.success_margin = 0;
+    }
+}
+
+void ProxySubsets::bind(ProxyId proxy, const BoundProxy& binding) {
+    release(proxy);
+    bound_proxies_[proxy] = binding;
+    Subset& subset = subsets_[binding.subset];
+    subset.proxies.insert(proxy);
+    subset.rpcs_per_second += binding.rpcs_per_second;
+}
+
+void ProxySubsets::release(ProxyId proxy) {
+    const auto bound = bound_proxies_.extract(proxy);
+    if (!bound) {
+        return;
+    }
+    Subset& subset = subsets_[bound.mapped().subset];
+    subset.proxies.erase(proxy);
+    subset.rpcs_per_second -= bound.mapped().rpcs_per_second;
+}
+
+}  // namespace micaroad::decision
--- /dev/null
+++ b/src/decision/proxy_subsets.hpp
@@ -0,0 +1,98 @@
+/// Subsets of the endpoints, and the proxies that are bound to each: bookkeeping that decides
+/// nothing. SubsetAssignment decides how many subsets there are and what belongs to which.
+#pragma once
+
+#include <compare>
+#include <cstddef>
+#include <map>
+#include <optional>
+#include <set>
+#include <vector>
+
+#include "decision/queue_model.hpp"
+#include "decision/routing_tables.hpp"
+
+namespace micaroad::decision {
+
+/// A proxy that is bound to the tables of a subset.
+struct BoundProxy {
+    ZoneId zone;
+    double rpcs_per_second = 0;
+    std::size_t subset = 0;
+    /// Bound to tables of its own with a few of the subset's endpoints, until there is room for the
+    /// whole tables.
+    bool partial = false;
+};
+
+/// Some of the endpoints: each of its proxies has the table entries of all of them, and no others.
+struct Subset {
+    std::optional<ZoneId> zone{};  ///< of all its endpoints; absent: they are of all zones
+    RealVector endpoint_count{};   ///< by pool
+    RealVector wanted_weight{};    ///< by pool
+    double rpcs_per_second = 0;    ///< of its proxies
+    /// Weighted excess of its warmed-up endpoints' success over what an overloaded one has.
+    double success_margin = 0;
+    std::set<ProxyId> proxies{};
+
+    [[nodiscard]] bool is_overloaded() const { return success_margin < 0; }
+    /// Do proxies of this zone reach its endpoints across zones?
+    [[nodiscard]] bool is_remote_to(ZoneId proxy_zone) const {
+        return zone.value_or(proxy_zone) != proxy_zone;
+    }
+};
+
+/// All subsets of a planner. Not thread-safe.
+class ProxySubsets {
+ public:
+    /// `tables` has to live as long as this object.
+    explicit ProxySubsets(RoutingTables& tables) : tables_(tables) {}
+
+    /// 0 until the first divide().
+    [[nodiscard]] std::size_t size() const { return subsets_.size(); }
+    [[nodiscard]] bool empty() const { return subsets_.empty(); }
+    [[nodiscard]] const std::vector<Subset>& all() const { return subsets_; }
+    [[nodiscard]] const Subset& operator[](std::size_t index) const { return subsets_[index]; }
+    [[nodiscard]] const std::map<ProxyId, BoundProxy>& bound_proxies() const {
+        return bound_proxies_;
+    }
+
+    /// Makes `count` empty subsets, while no proxy is bound and no table entry is sent. With more
+    /// than one zone the subsets take turns at zones; else each is of all zones.
+    void divide(std::size_t count, int zone_count);
+    /// Adds up anew what each subset has of these pools.
+    void recount(const RoutingTables::PoolSet& pools);
+    /// Counts an endpoint as its subset's, or takes it out again. recount() counts those alone of
+    /// which an entry is sent.
+    void count_endpoint(const RoutingEntry& entry) { add_endpoint(entry, 1); }
+    void uncount_endpoint(const RoutingEntry& entry) { add_endpoint(entry, -1); }
+    /// The least part that the subset has of any pool that proxies of the zone use; 0 to 1.
+    [[nodiscard]] double least_pool_part(std::size_t subset, ZoneId zone);
+
+    void reset_success_margins();
+    void add_success_margin(std::size_t subset, double margin) {
+        subsets_[subset].success_margin += margin;
+    }
+
+    /// Binds a proxy, also one that is bound already.
+    void bind(ProxyId proxy, const BoundProxy& binding);
+    /// Forgets a proxy, if it is bound.
+    void release(ProxyId proxy);
+
+ private:
+    struct SubsetInZone {
+        std::size_t subset = 0;
+        ZoneId zone;
+        auto operator<=>(const SubsetInZone&) const = default;
+    };
+
+    void add_endpoint(const RoutingEntry& entry, double sign);
+    void recount(std::size_t pool);
+
+    RoutingTables& tables_;
+    std::vector<Subset> subsets_;
+    std::map<ProxyId, BoundProxy> bound_proxies_;
+    RealVector wanted_weight_;                         // by pool, of all subsets
+    std::map<SubsetInZone, double> least_pool_parts_;  // as far as asked for since recount()
+};
+
+}  // namespace micaroad::decision
--- /dev/null
+++ b/src/decision/routing_tables.cpp
@@ -0,0 +1,248 @@
+#include "decision/routing_tables.hpp"
+
+#include <algorithm>
+
+namespace micaroad::decision {
+
+RoutingEntry* RoutingTables::find(const ServerId& server) {
+    const auto at = endpoints_.find(server);
+    return at == endpoints_.end() ? nullptr : &at->second;
+}
+
+RoutingEntry& RoutingTables::find_or_add(const ServerId& server) {
+    const auto [at, added] = endpoints_.try_emplace(server);
+    RoutingEntry& entry = at->second;
+    if (added) {
+        entry.server = &at->first;
+        unsent_.insert(&entry);
+    }
+    return entry;
+}
+
+void RoutingTables::set_published(RoutingEntry& entry,
+                                  const std::vector<std::pair<std::size_t, double>>& shares) {
+    for (const PoolTableEntry& place : entry.table_entries) {
+        place.table_entry->published = 0;
+    }
+    for (const auto& [pool, share] : shares) {
+        table_entry_in(pool, entry).published = share;
+    }
+    touch(entry);
+}
+
+void RoutingTables::set_tracked(RoutingEntry& entry, bool tracked, TimePoint now) {
+    untracked_.erase({entry.last_published, &entry});
+    entry.tracked = tracked;
+    entry.last_published = now;
+    if (!tracked) {
+        untracked_.insert({now, &entry});
+    }
+}
+
+void RoutingTables::set_warming_up(RoutingEntry& entry, bool warming_up) {
+    entry.warming_up = warming_up;
+    put(warming_up_, entry, warming_up);
+}
+
+RoutingTables::PoolSet RoutingTables::hold_back(RoutingEntry& entry) {
+    PoolSet pools;
+    for (const PoolTableEntry& place : entry.table_entries) {
+        place.table_entry->wanted = 0;
+        pools.insert(place.pool);
+    }
+    held_back_.insert(&entry);
+    return pools;
+}
+
+void RoutingTables::set_withdrawal_due(RoutingEntry& entry, bool is_due, TimePoint due) {
+    withdrawals_due_.erase({entry.withdrawal_due, &entry});
+    entry.withdrawal_due = due;
+    if (is_due) {
+        withdrawals_due_.insert({due, &entry});
+    }
+}
+
+void RoutingTables::set_availability_sent(RoutingEntry& entry, bool repeated, int last_join,
+                                          TimePoint now) {
+    entry.notified_until_join = last_join;
+    if (repeated) {
+        return;
+    }
+    withdrawals_due_.erase({entry.withdrawal_due, &entry});
+    recently_withdrawn_.erase({entry.availability_changed, &entry});
+    entry.availability_changed = now;
+    if (entry.withdrawn) {
+        recently_withdrawn_.insert({now, &entry});
+    }
+}
+
+void RoutingTables::on_weights_sent(RoutingEntry& entry) {
+    touch(entry);
+    put(unsent_, entry, entry.sent() == 0);
+}
+
+void RoutingTables::drop_withdrawn_until(TimePoint until) {
+    while (!recently_withdrawn_.empty() && recently_withdrawn_.begin()->time <= until) {
+        recently_withdrawn_.erase(recently_withdrawn_.begin());
+    }
+}
+
+void RoutingTables::queue(RoutingEntry& entry) {
+    if (!entry.queued_for_planning) {
+        entry.queued_for_planning = true;
+        queued_.push_back(&entry);
+    }
+}
+
+void RoutingTables::queue(const EntrySet& entries) {
+    for (RoutingEntry* const entry : entries) {
+        queue(*entry);
+    }
+}
+
+void RoutingTables::queue_withdrawal_repeated() {
+    queue(std::exchange(withdrawal_repeated_, {}));
+}
+
+std::vector<RoutingEntry*> RoutingTables::take_queued() {
+    for (RoutingEntry* const entry : queued_) {
+        entry->queued_for_planning = false;
+    }
+    return std::exchange(queued_, {});
+}
+
+RoutingTables::PoolSet RoutingTables::take_touched_pools(bool weights_published) {
+    if (weights_published) {
+        for (RoutingEntry* const entry : std::exchange(held_back_, {})) {
+            touch(*entry);
+        }
+    }
+    PoolSet pools = std::exchange(touched_, {});
+    const PoolSet& scaled_again = weights_published ? rescaled_ : unsettled_;
+    pools.insert(scaled_again.begin(), scaled_again.end());
+    return pools;
+}
+
+void RoutingTables::set_subset_count(std::size_t count) {
+    for (TablePool& pool : pools_) {
+        pool.binding_lines.assign(count, 0);
+    }
+    for (auto& [server, entry] : endpoints_) {
+        entry.subset = std::min(entry.subset, count - 1);
+    }
+}
+
+void RoutingTables::take_first_change() {
+    const PendingChange change = first_change();
+    RoutingEntry& entry = entry_of(change);
+    if (change.pool) {
+        drop(pools_[*change.pool].entries.at(entry.server).planned, change.server, change.pool);
+    } else {
+        drop_availability_change(entry);
+    }
+}
+
+void RoutingTables::plan_availability_change(RoutingEntry& entry, const PlannedChange& change) {
+    for (const PoolTableEntry& place : entry.table_entries) {
+        drop_weight_change(place);
+    }
+    plan(entry.availability_change, {change.rank, change.sort_key, *entry.server, std::nullopt});
+    changing_availability_.insert(&entry);
+}
+
+void RoutingTables::drop_availability_change(RoutingEntry& entry) {
+    drop(entry.availability_change, *entry.server, std::nullopt);
+    changing_availability_.erase(&entry);
+}
+
+void RoutingTables::plan_weight_change(const PoolTableEntry& place, const PlannedChange& change) {
+    TableEntry& table_entry = *place.table_entry;
+    plan(table_entry.planned, {change.rank, change.sort_key, *table_entry.endpoint->server,
+                               static_cast<std::uint32_t>(place.pool)});
+}
+
+void RoutingTables::drop_weight_change(const PoolTableEntry& place) {
+    TableEntry& table_entry = *place.table_entry;
+    drop(table_entry.planned, *table_entry.endpoint->server,
+         static_cast<std::uint32_t>(place.pool));
+}
+
+void RoutingTables::drop_empty_table_entries(RoutingEntry& entry) {
+    std::erase_if(entry.table_entries, [&](const PoolTableEntry& place) {
+        const TableEntry& table_entry = *place.table_entry;
+        if (table_entry.published != 0 || table_entry.wanted != 0 || table_entry.sent != 0) {
+            return false;
+        }
+        drop_weight_change(place);
+        pools_[place.pool].entries.erase(entry.server);
+        return true;
+    });
+}
+
+void RoutingTables::forget(RoutingEntry& entry) {
+    drop_availability_change(entry);
+    for (const PoolTableEntry& place : entry.table_entries) {
+        drop_weight_change(place);
+        pools_[place.pool].entries.erase(entry.server);
+        touched_.insert(place.pool);
+    }
+    for (EntrySet* entries :
+         {&unsent_, &warming_up_, &held_back_, &withdrawal_repeated_, &failing_}) {
+        entries->erase(&entry);
+    }
+    withdrawals_due_.erase({entry.withdrawal_due, &entry});
+    recently_withdrawn_.erase({entry.availability_changed, &entry});
+    untracked_.erase({entry.last_published, &entry});
+    if (entry.queued_for_planning) {
+        std::erase(queued_, &entry);
+    }
+    endpoints_.erase(endpoints_.find(*entry.server));
+}
+
+TableEntry& RoutingTables::table_entry_in(std::size_t pool, RoutingEntry& entry) {
+    const auto [at, added] = pools_[pool].entries.try_emplace(entry.server, TableEntry{&entry});
+    TableEntry& table_entry = at->second;
+    if (added) {
+        entry.table_entries.push_back({pool, &table_entry});
+        std::ranges::sort(entry.table_entries, {}, &PoolTableEntry::pool);
+    }
+    return table_entry;
+}
+
+void RoutingTables::touch(RoutingEntry& entry) {
+    for (const PoolTableEntry& place : entry.table_entries) {
+        touched_.insert(place.pool);
+    }
+    queue(entry);
+}
+
+// A binding sets the entry, and withdraws an endpoint that is withdrawn or reinstates one that may
+// be withdrawn at the proxy: one more line.
+void RoutingTables::count_binding_lines(RoutingEntry& entry, double sign) {
+    const int lines = entry.withdrawn || entry.may_be_withdrawn_at_proxies ? 2 : 1;
+    for (const PoolTableEntry& place : entry.table_entries) {
+        if (place.table_entry->sent > 0) {
+            pools_[place.pool].binding_lines[entry.subset] += sign * lines;
+        }
+    }
+}
+
+void RoutingTables::plan(PlannedChange& planned, const PendingChange& change) {
+    const PlannedChange now{change.rank, change.sort_key};
+    if (planned == now) {
+        return;
+    }
+    drop(planned, change.server, change.pool);
+    planned = now;
+    pending_changes_.insert(change);
+}
+
+void RoutingTables::drop(PlannedChange& planned, const ServerId& server,
+                         std::optional<std::uint32_t> pool) {
+    if (planned.is_planned()) {
+        pending_changes_.erase({planned.rank, planned.sort_key, server, pool});
+    }
+    planned = {};
+}
+
+}  // namespace micaroad::decision
--- /dev/null
+++ b/src/decision/scheduler_state.hpp
@@ -0,0 +1,79 @@
+/// What the parts of the update scheduler share: tables, proxies, the send window and the figures
+/// that one part leaves for another. UpdateScheduler owns it; each part says in its contract what
+/// it changes.
+#pragma once
+
+#include <cstddef>
+
+#include "decision/decision_context.hpp"
+#include "decision/proxy_subsets.hpp"
+#include "decision/routing_tables.hpp"
+#include "decision/send_window.hpp"
+#include "decision/unbound_proxies.hpp"
+
+namespace micaroad::decision {
+
+/// Part of the configured pace that a channel keeps in any case.
+constexpr double kAssuredPaceFraction = 0.6;
+
+/// Endpoints that a subset has at least of each pool, and that a partial binding has at most.
+constexpr double kLeastSubsetSize = 8;
+
+/// An endpoint of whose latest attempts a smaller part succeeded is overloaded.
+constexpr double kOverloadedSuccess = 0.4;
+
+/// What a message is for, which decides how much of the send window it may fill.
+enum class WindowUse {
+    urgent,   ///< withdrawals and reinstatements that can't wait
+    binding,  ///< tables of proxies that join, and fresh capacity
+    learnt,   ///< weights and whatever can wait
+};
+
+/// Withdrawals that are not sent yet, as of the last plan; the sender counts them down.
+struct PendingWithdrawals {
+    int count = 0;
+    TimePoint oldest_due{};  ///< the time of the plan where there is none
+    /// Withdrawals that each unbound proxy has to be sent: the pending ones and the recent ones.
+    int owed_to_unbound_proxy = 0;
+};
+
+struct SchedulerState {
+    /// `shared_context` has to live as long as this object.
+    explicit SchedulerState(DecisionContext& shared_context) : context(shared_context) {}
+
+    /// Lines that may be written now; below 0: too many wait already.
+    [[nodiscard]] double available_window(WindowUse use) const;
+
+    /// What a message costs besides its lines, the line of its nonce among it.
+    [[nodiscard]] double lines_per_message() const {
+        return context.settings.overhead_lines_per_message + 1;
+    }
+    /// Lines that the channel sends in a second, as configured.
+    [[nodiscard]] double pace() const { return context.settings.channel_lines_per_second; }
+    [[nodiscard]] double drain_grace_seconds() const;
+    /// Lines of an admission update to a proxy: one for each method.
+    [[nodiscard]] double admission_lines() const {
+        return static_cast<double>(context.settings.methods.size());
+    }
+
+    [[nodiscard]] const PoolBinding& binding(std::size_t pool) const {
+        return tables.pools()[pool].binding;
+    }
+    /// The table of a pool for a subset or, by own_table_set(), for one proxy.
+    [[nodiscard]] TableId table_of(std::size_t pool, std::size_t table_set) const;
+    /// The tables of a partial binding stand behind those of the subsets.
+    [[nodiscard]] std::size_t own_table_set(ProxyId proxy) const {
+        return subsets.size() + static_cast<std::size_t>(proxy.value);
+    }
+
+    DecisionContext& context;
+    RoutingTables tables{};
+    ProxySubsets subsets{tables};
+    UnboundProxies unbound_proxies{};
+    SendWindow send_window{};     ///< charged with no fewer lines than are written
+    double learnt_allowance = 0;  ///< lines that learnt changes may use now
+    PendingWithdrawals withdrawals{};
+    bool any_warming_up = false;  ///< some endpoint is, as of the last published weights
+};
+
+}  // namespace micaroad::decision
--- /dev/null
+++ b/src/decision/subset_assignment.cpp
@@ -0,0 +1,159 @@
+#include "decision/subset_assignment.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <compare>
+#include <ranges>
+#include <vector>
+
+namespace micaroad::decision {
+
+namespace {
+
+// Bindings of all proxies of the planner take no more than this part of the drain grace.
+constexpr double kBindingGraceFraction = 0.2;
+
+// More tables than this for each proxy of the planner would leave subsets without proxies.
+constexpr double kTablesPerProxy = 0.4;
+
+// Loads that differ by less do so by chance.
+constexpr double kUnevenLoad = 1.25;
+
+// How much more load counts that comes from another zone.
+constexpr double kRemoteLoadFactor = 1.5;
+
+constexpr double kLeastPoolPart = 1e-9;  // keeps the load of an empty subset finite
+
+/// How well a subset suits an endpoint, the best first.
+struct Suitability {
+    bool other_zone = false;
+    double endpoints_in_its_pools = 0;
+    auto operator<=>(const Suitability&) const = default;
+};
+
+auto indices_of(const ProxySubsets& subsets) {
+    return std::views::iota(std::size_t{0}, subsets.size());
+}
+
+}  // namespace
+
+void SubsetAssignment::assign(const RoutingTables::PoolSet& pools, bool weights_published) {
+    const RoutingTables& tables = state_.tables;
+    if (state_.subsets.bound_proxies().empty() &&
+        tables.unsent().size() == tables.endpoints().size()) {
+        divide();
+    }
+    measure_success(weights_published);
+    if (state_.subsets.size() == 1) {
+        return;
+    }
+    state_.subsets.recount(pools);
+    assign_unsent();
+}
+
+// As many subsets as make the bindings of all proxies fit into their part of the drain grace.
+void SubsetAssignment::divide() {
+    const DeploymentSettings& settings = state_.context.settings;
+    const double pools = static_cast<double>(state_.tables.pools().size());
+    const double proxies = 1.0 * std::max(1, settings.proxy_count) / settings.planner_count;
+    const double lines_in_time =
+        kBindingGraceFraction * state_.drain_grace_seconds() * state_.pace();
+    const double entries_per_proxy =
+        lines_in_time / proxies - state_.lines_per_message() - 2.0 * state_.admission_lines();
+    const double wanted =
+        std::ceil(wanted_table_entries() / std::max(entries_per_proxy, kLeastSubsetSize * pools));
+    const double useful = std::min(wanted, kTablesPerProxy * proxies / std::max(1.0, pools));
+    const bool one_zone_each = settings.zone_count > 1 && useful >= settings.zone_count;
+    const double zones = one_zone_each ? settings.zone_count : 1;
+    const double count = std::max(1.0, std::ceil(useful / zones) * zones);
+    state_.subsets.divide(static_cast<std::size_t>(count), static_cast<int>(zones));
+}
+
+double SubsetAssignment::wanted_table_entries() const {
+    double entries = 0;
+    for (const TablePool& pool : state_.tables.pools()) {
+        for (const auto& [server, table_entry] : pool.entries) {
+            entries += table_entry.wanted > 0 ? 1 : 0;
+        }
+    }
+    return entries;
+}
+
+// Endpoints are assigned once more in each plan, until an entry of them is sent.
+void SubsetAssignment::assign_unsent() {
+    std::vector<RoutingEntry*> assigned;
+    for (RoutingEntry* const entry : state_.tables.unsent()) {
+        if (entry->wanted() > 0) {
+            entry->subset = subset_for(*entry);
+            state_.subsets.count_endpoint(*entry);
+            assigned.push_back(entry);
+        }
+    }
+    for (const RoutingEntry* const entry : assigned) {
+        state_.subsets.uncount_endpoint(*entry);
+    }
+}
+
+std::size_t SubsetAssignment::subset_for(const RoutingEntry& entry) const {
+    const auto suitability = [&](const Subset& subset) {
+        double endpoints = 0;
+        for (const PoolTableEntry& place : entry.table_entries) {
+            endpoints += place.table_entry->wanted > 0 ? subset.endpoint_count[place.pool] : 0;
+        }
+        return Suitability{subset.is_remote_to(entry.zone), endpoints};
+    };
+    const std::vector<Subset>& subsets = state_.subsets.all();
+    const auto best = std::ranges::min_element(subsets, {}, suitability);
+    return static_cast<std::size_t>(best - subsets.begin());
+}
+
+// No subset is overloaded where no endpoint fails.
+void SubsetAssignment::measure_success(bool weights_published) {
+    state_.subsets.reset_success_margins();
+    if (state_.tables.warming_up().empty() || state_.tables.failing().empty()) {
+        return;
+    }
+    for (const auto& [server, entry] : state_.tables.endpoints()) {
+        if (!entry.warming_up && entry.sent() > 0) {
+            const double weight = weights_published ? entry.published() : entry.wanted();
+            state_.subsets.add_success_margin(
+                entry.subset, (entry.success_fraction - kOverloadedSuccess) * weight);
+        }
+    }
+}
+
+// RPCs of the subset's proxies, and of one more, for each part of the pool that it has least of.
+double SubsetAssignment::load(std::size_t subset, ZoneId zone, double more_rpcs_per_second) {
+    const double least = state_.subsets.least_pool_part(subset, zone);
+    const Subset& its = state_.subsets[subset];
+    return (its.rpcs_per_second + more_rpcs_per_second) / std::max(least, kLeastPoolPart) *
+           (its.is_remote_to(zone) ? kRemoteLoadFactor : 1);
+}
+
+std::size_t SubsetAssignment::least_loaded(ZoneId zone, double rpcs_per_second) {
+    const auto load_with_proxy = [&](std::size_t subset) {
+        return load(subset, zone, rpcs_per_second);
+    };
+    return std::ranges::min(indices_of(state_.subsets), {}, load_with_proxy);
+}
+
+std::optional<ProxyMove> SubsetAssignment::next_move() {
+    const auto own_load = [&](std::size_t subset) {
+        return load(subset, state_.subsets[subset].zone.value_or(ZoneId{}), 0);
+    };
+    const std::size_t from = std::ranges::max(indices_of(state_.subsets), {}, own_load);
+    const Subset& most_loaded = state_.subsets[from];
+    if (most_loaded.proxies.empty()) {
+        return std::nullopt;
+    }
+    const ProxyId proxy = *most_loaded.proxies.begin();
+    const BoundProxy& bound = state_.subsets.bound_proxies().at(proxy);
+    const std::size_t to = least_loaded(bound.zone, bound.rpcs_per_second);
+    if (to == from ||
+        load(from, bound.zone, 0) < kUnevenLoad * load(to, bound.zone, bound.rpcs_per_second)) {
+        return std::nullopt;
+    }
+    return ProxyMove{proxy, to};
+}
+
+}  // namespace micaroad::decision
--- /dev/null
+++ b/src/decision/subset_assignment.hpp
@@ -0,0 +1,51 @@
+/// Decides how many subsets of the endpoints there are, which endpoint belongs to which, which
+/// subset a proxy is bound to, and which proxy moves where loads differ.
+///
+/// Guards against a channel that can't carry tables of all endpoints, nor each withdrawal, to all
+/// proxies in time: a subset's tables and withdrawals go to its own proxies alone. It could harm
+/// where few endpoints are left in a subset: its proxies move to others then. The design has one
+/// table a pool for all proxies; docs/design.md, "Subsets", says where and why this departs from
+/// it.
+#pragma once
+
+#include <cstddef>
+#include <optional>
+
+#include "decision/scheduler_state.hpp"
+
+namespace micaroad::decision {
+
+/// A proxy that is to leave an overloaded subset for another one.
+struct ProxyMove {
+    ProxyId proxy;
+    std::size_t to = 0;
+};
+
+/// Changes the subsets and RoutingEntry::subset; sends nothing.
+class SubsetAssignment {
+ public:
+    /// `state` has to live as long as this object.
+    explicit SubsetAssignment(SchedulerState& state) : state_(state) {}
+
+    /// Divides the endpoints into subsets while none is sent and no proxy is bound, and assigns
+    /// those of which no entry is sent. `pools` have changed since the last call.
+    void assign(const RoutingTables::PoolSet& pools, bool weights_published);
+
+    /// The subset with the least load for a proxy of this zone and rate.
+    [[nodiscard]] std::size_t least_loaded(ZoneId zone, double rpcs_per_second);
+
+    /// A move from the most loaded subset; absent where loads differ by no more than chance.
+    [[nodiscard]] std::optional<ProxyMove> next_move();
+
+ private:
+    void divide();
+    [[nodiscard]] double wanted_table_entries() const;
+    void assign_unsent();
+    void measure_success(bool weights_published);
+    [[nodiscard]] std::size_t subset_for(const RoutingEntry& entry) const;
+    [[nodiscard]] double load(std::size_t subset, ZoneId zone, double more_rpcs_per_second);
+
+    SchedulerState& state_;
+};
+
+}  // namespace micaroad::decision
--- /dev/null
+++ b/src/decision/unbound_proxies.hpp
@@ -0,0 +1,56 @@
+/// Proxies that have joined and are not bound to any table yet, in the order in which they are to
+/// be bound.
+#pragma once
+
+#include <cstddef>
+#include <set>
+#include <tuple>
+
+#include "micaroad/planner.hpp"
+
+namespace micaroad::decision {
+
+/// A proxy that goes on by a table which this planner did not write.
+struct UnboundProxy {
+    ProxyId proxy;
+    ZoneId zone;
+    double rpcs_per_second = 0;  ///< as it announced
+    bool initial_table_only = false;
+    int join_number = 0;  ///< its place among all joins, from 1
+};
+
+/// Proxies that have their initial table alone come first, then the busiest.
+struct BindingOrder {
+    bool operator()(const UnboundProxy& one, const UnboundProxy& other) const {
+        return std::tuple(!one.initial_table_only, -one.rpcs_per_second, one.proxy) <
+               std::tuple(!other.initial_table_only, -other.rpcs_per_second, other.proxy);
+    }
+};
+
+/// The unbound proxies of a planner, and the count of all joins. Not thread-safe.
+class UnboundProxies {
+ public:
+    /// Adds a proxy that is not in the set.
+    void add(const event::ProxyJoined& joined) {
+        ++join_count_;
+        proxies_.insert({joined.proxy, joined.zone, joined.rpcs_per_second,
+                         joined.initial_table_only, join_count_});
+    }
+    void remove(ProxyId proxy) {
+        std::erase_if(proxies_,
+                      [&](const UnboundProxy& unbound) { return unbound.proxy == proxy; });
+    }
+
+    [[nodiscard]] bool empty() const { return proxies_.empty(); }
+    [[nodiscard]] std::size_t size() const { return proxies_.size(); }
+    [[nodiscard]] const UnboundProxy& first() const { return *proxies_.begin(); }
+    [[nodiscard]] const std::set<UnboundProxy, BindingOrder>& all() const { return proxies_; }
+    /// Number of the last join, also of proxies that are bound now or have left; 0: none joined.
+    [[nodiscard]] int last_join() const { return join_count_; }
+
+ private:
+    std::set<UnboundProxy, BindingOrder> proxies_;
+    int join_count_ = 0;
+};
+
+}  // namespace micaroad::decision
--- /dev/null
+++ b/src/decision/update_scheduler.cpp
@@ -0,0 +1,133 @@
+#include "decision/update_scheduler.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "decision/numeric.hpp"
+
+namespace micaroad::decision {
+
+namespace {
+
+// Acknowledgements have stopped where none came for this many times the longest delay of a message.
+constexpr int kDelaysUntilSilent = 4;
+
+// Learnt changes use this part of the channel's pace; the design's value. What they don't use adds
+// up to no more than the lines of kAllowanceSeconds at the whole pace.
+constexpr double kAllowanceSeconds = 2;
+
+// Withdrawals wait for bindings for up to the drain grace divided by this.
+constexpr int kGraceOverLongestHold = 4;
+
+}  // namespace
+
+void UpdateScheduler::on(const RenewSubscription& /*renew*/) {
+    state_.context.orders.push_back(order::Subscribe{});
+}
+
+void UpdateScheduler::on(const PoolBinding& binding) {
+    state_.tables.add_pool(binding);
+}
+
+void UpdateScheduler::on(const AdmissionFractions& fractions) {
+    admission_.set_wanted(fractions.amounts);
+}
+
+void UpdateScheduler::on(const DesiredWeights& desired) {
+    RoutingTables& tables = state_.tables;
+    RoutingEntry& entry = tables.find_or_add(desired.server);
+    tables.update_counted(entry, [&] { entry.may_be_withdrawn_at_proxies |= !desired.steady; });
+    tables.set_published(entry, desired.shares);
+    tables.set_tracked(entry, !desired.last, state_.context.now);
+    tables.set_warming_up(entry, desired.cold);
+    entry.zone = desired.zone;
+}
+
+void UpdateScheduler::on(const WeightsPublished& published) {
+    state_.any_warming_up = published.any_cold;
+    if (published.any_server) {
+        planner_.on_weights_published();
+    }
+}
+
+void UpdateScheduler::on(const OwnershipTransfer& transfer) {
+    sender_.add_transfer(transfer);
+}
+
+void UpdateScheduler::on(const event::ProxyJoined& joined) {
+    binder_.on_proxy_joined(joined);
+    planner_.on_proxy_joined();
+}
+
+void UpdateScheduler::on(const event::ProxyLeft& left) {
+    binder_.on_proxy_left(left.proxy);
+}
+
+void UpdateScheduler::on(const event::Acknowledgement& acknowledgement) {
+    if (state_.send_window.on_acknowledgement(acknowledgement.proxy, acknowledgement.nonce)) {
+        last_acknowledgement_ = state_.context.now;
+    }
+}
+
+void UpdateScheduler::on(const event::EndpointLoadReport& report) {
+    RoutingEntry* const entry = state_.tables.find(report.server);
+    if (entry == nullptr) {
+        return;
+    }
+    entry->success_fraction = 1 - report.failures / report.attempts;
+    state_.tables.set_failing(*entry, entry->success_fraction < kOverloadedSuccess);
+    if (state_.any_warming_up) {
+        planner_.on_success_reported();
+    }
+}
+
+void UpdateScheduler::on(const Tick& /*tick*/) {
+    advance_send_window();
+    if (planner_.is_due()) {
+        planner_.make_plan();
+    }
+    // With subsets proxies are bound first: one that is bound has to be sent fewer withdrawals.
+    if (state_.subsets.size() > 1) {
+        bind_proxies();
+        binder_.rebalance();
+    }
+    if (!are_changes_held()) {
+        sender_.send();
+    }
+    if (state_.subsets.size() == 1) {
+        bind_proxies();
+    }
+    if (const std::optional<Nonce> nonce = state_.send_window.next_nonce()) {
+        state_.context.orders.push_back(order::SendNonce{*nonce, false});
+    }
+}
+
+void UpdateScheduler::advance_send_window() {
+    const TimePoint now = state_.context.now;
+    const double elapsed = seconds(now - std::exchange(last_tick_, now));
+    if (state_.send_window.pending() == 0) {
+        last_acknowledgement_ = now;
+    }
+    const Duration silent_after = kDelaysUntilSilent * state_.context.settings.max_message_delay;
+    const double pace = state_.pace();
+    state_.send_window.advance(
+        {.lines_at_most = pace * elapsed,
+         .lines_at_least = kAssuredPaceFraction * pace * elapsed,
+         .acknowledgements_stopped = now > last_acknowledgement_ + silent_after});
+    state_.learnt_allowance =
+        std::min(state_.learnt_allowance + pace / 2 * elapsed, pace * kAllowanceSeconds);
+}
+
+void UpdateScheduler::bind_proxies() {
+    binder_.bind_joined();
+    binder_.complete_partial_bindings();
+}
+
+// Withdrawals wait while proxies are being bound that would otherwise have to be sent each of them.
+bool UpdateScheduler::are_changes_held() const {
+    const bool binding = state_.subsets.size() > 1 && !state_.unbound_proxies.empty();
+    const Duration longest_hold = state_.context.settings.drain_grace / kGraceOverLongestHold;
+    return binding && state_.context.now < state_.withdrawals.oldest_due + longest_hold;
+}
+
+}  // namespace micaroad::decision
--- /dev/null
+++ b/src/decision/update_sender.cpp
@@ -0,0 +1,283 @@
+#include "decision/update_sender.hpp"
+
+#include <algorithm>
+#include <numeric>
+
+#include "decision/numeric.hpp"
+
+namespace micaroad::decision {
+
+namespace {
+
+// What a message costs besides its lines as the design counts it, which the allowance of learnt
+// changes goes by.
+constexpr double kDesignLinesPerMessage = 6;
+
+// Changes that are due within this time are sent in one message, which saves its overhead. Learnt
+// changes save more overhead than waiting costs them.
+constexpr Duration kMergeInterval = std::chrono::milliseconds(200);
+constexpr Duration kLearntMergeInterval = std::chrono::seconds(1);
+
+// Where proxies take a limited number of messages within a time, this many are left for a binding.
+constexpr int kMessagesLeftForBinding = 3;
+constexpr int kUnlimitedMessages = 1'000'000;
+
+/// A withdrawal that was sent already and is to reach proxies that have joined since.
+bool is_repeated_withdrawal(const RoutingEntry& entry) {
+    return entry.withdrawn && entry.wanted() == 0;
+}
+
+}  // namespace
+
+double UpdateSender::Round::unbound_after(int join) const {
+    return static_cast<double>(unbound_joins.end() - std::ranges::upper_bound(unbound_joins, join));
+}
+
+void UpdateSender::Round::add_lines_to_all(double lines) {
+    for (double& its : subset_lines) {
+        its += lines;
+    }
+}
+
+void UpdateSender::Round::set_sent(ChangeRank rank) {
+    (rank == ChangeRank::urgent ? urgent_sent : learnt_sent) = true;
+}
+
+void UpdateSender::send() {
+    Round round = begin_round();
+    update_admission_pause();
+    send_admission(round);
+    send_transfers(round);
+    send_table_changes(round);
+    if (round.urgent_sent || round.learnt_sent) {
+        charge(round);
+        space_rounds(round);
+    }
+}
+
+// What unbound proxies hold can't be seen: each is sent all withdrawals and reinstatements since it
+// joined.
+UpdateSender::Round UpdateSender::begin_round() const {
+    Round round;
+    for (const UnboundProxy& unbound : state_.unbound_proxies.all()) {
+        round.unbound_joins.push_back(unbound.join_number);
+    }
+    std::ranges::sort(round.unbound_joins);
+    round.subset_lines.resize(state_.subsets.size());
+    round.first_notified_join = state_.unbound_proxies.last_join();
+    return round;
+}
+
+// Guards against more withdrawals than the channel carries within the grace, for many endpoints or
+// many proxies: nothing is admitted until they are sent. It costs service for so long.
+void UpdateSender::update_admission_pause() {
+    const DeploymentSettings& settings = state_.context.settings;
+    const PendingWithdrawals& withdrawals = state_.withdrawals;
+    const double proxies_per_subset =
+        1.0 * static_cast<double>(state_.subsets.bound_proxies().size()) /
+        static_cast<double>(std::max<std::size_t>(state_.subsets.size(), 1));
+    const double seconds_to_send =
+        (state_.send_window.pending() + withdrawals.count * proxies_per_subset) /
+        (kAssuredPaceFraction * state_.pace());
+    const Duration left_of_grace = withdrawals.oldest_due + settings.drain_grace -
+                                   settings.max_message_delay - state_.context.now;
+    const bool too_many = seconds_to_send > seconds(left_of_grace);
+    admission_paused_ = withdrawals.count > 0 && (admission_paused_ || too_many);
+}
+
+void UpdateSender::send_admission(Round& round) {
+    const AdmissionSetting setting = admission_.next(admission_paused_);
+    if (!admission_.is_worth_sending(setting)) {
+        return;
+    }
+    const double lines = state_.admission_lines();
+    const ChangeRank rank = admission_.rank_of(setting);
+    if (!fits(round, {rank, lines, std::nullopt, state_.unbound_proxies.last_join()})) {
+        return;
+    }
+    admission_.set_sent(setting);
+    std::vector<std::size_t> table_sets(state_.subsets.size());
+    std::iota(table_sets.begin(), table_sets.end(), std::size_t{0});
+    admission_.order_sent(table_sets, state_.context.orders);
+    for (const auto& [proxy, bound] : state_.subsets.bound_proxies()) {
+        if (bound.partial) {
+            const std::size_t own_tables = state_.own_table_set(proxy);
+            admission_.order_sent({&own_tables, 1}, state_.context.orders);
+        }
+    }
+    round.set_sent(rank);
+    round.add_lines_to_all(lines);
+}
+
+void UpdateSender::send_transfers(Round& round) {
+    const Cost cost{ChangeRank::urgent, 1, std::nullopt, state_.unbound_proxies.last_join()};
+    while (!transfers_.empty() && fits(round, cost)) {
+        const OwnershipTransfer& transfer = transfers_.front();
+        state_.context.orders.push_back(
+            order::SetTableEntry{transfer.slice, transfer.server, transfer.weight});
+        round.add_lines_to_all(1);
+        round.set_sent(ChangeRank::urgent);
+        transfers_.pop_front();
+    }
+}
+
+void UpdateSender::send_table_changes(Round& round) {
+    while (state_.tables.has_pending_changes()) {
+        const PendingChange change = state_.tables.first_change();
+        RoutingEntry& entry = state_.tables.entry_of(change);
+        const Cost cost = cost_of(change, entry);
+        if (!fits(round, cost)) {
+            return;
+        }
+        round.set_sent(change.rank);
+        if (change.rank == ChangeRank::urgent) {
+            state_.withdrawals.count = std::max(0, state_.withdrawals.count - 1);
+        }
+        round.subset_lines[entry.subset] += cost.lines;
+        round.unbound_lines += round.unbound_after(cost.unbound_after_join);
+        round.first_notified_join = std::min(round.first_notified_join, cost.unbound_after_join);
+        round.notified_joins.push_back(cost.unbound_after_join);
+        state_.tables.take_first_change();
+        apply(entry, change.pool);
+    }
+}
+
+bool UpdateSender::fits(const Round& round, const Cost& cost) const {
+    const bool urgent = cost.rank == ChangeRank::urgent;
+    if (state_.context.now < (urgent ? next_urgent_round_ : next_learnt_round_)) {
+        return false;
+    }
+    const int notified_join = std::min(round.first_notified_join, cost.unbound_after_join);
+    const double to_unbound = round.unbound_lines + round.unbound_after(cost.unbound_after_join) +
+                              state_.lines_per_message() * round.unbound_after(notified_join);
+    const double to_bound =
+        lines_to_bound(round, state_.lines_per_message(), cost.lines, cost.subset);
+    // An endpoint that comes back is capacity: it may use as much of the window as a binding, and
+    // none of the allowance of learnt changes.
+    const bool reinstates = cost.rank == ChangeRank::learnt && cost.unbound_after_join == 0;
+    WindowUse use = urgent ? WindowUse::urgent : WindowUse::learnt;
+    if (reinstates) {
+        use = WindowUse::binding;
+    }
+    if (to_bound + to_unbound > state_.available_window(use)) {
+        return false;
+    }
+    return urgent || reinstates ||
+           lines_to_bound(round, kDesignLinesPerMessage, cost.lines, cost.subset) <=
+               std::max(state_.learnt_allowance, 0.0);
+}
+
+double UpdateSender::lines_to_bound(const Round& round, double lines_per_message, double more_lines,
+                                    std::optional<std::size_t> subset) const {
+    double sum = 0;
+    for (std::size_t i = 0; i < round.subset_lines.size(); ++i) {
+        const bool gets_more = !subset || *subset == i;
+        const double lines = round.subset_lines[i] + (gets_more ? more_lines : 0);
+        const double with_overhead = lines > 0 ? lines_per_message + lines : 0;
+        sum += with_overhead * static_cast<double>(state_.subsets[i].proxies.size());
+    }
+    return sum;
+}
+
+UpdateSender::Cost UpdateSender::cost_of(const PendingChange& change,
+                                         const RoutingEntry& entry) const {
+    const bool withdraw = entry.wanted() == 0;
+    const bool repeated = is_repeated_withdrawal(entry);
+    Cost cost{change.rank, 0, entry.subset, 0};
+    if (change.pool) {
+        // A weight may be followed by a reinstatement.
+        cost.lines = entry.may_be_withdrawn_at_proxies && !withdraw ? 2 : 1;
+        cost.unbound_after_join = state_.unbound_proxies.last_join();
+        return cost;
+    }
+    if (repeated) {
+        cost.unbound_after_join = entry.notified_until_join;
+    }
+    // Proxies that hold no entry of the endpoint are not sent its withdrawal.
+    const bool withdrawal_reaches_bound = withdraw && entry.sent() > 0;
+    cost.lines = !repeated && (!withdraw || withdrawal_reaches_bound) ? 1 : 0;
+    if (!withdraw || repeated) {
+        for (const PoolTableEntry& place : entry.table_entries) {
+            cost.lines += place.table_entry->wanted != place.table_entry->sent ? 1 : 0;
+        }
+    }
+    return cost;
+}
+
+// Sends the weight in one pool, or a withdrawal or reinstatement with the weights that go with it.
+void UpdateSender::apply(RoutingEntry& entry, std::optional<std::size_t> pool) {
+    const bool withdraw = entry.wanted() == 0;
+    const bool repeated = is_repeated_withdrawal(entry);
+    state_.tables.update_counted(entry, [&] {
+        send_weights(entry, pool, repeated);
+        if (!pool) {
+            entry.withdrawn = withdraw;
+            entry.may_be_withdrawn_at_proxies = true;
+        }
+    });
+    state_.tables.on_weights_sent(entry);
+    if (pool) {
+        return;
+    }
+    state_.context.orders.push_back(order::SetWithdrawn{*entry.server, withdraw});
+    state_.tables.set_availability_sent(entry, repeated, state_.unbound_proxies.last_join(),
+                                        state_.context.now);
+}
+
+// A repeated withdrawal is to reach no proxy that was sent it already: their tables drop the entry
+// first.
+void UpdateSender::send_weights(RoutingEntry& entry, std::optional<std::size_t> pool,
+                                bool repeated) {
+    const bool all_pools = !pool && (entry.wanted() != 0 || repeated);
+    for (const PoolTableEntry& place : entry.table_entries) {
+        TableEntry& table_entry = *place.table_entry;
+        const bool meant = all_pools || place.pool == pool;
+        if (!meant || table_entry.wanted == table_entry.sent) {
+            continue;
+        }
+        state_.context.orders.push_back(order::SetTableEntry{
+            state_.table_of(place.pool, entry.subset), *entry.server, table_entry.wanted});
+        table_entry.sent = table_entry.wanted;
+    }
+}
+
+void UpdateSender::charge(Round& round) {
+    std::ranges::sort(round.notified_joins);
+    for (const UnboundProxy& unbound : state_.unbound_proxies.all()) {
+        const auto notified = std::ranges::lower_bound(round.notified_joins, unbound.join_number) -
+                              round.notified_joins.begin();
+        if (notified > 0) {
+            state_.send_window.charge(unbound.proxy,
+                                      state_.lines_per_message() + static_cast<double>(notified));
+        }
+    }
+    for (const auto& [proxy, bound] : state_.subsets.bound_proxies()) {
+        const double lines = round.subset_lines[bound.subset];
+        if (lines > 0) {
+            state_.send_window.charge(proxy, state_.lines_per_message() + lines);
+        }
+    }
+    if (round.learnt_sent) {
+        const double lines = lines_to_bound(round, kDesignLinesPerMessage, 0, std::nullopt);
+        state_.learnt_allowance = std::max(0.0, state_.learnt_allowance - lines);
+    }
+}
+
+// So spaced, rounds stay under the most messages that a proxy may get, its binding among them: of
+// the spacing's inverse, urgent rounds take seven tenths and learnt ones three.
+void UpdateSender::space_rounds(const Round& round) {
+    const DeploymentSettings& settings = state_.context.settings;
+    const int most_messages =
+        settings.max_messages_per_proxy > 0
+            ? std::max(1, settings.max_messages_per_proxy - kMessagesLeftForBinding)
+            : kUnlimitedMessages;
+    const Duration spacing = settings.message_limit_window / most_messages;
+    if (round.urgent_sent) {
+        next_urgent_round_ = state_.context.now + std::max(kMergeInterval, spacing * 10 / 7);
+    }
+    if (round.learnt_sent) {
+        next_learnt_round_ = state_.context.now + std::max(kLearntMergeInterval, spacing * 10 / 3);
+    }
+}
+
+}  // namespace micaroad::decision
--- /dev/null
+++ b/src/decision/update_sender.hpp
@@ -0,0 +1,77 @@
+/// Sends what the window allows: admission updates, ownership transfers and the pending changes of
+/// the routing tables, in this order.
+#pragma once
+
+#include <cstddef>
+#include <deque>
+#include <optional>
+#include <vector>
+
+#include "decision/admission_updates.hpp"
+#include "decision/scheduler_state.hpp"
+
+namespace micaroad::decision {
+
+/// Orders changes, notes in the tables what was sent, and charges the send window and the allowance
+/// of learnt changes.
+class UpdateSender {
+ public:
+    /// Both have to live as long as this object.
+    UpdateSender(SchedulerState& state, AdmissionUpdates& admission)
+        : state_(state), admission_(admission) {}
+
+    /// Sent before all changes of routing tables, in the order in which they are added.
+    void add_transfer(const OwnershipTransfer& transfer) { transfers_.push_back(transfer); }
+
+    /// Sends as much as fits now.
+    void send();
+
+ private:
+    /// What an update costs each proxy that gets it.
+    struct Cost {
+        ChangeRank rank = ChangeRank::learnt;
+        double lines = 0;                   ///< at most, for each bound proxy that gets it
+        std::optional<std::size_t> subset;  ///< whose proxies get it; absent: those of all
+        int unbound_after_join = 0;  ///< unbound proxies that joined after this join get one line
+    };
+
+    /// What one call of send() has written so far.
+    struct Round {
+        std::vector<int> unbound_joins;     ///< join numbers of the unbound proxies, ascending
+        std::vector<double> subset_lines;   ///< for each proxy of a subset, by subset
+        std::vector<int> notified_joins{};  ///< Cost::unbound_after_join of each change sent
+        double unbound_lines = 0;           ///< for all unbound proxies
+        int first_notified_join = 0;        ///< the least of notified_joins; else the last join
+        bool urgent_sent = false;
+        bool learnt_sent = false;
+
+        [[nodiscard]] double unbound_after(int join) const;
+        void add_lines_to_all(double lines);
+        void set_sent(ChangeRank rank);
+    };
+
+    [[nodiscard]] Round begin_round() const;
+    void update_admission_pause();
+    void send_admission(Round& round);
+    void send_transfers(Round& round);
+    void send_table_changes(Round& round);
+    void charge(Round& round);
+    void space_rounds(const Round& round);
+
+    [[nodiscard]] bool fits(const Round& round, const Cost& cost) const;
+    /// Lines for all bound proxies, with an update that is not sent yet.
+    [[nodiscard]] double lines_to_bound(const Round& round, double lines_per_message,
+                                        double more_lines, std::optional<std::size_t> subset) const;
+    [[nodiscard]] Cost cost_of(const PendingChange& change, const RoutingEntry& entry) const;
+    void apply(RoutingEntry& entry, std::optional<std::size_t> pool);
+    void send_weights(RoutingEntry& entry, std::optional<std::size_t> pool, bool repeated);
+
+    SchedulerState& state_;
+    AdmissionUpdates& admission_;
+    std::deque<OwnershipTransfer> transfers_{};
+    bool admission_paused_ = false;
+    TimePoint next_urgent_round_{};
+    TimePoint next_learnt_round_{};
+};
+
+}  // namespace micaroad::decision
