--- a/src/decision/proxy_binder.hpp
+++ b/src/decision/proxy_binder.hpp
@@ -59,7 +59,7 @@
     SchedulerState& state_;
     SubsetAssignment& assignment_;
     const AdmissionUpdates& admission_;
-    std::deque<ProxyId> partially_bound_{};  // in that order; some are bound or gone since
+    std::deque<ProxyId> partially_bound_;  // in that order; some are bound or gone since
 };
 
 }  // namespace micaroad::decision
--- a/src/decision/proxy_subsets.hpp
+++ b/src/decision/proxy_subsets.hpp
@@ -26,13 +26,13 @@
 
 /// Some of the endpoints: each of its proxies has the table entries of all of them, and no others.
 struct Subset {
-    std::optional<ZoneId> zone{};  ///< of all its endpoints; absent: they are of all zones
-    RealVector endpoint_count{};   ///< by pool
-    RealVector wanted_weight{};    ///< by pool
-    double rpcs_per_second = 0;    ///< of its proxies
+    std::optional<ZoneId> zone;  ///< of all its endpoints; absent: they are of all zones
+    RealVector endpoint_count;   ///< by pool
+    RealVector wanted_weight;    ///< by pool
+    double rpcs_per_second = 0;  ///< of its proxies
     /// Weighted excess of its warmed-up endpoints' success over what an overloaded one has.
     double success_margin = 0;
-    std::set<ProxyId> proxies{};
+    std::set<ProxyId> proxies;
 
     [[nodiscard]] bool is_overloaded() const { return success_margin < 0; }
     /// Do proxies of this zone reach its endpoints across zones?
--- a/src/decision/routing_entry.hpp
+++ b/src/decision/routing_entry.hpp
@@ -50,7 +50,7 @@
     double published = 0;  ///< what the optimizer published last
     double wanted = 0;     ///< what proxies should hold, in the scale of what they hold
     double sent = 0;       ///< what proxies were sent last
-    PlannedChange planned{};
+    PlannedChange planned;
 };
 
 /// An endpoint's entry in the tables of a pool, by the pool's index.
@@ -62,9 +62,9 @@
 /// An endpoint as proxies know it. Its withdrawal makes proxies leave it out whatever their tables
 /// hold; a reinstatement lifts that.
 struct RoutingEntry {
-    const ServerId* server = nullptr;             ///< the key in RoutingTables::endpoints()
-    std::vector<PoolTableEntry> table_entries{};  ///< in the order of pools
-    ZoneId zone{};
+    const ServerId* server = nullptr;           ///< the key in RoutingTables::endpoints()
+    std::vector<PoolTableEntry> table_entries;  ///< in the order of pools
+    ZoneId zone;
     std::size_t subset = 0;
     bool tracked = true;  ///< the optimizer publishes weights for it
     bool warming_up = false;
@@ -75,11 +75,11 @@
     bool queued_for_planning = false;
     /// Number of the last join among proxies that were sent its withdrawal or reinstatement.
     int notified_until_join = 0;
-    TimePoint withdrawal_due{};        ///< since when it should be withdrawn; epoch: it should not
-    TimePoint availability_changed{};  ///< when it was last withdrawn or reinstated
-    TimePoint last_published{};        ///< when the optimizer last published weights for it
-    double success_fraction = 1;       ///< of the attempts in its latest load report
-    PlannedChange availability_change{};  ///< its withdrawal or reinstatement
+    TimePoint withdrawal_due;           ///< since when it should be withdrawn; epoch: it should not
+    TimePoint availability_changed;     ///< when it was last withdrawn or reinstated
+    TimePoint last_published;           ///< when the optimizer last published weights for it
+    double success_fraction = 1;        ///< of the attempts in its latest load report
+    PlannedChange availability_change;  ///< its withdrawal or reinstatement
 
     /// Sums over the pools.
     [[nodiscard]] double published() const { return sum(&TableEntry::published); }
@@ -99,9 +99,9 @@
 /// The tables of one pool: one table for each subset.
 struct TablePool {
     PoolBinding binding;
-    std::map<const ServerId*, TableEntry, ByServer> entries{};
-    double sent_in_use = 0;               ///< sent weights of the endpoints that stay in use
-    std::vector<double> binding_lines{};  ///< lines that a binding sends of the pool, by subset
+    std::map<const ServerId*, TableEntry, ByServer> entries;
+    double sent_in_use = 0;             ///< sent weights of the endpoints that stay in use
+    std::vector<double> binding_lines;  ///< lines that a binding sends of the pool, by subset
 
     /// Do proxies of this zone use the pool?
     [[nodiscard]] bool serves(ZoneId zone) const { return binding.zone.value_or(zone) == zone; }
--- a/src/decision/routing_tables.cpp
+++ b/src/decision/routing_tables.cpp
@@ -200,9 +200,10 @@
 }
 
 TableEntry& RoutingTables::table_entry_in(std::size_t pool, RoutingEntry& entry) {
-    const auto [at, added] = pools_[pool].entries.try_emplace(entry.server, TableEntry{&entry});
+    const auto [at, added] = pools_[pool].entries.try_emplace(entry.server);
     TableEntry& table_entry = at->second;
     if (added) {
+        table_entry.endpoint = &entry;
         entry.table_entries.push_back({pool, &table_entry});
         std::ranges::sort(entry.table_entries, {}, &PoolTableEntry::pool);
     }
--- a/src/decision/routing_tables.hpp
+++ b/src/decision/routing_tables.hpp
@@ -42,7 +42,7 @@
     /// Pools in the order in which they were added, which is that of their indices.
     [[nodiscard]] std::vector<TablePool>& pools() { return pools_; }
     [[nodiscard]] const std::vector<TablePool>& pools() const { return pools_; }
-    void add_pool(const PoolBinding& binding) { pools_.push_back({binding}); }
+    void add_pool(const PoolBinding& binding) { pools_.emplace_back().binding = binding; }
 
     [[nodiscard]] const std::map<ServerId, RoutingEntry>& endpoints() const { return endpoints_; }
     [[nodiscard]] RoutingEntry* find(const ServerId& server);
--- a/src/decision/scheduler_state.hpp
+++ b/src/decision/scheduler_state.hpp
@@ -32,7 +32,7 @@
 /// Withdrawals that are not sent yet, as of the last plan; the sender counts them down.
 struct PendingWithdrawals {
     int count = 0;
-    TimePoint oldest_due{};  ///< the time of the plan where there is none
+    TimePoint oldest_due;  ///< the time of the plan where there is none
     /// Withdrawals that each unbound proxy has to be sent: the pending ones and the recent ones.
     int owed_to_unbound_proxy = 0;
 };
@@ -67,12 +67,12 @@
     }
 
     DecisionContext& context;
-    RoutingTables tables{};
+    RoutingTables tables;
     ProxySubsets subsets{tables};
-    UnboundProxies unbound_proxies{};
-    SendWindow send_window{};     ///< charged with no fewer lines than are written
+    UnboundProxies unbound_proxies;
+    SendWindow send_window;       ///< charged with no fewer lines than are written
     double learnt_allowance = 0;  ///< lines that learnt changes may use now
-    PendingWithdrawals withdrawals{};
+    PendingWithdrawals withdrawals;
     bool any_warming_up = false;  ///< some endpoint is, as of the last published weights
 };
 
--- a/src/decision/send_window.hpp
+++ b/src/decision/send_window.hpp
@@ -56,9 +56,9 @@
 
     /// The messages that share a nonce.
     struct Batch {
-        double charged_before = 0;                   // lines, before its first message
-        std::map<ProxyId, double> unacknowledged{};  // lines of each message
-        double acknowledged = 0;                     // lines of the other messages
+        double charged_before = 0;                 // lines, before its first message
+        std::map<ProxyId, double> unacknowledged;  // lines of each message
+        double acknowledged = 0;                   // lines of the other messages
     };
 
     static double charged_until_end_of(const Batch& batch);
--- a/src/decision/update_scheduler.hpp
+++ b/src/decision/update_scheduler.hpp
@@ -43,7 +43,7 @@
     Mailbox<RenewSubscription, PoolBinding, AdmissionFractions, WeightsPublished, OwnershipTransfer,
             event::ProxyJoined, event::ProxyLeft, event::Acknowledgement, DesiredWeights,
             event::EndpointLoadReport, Tick>
-        mailbox{};
+        mailbox;
 
  private:
     void advance_send_window();
@@ -56,9 +56,9 @@
     ProxyBinder binder_{state_, assignment_, admission_};
     UpdatePlanner planner_{state_, assignment_};
     UpdateSender sender_{state_, admission_};
-    TimePoint last_tick_{};
+    TimePoint last_tick_;
     /// When an acknowledgement last came, or none was missing.
-    TimePoint last_acknowledgement_{};
+    TimePoint last_acknowledgement_;
 };
 
 }  // namespace micaroad::decision
--- a/src/decision/update_sender.hpp
+++ b/src/decision/update_sender.hpp
@@ -37,11 +37,11 @@
 
     /// What one call of send() has written so far.
     struct Round {
-        std::vector<int> unbound_joins;     ///< join numbers of the unbound proxies, ascending
-        std::vector<double> subset_lines;   ///< for each proxy of a subset, by subset
-        std::vector<int> notified_joins{};  ///< Cost::unbound_after_join of each change sent
-        double unbound_lines = 0;           ///< for all unbound proxies
-        int first_notified_join = 0;        ///< the least of notified_joins; else the last join
+        std::vector<int> unbound_joins;    ///< join numbers of the unbound proxies, ascending
+        std::vector<double> subset_lines;  ///< for each proxy of a subset, by subset
+        std::vector<int> notified_joins;   ///< Cost::unbound_after_join of each change sent
+        double unbound_lines = 0;          ///< for all unbound proxies
+        int first_notified_join = 0;       ///< the least of notified_joins; else the last join
         bool urgent_sent = false;
         bool learnt_sent = false;
 
@@ -68,10 +68,10 @@
 
     SchedulerState& state_;
     AdmissionUpdates& admission_;
-    std::deque<OwnershipTransfer> transfers_{};
+    std::deque<OwnershipTransfer> transfers_;
     bool admission_paused_ = false;
-    TimePoint next_urgent_round_{};
-    TimePoint next_learnt_round_{};
+    TimePoint next_urgent_round_;
+    TimePoint next_learnt_round_;
 };
 
 }  // namespace micaroad::decision
