--- a/src/decision/decision_context.hpp
+++ b/src/decision/decision_context.hpp
@@ -4,31 +4,55 @@
 
 #include <chrono>
 #include <random>
+#include <utility>
 #include <vector>
 
 #include "micaroad/planner.hpp"
 
 namespace micaroad::decision {
 
-// The design starts at 5 s. Shorter steps act again before what the last one did is heard.
-constexpr Duration kStepEvery = std::chrono::seconds(4);
-constexpr Duration kTick = std::chrono::milliseconds(100);  // short beside a message's way
-constexpr double kMemory =
-    0.25;  // of what was heard before a step: one alone sees few RPCs a server
+/// Least time between two optimizer steps. The design starts at 5 s; a step much shorter than this
+/// one would act again before the effect of the last has been reported.
+constexpr Duration kOptimizerStepInterval = std::chrono::seconds(4);
+
+/// Time between two ticks: short beside the time that a message to a proxy travels.
+constexpr Duration kTickInterval = std::chrono::milliseconds(100);
+
+/// The part of the older evidence that is kept from one optimizer step to the next. The evidence of
+/// one step alone holds few RPCs a server.
+constexpr double kEvidenceRetention = 0.25;
+/// The former name.
+constexpr double kMemory = kEvidenceRetention;
+
+/// Owned by the planner, which sets `now` and takes `orders` at each decide(); the components hold
+/// references to it. Not thread-safe.
+struct DecisionContext {
+    DecisionContext(DeploymentSettings settings, std::minstd_rand::result_type seed)
+        : settings(std::move(settings)), chance(seed) {}
 
-struct DecisionContext {  // what every part may look at
     const DeploymentSettings settings;
+
+    /// The one source of chance: equal seeds and equal events make equal orders.
     std::minstd_rand chance;
-    // A whole number of report periods, as one that cuts through them sees now more, now fewer.
-    Duration step = (kStepEvery + settings.report_interval - Duration{1}) /
+
+    /// Time between two optimizer steps: a whole number of report intervals. A step that cut
+    /// through them would see now more, now fewer reports.
+    Duration step = (kOptimizerStepInterval + settings.report_interval - Duration{1}) /
                     settings.report_interval * settings.report_interval;
-    TimePoint now{};
-    std::vector<Order> orders{};
+
+    /// The time that the host passed to this decide().
+    TimePoint now;
+
+    /// The orders of this decide(), in the order in which they are to take effect.
+    std::vector<Order> orders;
 };
 
-// When discovery could not be asked: a wait that instances do not share.
-inline Duration resubscribe_after(DecisionContext& context) {
-    return Duration{2'000 + context.chance() % 8'000};
+/// Time until discovery is asked again, where it could not be asked: 0.2 s to 1 s, by chance, so
+/// that planners that failed together do not retry together.
+inline Duration random_backoff(DecisionContext& context) {
+    constexpr Duration kLeast = std::chrono::milliseconds(200);
+    constexpr Duration kSpread = std::chrono::milliseconds(800);
+    return kLeast + Duration{context.chance() % kSpread.count()};
 }
 
 }  // namespace micaroad::decision
--- a/src/decision/planner.cpp
+++ b/src/decision/planner.cpp
@@ -22,9 +22,8 @@
 class Planner::Impl {
  public:
     Impl(DeploymentSettings settings, std::uint64_t seed)
-        : context_{std::move(settings),
-                   std::minstd_rand(static_cast<std::minstd_rand::result_type>(seed))} {
-        context_.orders.push_back(order::StartTimer{kTimer, kTick});
+        : context_(std::move(settings), static_cast<std::minstd_rand::result_type>(seed)) {
+        context_.orders.push_back(order::StartTimer{kTimer, kTickInterval});
         if (context_.settings.subscription_required) {
             subscriptions_due_.insert(TimePoint{});
         }
@@ -45,8 +44,9 @@
  private:
     static constexpr TimerId kTimer{1};
 
-    // Trackers run first, in the order in which they got their first message, and the scheduler
-    // last: it acts once everything else has been said.
+    // Each component handles what the ones before it sent; none sends to one before it. Trackers
+    // run first, in the order in which they got their messages, and the scheduler last: its tick
+    // comes once it has handled all other messages of this decision.
     void deliver_messages() {
         for (EndpointTracker* tracker : std::exchange(trackers_with_messages_, {})) {
             deliver(*tracker);
@@ -74,9 +74,10 @@
         }
     }
 
+    // Makes trackers for servers that are new. Servers that a complete list omits are unlisted.
     void dispatch(const event::EndpointListUpdate& list) {
         if (list.form == event::EndpointListUpdate::Form::unavailable) {
-            subscriptions_due_.insert(context_.now + resubscribe_after(context_));
+            subscriptions_due_.insert(context_.now + random_backoff(context_));
             return;
         }
         std::set<ServerId> listed;
@@ -100,11 +101,13 @@
         }
     }
 
+    // Ticks, and closes the evidence window once an optimizer step is due. Trackers whose server is
+    // gone are dropped first.
     void dispatch(const event::TimerExpired& expired) {
         if (expired.timer != kTimer) {
             return;
         }
-        context_.orders.push_back(order::StartTimer{kTimer, kTick});
+        context_.orders.push_back(order::StartTimer{kTimer, kTickInterval});
         if (context_.now < next_step_) {
             return;
         }
@@ -119,6 +122,7 @@
         }
     }
 
+    // More failures than attempts are taken for as many; reports on unknown servers are dropped.
     void dispatch(event::EndpointLoadReport& report) {
         const auto place = trackers_.find(report.server);
         report.failures = std::min(report.failures, report.attempts);
@@ -155,7 +159,7 @@
         slice_assigner_.mailbox.post(reported);
     }
 
-    // No component acts on these.
+    // No component acts on these events.
     void dispatch(const event::SliceDemandReport&) {}
     void dispatch(const event::HealthCheckResult&) {}
     void dispatch(const event::PeerMessage&) {}
@@ -167,15 +171,16 @@
     }
 
     DecisionContext context_;
-    TimePoint next_step_{};
-    std::multiset<TimePoint> subscriptions_due_;
-    std::vector<Event> events_;  // since the last decide()
-    bool has_list_ = false;
+    TimePoint next_step_;  // the next evidence window closes at the first tick from here on
+    std::multiset<TimePoint> subscriptions_due_;  // one entry for each retry
+    std::vector<Event> events_;                   // since the last decide()
+    bool has_list_ = false;                       // a list has come, complete or not
+    // Components hold references to those that they send to: receivers come before their senders.
     UpdateScheduler scheduler_{context_};
     WeightOptimizer optimizer_{context_, scheduler_};
     AdmissionController admission_{context_, optimizer_, scheduler_};
     SliceAssigner slice_assigner_{context_, scheduler_};
-    std::map<ServerId, EndpointTracker> trackers_;
+    std::map<ServerId, EndpointTracker> trackers_;          // of servers that are not gone yet
     std::vector<EndpointTracker*> trackers_with_messages_;  // one entry for each message
 };
 
--- a/src/decision/slice_assigner.hpp
+++ b/src/decision/slice_assigner.hpp
@@ -1,4 +1,4 @@
-/// Assigns slices of the key space to their owners.
+/// Assigns slices of the key space to owners.
 #pragma once
 
 #include <map>
@@ -11,62 +11,44 @@
 
 namespace micaroad::decision {
 
-// Mechanism 6. Keeps the rules where keys fall into slices, and no more: a slice stays with its
-// owner until that one drains or is gone, and a single owner's successor waits until no write can
-// be with the former one.
-struct SliceAssigner {
+/// Keeps each slice that is this planner's at an owner that may get traffic (mechanism 6 of
+/// docs/design.md).
+///
+/// A slice stays with its owner until that one drains or is gone; there is no balancing. Where the
+/// settings allow a slice one owner at a time, a successor is chosen only once no write can take
+/// effect at the former owner any more:
+///   - for 2 `max_message_delay` the proxies may not have heard of the removal, nor the owner,
+///   - for `owner_lease` the owner may go on without having heard of it,
+///   - for `write_lifetime` a write that it accepted in that time may take effect.
+///
+/// Not thread-safe.
+class SliceAssigner {
+ public:
+    /// Both arguments must outlive the assigner.
+    SliceAssigner(DecisionContext& context, UpdateScheduler& scheduler);
+
+    void on(const event::SliceAssigned& message);
+    void on(const event::SliceOwnerReported& message);
+    void on(const EndpointStatus& message);
+    /// Removes owners that may get no more traffic, and chooses successors that are due.
+    void on(const Tick&);
+
+    Mailbox<event::SliceAssigned, event::SliceOwnerReported, EndpointStatus, Tick> mailbox;
+
+ private:
     struct Slice {
         std::set<ServerId> owners;
-        TimePoint free_from{};
-    };  // no successor before that
+        TimePoint assignable_from;  ///< no successor before that
+    };
 
-    DecisionContext& context;
-    UpdateScheduler& scheduler;
-    Mailbox<event::SliceAssigned, event::SliceOwnerReported, EndpointStatus, Tick> mailbox{};
-    std::map<TableId, Slice> slices{};
-    std::set<ServerId> open{};
+    void remove_closed_owners(TableId slice_id, Slice& slice);
+    void assign_owner(TableId slice_id, Slice& slice, const std::vector<ServerId>& candidates);
+    [[nodiscard]] TimePoint successor_allowed_from() const;
 
-    void on(const event::SliceAssigned& message) {
-        slices.erase(message.slice);
-        if (message.ours) {
-            slices[message.slice].free_from = free_from();
-        }
-    }
-    void on(const event::SliceOwnerReported& message) {
-        if (slices.contains(message.slice)) {
-            slices[message.slice].owners.insert(message.server);
-        }
-    }
-    void on(const EndpointStatus& message) {
-        message.open ? (void)open.insert(message.entry.server)
-                     : (void)open.erase(message.entry.server);
-    }
-    void on(const Tick&) {
-        if (slices.empty()) {
-            return;
-        }
-        const std::vector<ServerId> choice(open.begin(), open.end());
-        for (auto& [id, slice] : slices) {
-            for (const ServerId& owner : std::set(slice.owners)) {
-                if (!open.contains(owner)) {
-                    scheduler.mailbox.post(OwnershipTransfer{id, owner, 0}),
-                        slice.owners.erase(owner);
-                    slice.free_from = std::max(slice.free_from, free_from());
-                }
-            }
-            if (!slice.owners.empty() || choice.empty() || context.now < slice.free_from) {
-                continue;
-            }
-            slice.owners.insert(choice[context.chance() % choice.size()]);
-            scheduler.mailbox.post(OwnershipTransfer{id, *slice.owners.begin(), 1});
-        }
-    }
-    TimePoint free_from() const {
-        const DeploymentSettings& t = context.settings;
-        return context.now + (t.single_owner
-                                  ? 2 * t.max_message_delay + t.owner_lease + t.write_lifetime
-                                  : Duration{});
-    }
+    DecisionContext& context_;
+    UpdateScheduler& scheduler_;
+    std::map<TableId, Slice> slices_;  // of this planner
+    std::set<ServerId> open_servers_;  // that may get traffic
 };
 
 }  // namespace micaroad::decision
