--- a/src/decision/mailbox.hpp
+++ b/src/decision/mailbox.hpp
@@ -24,9 +24,10 @@
         waiting_.emplace_back(std::forward<Posted>(message));
     }
 
-    bool empty() const { return waiting_.empty(); }
+    [[nodiscard]] bool empty() const { return waiting_.empty(); }
 
-    /// Calls `handle(message)` for each message, also for those that are posted meanwhile.
+    /// Calls `handle(message)` for each message, also for those that are posted meanwhile, and
+    /// leaves the mailbox empty. `handle` takes each of `Messages` and may post to this mailbox.
     template <class Handle>
     void deliver(Handle handle) {
         std::vector<Message> batch;
