--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -6,13 +6,25 @@
 #include <unistd.h>
 
 #include <algorithm>
-#include <chrono>
-#include <string_view>
+#include <ctime>
 #include <utility>
 
 namespace micaroad {
+namespace {
 
-Log::Log(int fd) : fd_(fd), writer_([this] { run(); }) {}
+std::string timestamp() {
+    using std::chrono::milliseconds;
+    using std::chrono::system_clock;
+    constexpr int kMillisecondsPerSecond = 1000;
+    const auto now = std::chrono::time_point_cast<milliseconds>(system_clock::now());
+    const auto fraction = now.time_since_epoch().count() % kMillisecondsPerSecond;
+    const std::time_t second = system_clock::to_time_t(now);
+    return fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z", fmt::gmtime(second), fraction);
+}
+
+}  // namespace
+
+Log::Log(int fd) : fd_(fd), writer_([this] { run_writer(); }) {}
 
 Log::~Log() {
     {
@@ -23,78 +35,92 @@
     writer_.join();
 }
 
-void Log::say(const char* level, fmt::string_view form, fmt::format_args args) {
+void Log::write(const char* level, fmt::string_view format, fmt::format_args args) {
     const std::lock_guard lock(mutex_);
+    if (is_within_rate(format)) {
+        enqueue(level, fmt::vformat(format, args));
+    }
+}
+
+// Counts the line. The first line after the interval says how many were suppressed in it.
+bool Log::is_within_rate(fmt::string_view format) {
     const auto now = std::chrono::steady_clock::now();
-    Alike& alike = alike_[form.data()];
-    if (now - alike.since >= kAlikeSpan) {
-        if (alike.swallowed > 0) {
-            put("info", fmt::format("{} more like the next in {:.0f} s", alike.swallowed,
-                                    std::chrono::duration<double>(now - alike.since).count()));
+    RepeatedLines& repeated = repeated_[format.data()];
+    const auto elapsed = now - repeated.since;
+    if (elapsed >= kRepeatInterval) {
+        if (repeated.suppressed > 0) {
+            enqueue("info", fmt::format("log: repeated lines suppressed count={} seconds={:.0f} "
+                                        "like=\"the next line\"",
+                                        repeated.suppressed,
+                                        std::chrono::duration<double>(elapsed).count()));
         }
-        alike = {now, 0, 0};
+        repeated = {now, 0, 0};
     }
-    if (++alike.said > kMostAlike) {
-        return (void)++alike.swallowed;
+    ++repeated.count;
+    if (repeated.count > kMaxRepeatedLines) {
+        ++repeated.suppressed;
+        return false;
     }
-    put(level, fmt::vformat(form, args));
+    return true;
 }
 
-void Log::put(const char* level, std::string text) {
-    if (waiting_.size() == kMostWaiting) {
-        return (void)++lost_;
+void Log::enqueue(const char* level, const std::string& text) {
+    if (queue_.size() == kMaxQueuedLines) {
+        ++lost_;
+        return;
     }
-    const auto now =
-        std::chrono::time_point_cast<std::chrono::milliseconds>(std::chrono::system_clock::now());
-    const auto ms = now.time_since_epoch().count() % 1000;
-    const std::time_t second = std::chrono::system_clock::to_time_t(now);
-    waiting_.push_back(
-        fmt::format("{:%Y-%m-%dT%H:%M:%S}.{:03}Z {} {}\n", fmt::gmtime(second), ms, level, text));
+    queue_.push_back(fmt::format("{} {} {}\n", timestamp(), level, text));
     wake_.notify_one();
 }
 
+void Log::run_writer() {
+    std::unique_lock lock(mutex_);
+    while (!ending_ || !queue_.empty()) {
+        wake_.wait(lock, [this] { return ending_ || !queue_.empty(); });
+        const std::string text = take_queued();
+        lock.unlock();
+        const bool written = write_all(text);
+        lock.lock();
+        if (!written) {
+            return;
+        }
+    }
+}
+
+// Under the mutex.
+std::string Log::take_queued() {
+    std::string text;
+    for (const std::string& line : std::exchange(queue_, {})) {
+        text += line;
+    }
+    if (lost_ > 0) {
+        text += fmt::format("{} warn log: lines lost count={} reason=\"the output was too slow\"\n",
+                            timestamp(), std::exchange(lost_, 0));
+    }
+    return text;
+}
+
 // False if the reader of the log has stopped reading while the log is to end.
-bool Log::write_out(std::string_view rest) {
-    constexpr int kWaitMs = 100;
-    while (!rest.empty()) {
+bool Log::write_all(std::string_view text) {
+    constexpr int kPollMilliseconds = 100;
+    while (!text.empty()) {
         pollfd ready{fd_, POLLOUT, 0};
-        if (::poll(&ready, 1, kWaitMs) == 0) {
+        if (::poll(&ready, 1, kPollMilliseconds) == 0) {
             const std::lock_guard lock(mutex_);
             if (ending_) {
                 return false;
             }
             continue;
         }
-        // A pipe that is ready takes this many at once.
-        const ssize_t wrote =
-            ::write(fd_, rest.data(), std::min<std::size_t>(rest.size(), PIPE_BUF));
-        if (wrote <= 0) {
-            return true;  // nobody will ever read it: nothing else can be done
+        // A pipe that is ready takes this many bytes without blocking.
+        const std::size_t size = std::min<std::size_t>(text.size(), PIPE_BUF);
+        const ssize_t written = ::write(fd_, text.data(), size);
+        if (written <= 0) {
+            return true;  // the output is broken for good, and there is nowhere to say so
         }
-        rest.remove_prefix(static_cast<std::size_t>(wrote));
+        text.remove_prefix(static_cast<std::size_t>(written));
     }
     return true;
 }
 
-void Log::run() {
-    std::unique_lock lock(mutex_);
-    while (!ending_ || !waiting_.empty()) {
-        wake_.wait(lock, [this] { return ending_ || !waiting_.empty(); });
-        std::string text;
-        for (const std::string& line : std::exchange(waiting_, {})) {
-            text += line;
-        }
-        if (lost_ > 0) {
-            text += fmt::format("{} log lines lost: the output was too slow\n",
-                                std::exchange(lost_, 0));
-        }
-        lock.unlock();
-        const bool all = write_out(text);
-        lock.lock();
-        if (!all) {
-            return;
-        }
-    }
-}
-
 }  // namespace micaroad
