--- a/src/background/worker.cpp
+++ b/src/background/worker.cpp
@@ -5,6 +5,7 @@
 #include <time.h>
 #include <unistd.h>
 
+#include <optional>
 #include <utility>
 
 namespace micaroad::background {
@@ -12,18 +13,27 @@
 
 constexpr int kNiceness = 10;
 
-double processor_seconds() {
+// How long to wait for a job to get work before looking again.
+constexpr Duration kIdleWait = std::chrono::milliseconds(500);
+
+double thread_processor_seconds() {
     timespec time{};
     clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
     return static_cast<double>(time.tv_sec) + 1e-9 * static_cast<double>(time.tv_nsec);
 }
 
+// Linux keeps the niceness of each thread. Where it is not permitted the budget alone holds.
+void lower_thread_priority() {
+    (void)setpriority(PRIO_PROCESS, static_cast<id_t>(syscall(SYS_gettid)), kNiceness);
+}
+
 }  // namespace
 
-Worker::Worker(Budget budget, Clock clock) : clock_(std::move(clock)), turns_(budget, clock_()) {}
+Worker::Worker(Budget budget, Clock clock)
+    : clock_(std::move(clock)), scheduler_(budget, clock_()) {}
 
 JobId Worker::add(int priority, Work work) {
-    const JobId job = turns_.add(priority);
+    const JobId job = scheduler_.add(priority);
     work_[job] = std::move(work);
     return job;
 }
@@ -35,7 +45,7 @@
 void Worker::wake(JobId job) {
     {
         const std::lock_guard lock(mutex_);
-        turns_.wake(job, clock_());
+        scheduler_.wake(job, clock_());
     }
     wake_.notify_one();
 }
@@ -51,33 +61,38 @@
     threads_.wait();
 }
 
-Spent Worker::work_on(JobId job) {
-    const double begun = processor_seconds();
-    Spent spent = work_.at(job)();
-    spent.processor_seconds = processor_seconds() - begun;
-    return spent;
+Usage Worker::run_job(JobId job) {
+    const double start = thread_processor_seconds();
+    Usage usage = work_.at(job)();
+    usage.processor_seconds = thread_processor_seconds() - start;
+    return usage;
 }
 
 void Worker::run() {
-    // Linux keeps it by thread. Where it is refused the budget alone holds.
-    (void)setpriority(PRIO_PROCESS, static_cast<id_t>(syscall(SYS_gettid)), kNiceness);
+    lower_thread_priority();
     std::unique_lock lock(mutex_);
     while (!stopping_) {
         const TimePoint now = clock_();
-        const auto job = turns_.next(now);
+        const std::optional<JobId> job = scheduler_.next(now);
         if (!job) {
-            const TimePoint free = turns_.free_at(now);
-            wake_.wait_for(lock, free > now ? free - now : Duration{5'000});
+            const TimePoint available = scheduler_.available_at(now);
+            wake_.wait_for(lock, available > now ? available - now : kIdleWait);
             continue;
         }
         lock.unlock();
-        const Spent spent = work_on(*job);
+        const Usage usage = run_job(*job);
         lock.lock();
-        turns_.spent(*job, spent, clock_());
+        scheduler_.charge(*job, usage, clock_());
     }
     lock.unlock();
+    run_all_to_end();
+}
+
+void Worker::run_all_to_end() {
     for (const auto& [job, work] : work_) {
-        while (work().more) {
+        bool more = true;
+        while (more) {
+            more = work().more;
         }
     }
 }
--- a/src/background/worker.hpp
+++ b/src/background/worker.hpp
@@ -1,41 +1,58 @@
-// The one thread of background work: jobs take turns on it, within a budget, at low priority for
-// the system's scheduler.
+/// The one thread of background work.
 #pragma once
 
 #include <condition_variable>
+#include <cstddef>
 #include <functional>
+#include <map>
 #include <mutex>
 
-#include "background/turns.hpp"
+#include "background/job_scheduler.hpp"
 #include "net/thread_group.hpp"
 #include "planner/inbox.hpp"
 
 namespace micaroad::background {
 
+/// Runs jobs one at a time, in the order and within the budget of JobScheduler, at low priority for
+/// the system's scheduler.
 class Worker {
  public:
-    // Works for a while and says what it wrote and whether it has more to do. It must not wait.
-    using Work = std::function<Spent()>;
+    /// Works for a short while, without blocking. Returns the bytes it wrote and whether it has
+    /// work left; the worker measures the processor time.
+    using Work = std::function<Usage()>;
 
     Worker(Budget budget, Clock clock);
     ~Worker() { stop(); }
+    Worker(const Worker&) = delete;
+    Worker& operator=(const Worker&) = delete;
 
-    JobId add(int priority, Work work);  // before start()
-    bool start();
-    void wake(JobId job);  // any thread
-    void stop();           // after a last turn for each job that has work, whatever the budget
+    /// Before start() only. The larger priority goes first.
+    [[nodiscard]] JobId add(int priority, Work work);
+
+    /// False if no thread could be started.
+    [[nodiscard]] bool start();
+
+    /// The job has work. Any thread; does not block but for the mutex.
+    void wake(JobId job);
+
+    /// Runs each job until it has no work left, whatever the budget, and ends the thread. Blocks
+    /// until then. Does nothing the second time.
+    void stop();
 
  private:
+    static constexpr std::size_t kStackBytes = 512 * 1024;
+
     void run();
-    Spent work_on(JobId job);
+    void run_all_to_end();
+    [[nodiscard]] Usage run_job(JobId job);
 
     const Clock clock_;
     std::mutex mutex_;
     std::condition_variable wake_;
-    Turns turns_;
+    JobScheduler scheduler_;
     std::map<JobId, Work> work_;
     bool stopping_ = false;
-    net::ThreadGroup threads_{1, 512 * 1024};
+    net::ThreadGroup threads_{1, kStackBytes};  // last: its thread uses all of the above
 };
 
 }  // namespace micaroad::background
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -8,7 +8,7 @@
 #include <map>
 #include <random>
 
-#include "background/turns.hpp"
+#include "background/job_scheduler.hpp"
 #include "helpers.hpp"
 #include "planner/core.hpp"
 #include "record/convert.hpp"
@@ -459,44 +459,45 @@
 TEST_CASE("background work keeps to its budget, the more urgent first, and nobody waits for good") {
     using namespace micaroad::background;
     TimePoint now{s(100)};
-    Turns turns({1'000, 0.1}, now);
-    const JobId low = turns.add(1), high = turns.add(5);
-    CHECK(!turns.next(now));
-    turns.wake(low, now), turns.wake(high, now);
-    CHECK(turns.next(now) == high);
-    turns.spent(high, {5'000, 0, true}, now);
-    CHECK(!turns.next(now));
-    CHECK(turns.free_at(now) == now + s(5));
+    JobScheduler scheduler({1'000, 0.1}, now);
+    const JobId low = scheduler.add(1), high = scheduler.add(5);
+    CHECK(!scheduler.next(now));
+    scheduler.wake(low, now), scheduler.wake(high, now);
+    CHECK(scheduler.next(now) == high);
+    scheduler.charge(high, {5'000, 0, true}, now);
+    CHECK(!scheduler.next(now));
+    CHECK(scheduler.available_at(now) == now + s(5));
     now += s(5.1);
-    CHECK(turns.next(now) == high);
-    turns.spent(high, {0, 1.0, false},
-                now);  // a second of the core: ten seconds of the budget, less what had gathered
+    CHECK(scheduler.next(now) == high);
+    scheduler.charge(
+        high, {0, 1.0, false},
+        now);  // a second of the core: ten seconds of the budget, less what had gathered
     now += s(4);
-    CHECK(!turns.next(now));
+    CHECK(!scheduler.next(now));
     now += s(6);
-    CHECK(turns.next(now) == low);
+    CHECK(scheduler.next(now) == low);
     // One that is always there does not keep the other out for ever.
     Duration longest{};
     TimePoint since = now;
     for (int i = 0; i < 2'000; ++i, now += s(0.1)) {
-        turns.wake(high, now), turns.wake(low, now);
-        const auto job = turns.next(now);
+        scheduler.wake(high, now), scheduler.wake(low, now);
+        const auto job = scheduler.next(now);
         if (!job) {
             continue;
         }
         if (*job == low) {
             longest = std::max(longest, now - since), since = now;
         }
-        turns.spent(*job, {50, 0.001, true}, now);
+        scheduler.charge(*job, {50, 0.001, true}, now);
     }
     CHECK((longest > s(20) && longest < s(35)));
     // Over a long time the bytes keep to the budget.
     double bytes = 0;
     const TimePoint begun = now;
     for (; now < begun + s(100); now += s(0.01)) {
-        turns.wake(high, now);
-        if (turns.next(now)) {
-            bytes += 700, turns.spent(high, {700, 0, true}, now);
+        scheduler.wake(high, now);
+        if (scheduler.next(now)) {
+            bytes += 700, scheduler.charge(high, {700, 0, true}, now);
         }
     }
     CHECK(bytes < 103'000);
