--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -97,7 +97,7 @@
             say(core_event::StreamAcknowledged{stream,
                                                {{static_cast<int>(stream.value) - 1}, mark}});
         }
-        core.turn(items, now);
+        core.process(items, now);
         items.clear(), now += Duration{1'000}, ++tick;
     }
     state.counters["letters"] = benchmark::Counter(static_cast<double>(transport.updates));
@@ -138,7 +138,7 @@
                                                {{static_cast<int>(stream.value) - 1}, mark}});
         }
         const auto begun = std::chrono::steady_clock::now();
-        core_.turn(items_, now_);
+        core_.process(items_, now_);
         const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begun;
         items_.clear(), now_ += Duration{1'000}, ++tick_;
         return took.count();
--- a/bench/scale/core_run.cpp
+++ b/bench/scale/core_run.cpp
@@ -329,7 +329,7 @@
         read_lines();
         streams_.begin_turn(now_);
         const Stopwatch deciding(streams_.aside);
-        core_->turn(items_, now_);
+        core_->process(items_, now_);
         last_turn_seconds_ = deciding.stop();
         items_.clear();
         now_ += kTurnEvery;
--- a/src/daemon/limits.hpp
+++ b/src/daemon/limits.hpp
@@ -1,56 +1,39 @@
-// What the program may hold, derived from the limits it is told; docs/architecture.md has the sum.
+/// How many connections and buffers the program may hold, derived from its memory and its sockets;
+/// docs/architecture.md adds them up.
 #pragma once
 
-#include <algorithm>
 #include <cstddef>
 
-#include "protocol/buffer_pool.hpp"
-
 namespace micaroad {
 
 struct Limits {
-    std::size_t connections, unidentified;  // unidentified peers among them
-    std::size_t line_buffers, out_buffers;  // for lines in the making, and for orders
-    bool enough;                            // for all proxies and collectors at once
-    std::size_t
-        list_bytes;  // that one of discovery's lists may have, as EndpointListParser counts them
-
-    // What is not for connections: 16 probes, 3 addresses of discovery while it changes, the
-    // standard files, the start file while it is read, listener, poller, and one who is accepted to
-    // be turned away.
-    static constexpr std::size_t kSocketsKept = 16 + 3 + 3 + 1 + 1 + 1 + 1;
-    static constexpr std::size_t kProgram =
-        10 * 1024 * 1024;  // code, module, update_builder, list, inbox, log
-    // A connection: its object, what is held of a line or an order, what the kernel holds on a
-    // usual day.
-    static constexpr std::size_t kConnection = 24 * 1024;
-    static constexpr std::size_t kLeastUnidentified = 8;
-    // Of the memory, what one list may have in bytes: at 128 MB 16 MiB, some 120,000 servers of 132
-    // bytes.
+    /// Sockets that are not for connections: 16 health checks, 3 connections to discovery while its
+    /// address changes, the 3 standard files, the start file while it is read, the listener, the
+    /// poller, and one for a connection that is accepted to be rejected.
+    static constexpr std::size_t kReservedSockets = 16 + 3 + 3 + 1 + 1 + 1 + 1;
+    /// Bytes for the program's code, the planner, the update builder, the endpoint list, the inbox
+    /// and the log.
+    static constexpr std::size_t kProgramBytes = 10 * 1024 * 1024;
+    /// Bytes of a connection: its object, what is held of a line or an update, and what the kernel
+    /// holds of it on average.
+    static constexpr std::size_t kConnectionBytes = 24 * 1024;
+    static constexpr std::size_t kMinUnidentified = 8;
+    /// One endpoint list may have this part of the memory: an eighth. Of 128 MiB that is 16 MiB,
+    /// some 120,000 entries of 132 bytes.
     static constexpr std::size_t kListShare = 8;
-    static constexpr std::size_t kLeastList = 4 * 1024 * 1024;
+    static constexpr std::size_t kMinListBytes = 4 * 1024 * 1024;
+
+    std::size_t max_connections;
+    std::size_t max_unidentified;  ///< peers that have not joined, among max_connections
+    std::size_t line_buffers;      ///< for lines that have arrived in part
+    std::size_t update_buffers;    ///< for updates that are not sent yet
+    bool sufficient;               ///< for all proxies and collectors at once
+    std::size_t max_list_bytes;    ///< of one endpoint list, as EndpointListParser counts them
 
-    static Limits of(std::size_t memory_mb, std::size_t sockets, std::size_t proxies,
-                     std::size_t zones) {
-        const std::size_t memory = std::max<std::size_t>(memory_mb, 16) * 1024 * 1024;
-        Limits limits{};
-        limits.out_buffers = memory / 8 / protocol::BufferPool::kBlock;
-        limits.line_buffers =
-            memory / 16 / protocol::BufferPool::kBlock;  // and as much for lines copied whole
-        limits.list_bytes = std::max(memory / kListShare, kLeastList);
-        const std::size_t by_memory =
-            (memory - memory / 4 - std::min(kProgram, memory / 2)) / kConnection;
-        const std::size_t by_sockets = std::max(sockets, kSocketsKept + 16) - kSocketsKept;
-        limits.connections = std::min(by_memory, by_sockets);
-        // A collector may come anew before its old connection ends.
-        const std::size_t joined = proxies + 2 * zones;
-        limits.enough = joined + kLeastUnidentified <= limits.connections;
-        // All proxies may come within a second and are unidentified peers until they are heard: a
-        // quarter of the room at least. Whoever says nothing makes way for them.
-        const std::size_t beside = limits.enough ? limits.connections - joined : kLeastUnidentified;
-        limits.unidentified = std::max({beside, limits.connections / 4, kLeastUnidentified});
-        return limits;
-    }
+    /// `memory_mb` and `sockets` are what the operator allows; `proxies` and `zones` what the
+    /// deployment has. Too low values are raised to those the program can run with.
+    [[nodiscard]] static Limits of(std::size_t memory_mb, std::size_t sockets, std::size_t proxies,
+                                   std::size_t zones);
 };
 
 }  // namespace micaroad
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -1,3 +1,7 @@
+/// The program `micaroad`: the daemon by itself; other commands in a library beside it.
+///
+/// Exit codes: 0 stopped by a signal, 1 failed, 2 a broken configuration or a missing library.
+
 #include <dlfcn.h>
 #include <malloc.h>
 #include <pthread.h>
@@ -15,62 +19,81 @@
 
 namespace {
 
-constexpr int kCantLoad = 2;
+constexpr int kExitCannotLoad = 2;
+constexpr int kExitBadConfiguration = 2;
 
-// Commands other than the daemon stand in a library beside the program, which only they load: the
+// Commands other than the daemon are in a library beside the program, which only they load: so the
 // daemon holds no parser and no schema (docs/haproxy-import.md has what linking them would cost).
-int command(int argc, char** argv) {
-    std::error_code failed;
-    const auto self = std::filesystem::read_symlink("/proc/self/exe", failed);
-    const std::string library = (self.parent_path() / "libmicaroad_command.so").string();
-    void* const loaded = failed ? nullptr : dlopen(library.c_str(), RTLD_NOW | RTLD_LOCAL);
+int run_command(int argc, char** argv) {
     using Command = int (*)(int, char**);
-    const auto run =
-        loaded == nullptr ? nullptr : reinterpret_cast<Command>(dlsym(loaded, "micaroad_command"));
-    if (run == nullptr) {
-        std::fprintf(stderr, "micaroad: %s\n", failed ? failed.message().c_str() : dlerror());
-        return kCantLoad;
+    std::error_code error;
+    const auto program = std::filesystem::read_symlink("/proc/self/exe", error);
+    if (error) {
+        std::fprintf(stderr, "micaroad: %s\n", error.message().c_str());
+        return kExitCannotLoad;
+    }
+    const std::string path = (program.parent_path() / "libmicaroad_command.so").string();
+    void* const library = dlopen(path.c_str(), RTLD_NOW | RTLD_LOCAL);
+    void* const symbol = library == nullptr ? nullptr : dlsym(library, "micaroad_command");
+    if (symbol == nullptr) {
+        std::fprintf(stderr, "micaroad: %s\n", dlerror());
+        return kExitCannotLoad;
+    }
+    return reinterpret_cast<Command>(symbol)(argc, argv);
+}
+
+// The signals that the signal thread waits for: SIGHUP reloads, the others stop.
+sigset_t handled_signals() {
+    sigset_t signals;
+    sigemptyset(&signals);
+    for (const int signal : {SIGTERM, SIGINT, SIGHUP}) {
+        sigaddset(&signals, signal);
+    }
+    return signals;
+}
+
+void handle_signals(const sigset_t& signals, micaroad::PlannerProcess& process) {
+    int signal = 0;
+    while (sigwait(&signals, &signal) == 0 && signal == SIGHUP) {
+        process.reload(std::getenv);
     }
-    return run(argc, argv);
+    process.stop();
+}
+
+// Throws ConfigurationError.
+int serve(const sigset_t& signals, micaroad::Log& log) {
+    micaroad::PlannerProcess process(micaroad::load_start_configuration(std::getenv),
+                                     micaroad::clock_from_now(), log);
+    std::thread signal_thread([&signals, &process] { handle_signals(signals, process); });
+    const int code = process.run();
+    // A process that failed was not stopped by a signal, so the signal thread still waits for one.
+    // The signal is blocked in all threads and terminates nothing.
+    if (code != 0) {
+        // NOLINTNEXTLINE(bugprone-bad-signal-to-kill-thread)
+        pthread_kill(signal_thread.native_handle(), SIGTERM);
+    }
+    signal_thread.join();
+    return code;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-    if (argc > 2 || (argc == 2 && std::strcmp(argv[1], "serve") != 0)) {
-        return command(argc, argv);
+    const bool is_daemon = argc < 2 || (argc == 2 && std::strcmp(argv[1], "serve") == 0);
+    if (!is_daemon) {
+        return run_command(argc, argv);
     }
-    // One core: more arenas would only hold memory.
+    // The daemon uses one core: more arenas would only hold memory.
     mallopt(M_ARENA_MAX, 1);
     signal(SIGPIPE, SIG_IGN);
-    // Blocked before any thread starts: only the ear below takes them.
-    sigset_t heard;
-    sigemptyset(&heard);
-    for (const int signal : {SIGTERM, SIGINT, SIGHUP}) {
-        sigaddset(&heard, signal);
-    }
-    pthread_sigmask(SIG_BLOCK, &heard, nullptr);
+    // Blocked before any thread starts, so that only the signal thread takes them.
+    const sigset_t signals = handled_signals();
+    pthread_sigmask(SIG_BLOCK, &signals, nullptr);
     micaroad::Log log(STDERR_FILENO);
     try {
-        micaroad::PlannerProcess program(micaroad::load_start_configuration(std::getenv),
-                                         micaroad::clock_from_now(), log);
-        std::thread ear([&heard, &program] {
-            int signal = 0;
-            while (sigwait(&heard, &signal) == 0 && signal == SIGHUP) {
-                program.reload(std::getenv);
-            }
-            program.stop();
-        });
-        const int code = program.run();
-        // It is blocked everywhere, and waited for by that thread: nothing is terminated by it.
-        if (code != 0) {
-            // NOLINTNEXTLINE(bugprone-bad-signal-to-kill-thread)
-            pthread_kill(ear.native_handle(), SIGTERM);
-        }
-        ear.join();
-        return code;
-    } catch (const micaroad::ConfigurationError& bad) {
-        std::fprintf(stderr, "micaroad: %s\n", bad.what());
-        return 2;
+        return serve(signals, log);
+    } catch (const micaroad::ConfigurationError& error) {
+        std::fprintf(stderr, "micaroad: %s\n", error.what());
+        return kExitBadConfiguration;
     }
 }
--- a/src/daemon/planner_process.cpp
+++ b/src/daemon/planner_process.cpp
@@ -1,138 +1,201 @@
 #include "daemon/planner_process.hpp"
 
-#include <algorithm>
+#include <exception>
+#include <utility>
+#include <vector>
 
 namespace micaroad {
-
-const char* name_of(Stage stage) {
-    switch (stage) {
-        case Stage::made:
-            return "made";
-        case Stage::hearing_known:
-            return "hearing the known list";
-        case Stage::serving:
-            return "serving";
-        case Stage::ending:
-            return "ending";
-        case Stage::ended:
-            return "ended";
-        case Stage::failed:
-            return "failed";
-    }
-    return "?";
-}
-
 namespace {
 
-net::Address address_or_throw(const std::string& text, const char* key) {
+constexpr int kExitStopped = 0;
+constexpr int kExitFailed = 1;
+
+net::Address parse_address(const std::string& text, const char* key) {
     const auto address = net::address_of(text);
     if (!address) {
-        throw ConfigurationError(std::string("'") + key + "' is no address and port: " + text);
+        throw ConfigurationError(key, std::string("'") + key + "' is no address and port: " + text);
     }
     return *address;
 }
 
+net::Address parse_discovery_address(const std::string& text) {
+    return parse_address(text, "discovery");
+}
+
 }  // namespace
 
+const char* to_string(LifecycleState state) {
+    switch (state) {
+        case LifecycleState::created:
+            return "created";
+        case LifecycleState::applying_initial_list:
+            return "applying_initial_list";
+        case LifecycleState::serving:
+            return "serving";
+        case LifecycleState::stopping:
+            return "stopping";
+        case LifecycleState::stopped:
+            return "stopped";
+        case LifecycleState::failed:
+            return "failed";
+    }
+    return "?";
+}
+
 PlannerProcess::PlannerProcess(StartConfiguration start, Clock clock, Log& log, Observer* observer,
                                SyncPoints* sync, net::WatchPatience patience)
     : start_(std::move(start)),
       clock_(std::move(clock)),
       log_(log),
-      listen_(address_or_throw(start_.listen, "listen")),
+      listen_(parse_address(start_.listen, "listen")),
       limits_(Limits::of(start_.memory_mb, start_.sockets,
                          static_cast<std::size_t>(start_.settings.proxy_count),
                          start_.names.zones.size())),
-      reading_(kReaders),
-      lines_(limits_.line_buffers),
-      writing_(limits_.out_buffers),
+      read_buffers_(kReadBuffers),
+      line_buffers_(limits_.line_buffers),
+      update_buffers_(limits_.update_buffers),
       inbox_(clock_),
-      acceptor_({start_.names, start_.bounds, reading_, lines_, writing_, inbox_, log_, sync},
-                limits_.connections, limits_.unidentified),
-      prober_(reading_, inbox_, clock_, sync),
+      acceptor_({start_.names, start_.bounds, read_buffers_, line_buffers_, update_buffers_, inbox_,
+                 log_, sync},
+                limits_.max_connections, limits_.max_unidentified),
+      prober_(read_buffers_, inbox_, clock_, sync),
       watch_(start_.discovery,
-             start_.discovery.empty() ? net::Address{}
-                                      : address_or_throw(start_.discovery, "discovery"),
-             start_.names, start_.known.version, limits_.list_bytes, reading_, inbox_, log_,
-             patience, sync),
+             start_.discovery.empty() ? net::Address{} : parse_discovery_address(start_.discovery),
+             start_.names, start_.known.version, limits_.max_list_bytes, read_buffers_, inbox_,
+             log_, patience, sync),
       core_(start_.settings, start_.names, start_.seed, *this, log_, observer),
       sync_(sync) {}
 
-void PlannerProcess::enter(Stage stage) {
-    stage_ = stage;
-    log_.info("planner {}: {}", start_.name, name_of(stage));
+int PlannerProcess::run() {
+    const auto started = start_serving();
+    if (!started) {
+        log_.error("process: start failed planner={} listen={} reason={:?}", start_.name,
+                   started.error().address, started.error().reason);
+        enter(LifecycleState::failed);
+        return kExitFailed;
+    }
+    enter(LifecycleState::serving);
+    if (!core_thread_.start([this] { run_core(); })) {
+        core_failed_ = true;
+    }
+    core_thread_.wait();
+    reach(sync_, SyncPoint::core_heard_stop);
+    enter(LifecycleState::stopping);
+    stop_drivers();
+    if (core_failed_) {
+        enter(LifecycleState::failed);
+        return kExitFailed;
+    }
+    enter(LifecycleState::stopped);
+    return kExitStopped;
 }
 
 void PlannerProcess::stop() {
     inbox_.put(core_event::StopRequested{});
 }
 
-void PlannerProcess::reload(const Environment& environment) try {
-    ReloadedConfiguration reread = reload_configuration(environment, start_);
-    (void)address_or_throw(reread.discovery, "discovery");
-    inbox_.put(core_event::ConfigurationReloaded{std::move(reread)});
-} catch (const std::exception& bad) {
-    log_.error("reload: nothing is changed: {}", bad.what());
+void PlannerProcess::handle(protocol::EndpointListMessage message) {
+    inbox_.put(core_event::EndpointListReceived{std::move(message)});
 }
 
-void PlannerProcess::follow(const std::string& discovery) {
-    watch_.follow(discovery, address_or_throw(discovery, "discovery"));
+void PlannerProcess::reload(const Environment& environment) {
+    try {
+        ReloadedConfiguration configuration = reload_configuration(environment, start_);
+        (void)parse_discovery_address(configuration.discovery);  // throws if it is none
+        inbox_.put(core_event::ConfigurationReloaded{std::move(configuration)});
+    } catch (const std::exception& error) {
+        log_.error("configuration: reload rejected planner={} reason={:?}", start_.name,
+                   error.what());
+    }
 }
 
-// Nobody is told `alive` before the module has heard the list it is to begin with.
-bool PlannerProcess::begin_serving(std::string& why) {
-    enter(Stage::hearing_known);
-    log_.info("room for {} connections, {} unidentified peers among them", limits_.connections,
-              limits_.unidentified);
-    if (!limits_.enough) {
-        log_.warn("'limits' don't suffice for {} proxies at once: who comes last is turned away",
-                  start_.settings.proxy_count);
-    }
-    {
-        std::vector<Inbox::Item> known;
-        known.push_back({clock_(), core_event::EndpointListReceived{std::move(
-                                       start_.known)}});  // it may be large: no copy stays
-        core_.turn(known, clock_());
-    }
+// The acceptor opens last: peers are told that the planner is alive as soon as they connect, and
+// the planner must have handled the list it starts with by then.
+tl::expected<void, StartError> PlannerProcess::start_serving() {
+    enter(LifecycleState::applying_initial_list);
+    log_limits();
+    apply_initial_list();
     if (!start_.discovery.empty() && !watch_.start()) {
-        why = "no thread for discovery";
-        return false;
+        return tl::unexpected(StartError{start_.listen, "no thread for discovery"});
+    }
+    std::string reason;
+    if (!acceptor_.open(listen_, reason)) {
+        return tl::unexpected(StartError{start_.listen, reason});
     }
-    return acceptor_.open(listen_, why);
+    return {};
 }
 
-int PlannerProcess::run() {
-    if (std::string why; !begin_serving(why)) {
-        log_.error("{}: {}", start_.listen, why);
-        enter(Stage::failed);
-        return 1;
-    }
-    enter(Stage::serving);
-    if (!core_thread_.start([this] { decide_on(); })) {
-        broken_ = true;
+void PlannerProcess::log_limits() {
+    log_.info("process: limits planner={} max_connections={} max_unidentified_peers={}",
+              start_.name, limits_.max_connections, limits_.max_unidentified);
+    if (!limits_.sufficient) {
+        log_.warn(
+            "process: limits too low for all proxies at once planner={} proxies={} effect=\"the "
+            "last to connect are rejected\"",
+            start_.name, start_.settings.proxy_count);
     }
-    core_thread_.wait();
-    reach(sync_, SyncPoint::core_heard_stop);
-    enter(Stage::ending);
-    // Told all at once, waited for after: what hangs in one keeps none of the others.
-    acceptor_.begin_shut(), watch_.begin_stop(), prober_.begin_stop();
-    watch_.stop(), prober_.stop(), acceptor_.shut();
-    enter(broken_ ? Stage::failed : Stage::ended);
-    return broken_ ? 1 : 0;
-}
-
-void PlannerProcess::decide_on() try {
-    while (!core_.stopping()) {
-        auto items = inbox_.wait(core_.next_due());
-        core_.turn(items, clock_());
-        core_.note_lag(items, clock_());
-        if (const auto dropped = inbox_.dropped(); dropped > 0) {
-            log_.warn("{} reports dropped: more came than the core can hear", dropped);
+}
+
+void PlannerProcess::apply_initial_list() {
+    std::vector<Inbox::Item> items;
+    // The list may be large: it is moved, and freed with `items`.
+    items.push_back({clock_(), core_event::EndpointListReceived{std::move(start_.known)}});
+    core_.process(items, clock_());
+}
+
+void PlannerProcess::run_core() {
+    try {
+        while (!core_.stopping()) {
+            std::vector<Inbox::Item> items = inbox_.wait(core_.next_due());
+            core_.process(items, clock_());
+            core_.record_lag(items, clock_());
+            const std::size_t dropped = inbox_.take_dropped_reports();
+            if (dropped > 0) {
+                log_.warn(
+                    "core: reports dropped planner={} count={} reason=\"more than the core "
+                    "can process\"",
+                    start_.name, dropped);
+            }
         }
+    } catch (const std::exception& error) {
+        log_.error("core: failed planner={} reason={:?}", start_.name, error.what());
+        core_failed_ = true;
     }
-} catch (const std::exception& failed) {
-    log_.error("the core failed: {}", failed.what());
-    broken_ = true;
+}
+
+// All are asked to stop before any is waited for, so that one that hangs does not delay the others.
+void PlannerProcess::stop_drivers() {
+    acceptor_.begin_shut();
+    watch_.begin_stop();
+    prober_.begin_stop();
+    watch_.stop();
+    prober_.stop();
+    acceptor_.shut();
+}
+
+void PlannerProcess::enter(LifecycleState state) {
+    state_ = state;
+    log_.info("process: state changed planner={} state={}", start_.name, to_string(state));
+}
+
+void PlannerProcess::write(StreamId stream, std::string_view message) {
+    acceptor_.write(stream, message);
+}
+
+void PlannerProcess::close(StreamId stream) {
+    acceptor_.close(stream);
+}
+
+void PlannerProcess::probe(const ServerId& server, const std::string& address) {
+    prober_.ask(server, address);
+}
+
+void PlannerProcess::fetch_list() {
+    watch_.fetch();
+}
+
+void PlannerProcess::follow(const std::string& discovery) {
+    watch_.follow(discovery, parse_discovery_address(discovery));
 }
 
 }  // namespace micaroad
--- a/src/daemon/planner_process.hpp
+++ b/src/daemon/planner_process.hpp
@@ -1,8 +1,9 @@
-// The program from start to exit, as one object whose stages have names. The core has a thread of
-// its own.
+/// The planner as a process: its core, the drivers around it, and the states from start to exit.
 #pragma once
 
 #include <atomic>
+#include <string>
+#include <tl/expected.hpp>
 
 #include "daemon/limits.hpp"
 #include "daemon/start_configuration.hpp"
@@ -14,59 +15,99 @@
 
 namespace micaroad {
 
-// made -> hearing_known -> serving -> ending -> ended; failed where it can't serve.
-enum class Stage { made, hearing_known, serving, ending, ended, failed };
-const char* name_of(Stage stage);
+/// The states of a planner process:
+///
+///     created ──> applying_initial_list ──> serving ──> stopping ──> stopped
+///                          │                               │
+///                          └────────────> failed <─────────┘
+///
+/// It fails where it can't start to serve, or where its core ended by a fault. Both `stopped` and
+/// `failed` are final.
+enum class LifecycleState {
+    created,
+    applying_initial_list,  ///< the list of the start file, before any peer may connect
+    serving,
+    stopping,  ///< no new connections; the drivers' threads end
+    stopped,
+    failed,
+};
+
+/// The state's name in log lines.
+[[nodiscard]] const char* to_string(LifecycleState state);
+
+/// The former name of LifecycleState, for src/command.
+using Stage = LifecycleState;
 
+/// Why a process can't start to serve.
+struct StartError {
+    std::string address;  ///< that it was to listen on
+    std::string reason;
+};
+
+/// One planner with its core on a thread of its own, the acceptor, discovery and health checks.
 class PlannerProcess : private Transport {
  public:
+    /// `log`, `observer` and `sync` must outlive the process. Throws ConfigurationError if
+    /// `start.listen` or `start.discovery` is no address and port; an empty `start.discovery` means
+    /// that lists come by handle() instead. `sync` is for tests.
     PlannerProcess(StartConfiguration start, Clock clock, Log& log, Observer* observer = nullptr,
                    SyncPoints* sync = nullptr, net::WatchPatience patience = {});
 
-    // Serves until stop() is called, by any thread. The program's exit code.
-    int run();
+    /// Serves until stop() is called. Returns the program's exit code: 0, or 1 if it failed. May be
+    /// called once.
+    [[nodiscard]] int run();
+
+    /// Has run() return. Any thread, at any time.
     void stop();
-    // A list from elsewhere than discovery, which `start.discovery` leaves empty then. Any thread.
-    void handle(protocol::EndpointListMessage said) {
-        inbox_.put(core_event::EndpointListReceived{std::move(said)});
-    }
-    // Reads the start file again, on the caller's thread. One that can't be used changes nothing.
+
+    /// Takes an endpoint list from a source other than discovery. Any thread; does not block.
+    void handle(protocol::EndpointListMessage message);
+
+    /// Reads the start file again, on the caller's thread, and follows discovery at the address in
+    /// it. A file that can't be used is logged and changes nothing. Any thread.
     void reload(const Environment& environment);
-    Stage stage() const { return stage_; }
-    net::Address address() const { return acceptor_.address(); }
+
+    /// Any thread.
+    [[nodiscard]] LifecycleState state() const { return state_; }
+    /// The former name of state(), for src/command.
+    [[nodiscard]] LifecycleState stage() const { return state_; }
+    /// The address it listens on, once it is serving.
+    [[nodiscard]] net::Address address() const { return acceptor_.address(); }
 
  private:
-    static constexpr std::size_t kCoreStack = 1024 * 1024;
-    static constexpr std::size_t kReaders = 64;  // the event loop, discovery, probes
-
-    void write(StreamId stream, std::string_view message) override {
-        acceptor_.write(stream, message);
-    }
-    void close(StreamId stream) override { acceptor_.close(stream); }
-    void probe(const ServerId& server, const std::string& address) override {
-        prober_.ask(server, address);
-    }
-    void fetch_list() override { watch_.fetch(); }
+    static constexpr std::size_t kCoreStackBytes = 1024 * 1024;
+    static constexpr std::size_t kReadBuffers = 64;  // the event loop, discovery, health checks
+
+    void write(StreamId stream, std::string_view message) override;
+    void close(StreamId stream) override;
+    void probe(const ServerId& server, const std::string& address) override;
+    void fetch_list() override;
     void follow(const std::string& discovery) override;
-    void enter(Stage stage);
-    bool begin_serving(std::string& why);
-    void decide_on();
+
+    void enter(LifecycleState state);
+    [[nodiscard]] tl::expected<void, StartError> start_serving();
+    void log_limits();
+    void apply_initial_list();
+    void run_core();
+    void stop_drivers();
 
     StartConfiguration start_;
     const Clock clock_;
     Log& log_;
     const net::Address listen_;
-    std::atomic<Stage> stage_{Stage::made};
+    std::atomic<LifecycleState> state_{LifecycleState::created};
     const Limits limits_;
-    protocol::BufferPool reading_, lines_, writing_;
+    protocol::BufferPool read_buffers_;
+    protocol::BufferPool line_buffers_;
+    protocol::BufferPool update_buffers_;
     Inbox inbox_;
     net::Acceptor acceptor_;
     net::Prober prober_;
     net::DiscoveryWatch watch_;
     Core core_;
-    std::atomic<bool> broken_{false};
+    std::atomic<bool> core_failed_{false};
     SyncPoints* const sync_;
-    net::ThreadGroup core_thread_{1, kCoreStack};
+    net::ThreadGroup core_thread_{1, kCoreStackBytes};
 };
 
 }  // namespace micaroad
--- a/src/daemon/start_configuration.cpp
+++ b/src/daemon/start_configuration.cpp
@@ -1,9 +1,13 @@
 #include "daemon/start_configuration.hpp"
 
 #include <algorithm>
+#include <chrono>
 #include <fstream>
 #include <nlohmann/json.hpp>
 #include <sstream>
+#include <string_view>
+#include <utility>
+#include <vector>
 
 #include "protocol/json_cursor.hpp"
 #include "protocol/parse_integer.hpp"
@@ -13,86 +17,158 @@
 
 using nlohmann::json;
 
+// Keys of the start file that take effect at a start only. Neither the seed nor the known list is
+// among them, as both are expected to differ from one file to the next.
+constexpr const char* kRestartKeys[] = {"name", "listen", "limits", "settings"};
+
+constexpr double kMaxLimit = 1e9;
+
+// A report is counted over at most as much time as 120 usual ones: the connection of its sender may
+// have been broken meanwhile.
+constexpr int kMaxReportIntervals = 120;
+constexpr Duration kMinLongestWindow = std::chrono::seconds(1);
+
+std::string quoted(const char* key) {
+    return std::string("'") + key + "'";
+}
+
+ConfigurationError missing_key(const char* key) {
+    return {key, "the start file lacks " + quoted(key)};
+}
+
+ConfigurationError not_an_object() {
+    return {"", "the start file holds no JSON object"};
+}
+
+ConfigurationError unusable_settings(const json::exception& error) {
+    return {"settings", std::string("'settings' can't be used: ") + error.what()};
+}
+
 const json& member(const json& object, const char* key) {
     const auto found = object.find(key);
     if (found == object.end() || found->is_null()) {
-        throw ConfigurationError(std::string("the start file lacks '") + key + "'");
+        throw missing_key(key);
     }
     return *found;
 }
 
-// The variable where it is set, else the file's key.
-std::string text_from(const Environment& environment, const char* variable, const json& file,
-                      const char* key) {
-    if (const char* value = environment(variable); value && *value) {
-        return value;
+std::string parse_text(const json& file, const char* key) {
+    const json& value = member(file, key);
+    if (!value.is_string()) {
+        throw ConfigurationError(key, quoted(key) + " is no text");
     }
-    const json& found = member(file, key);
-    if (!found.is_string()) {
-        throw ConfigurationError(std::string("'") + key + "' is no text");
+    return value.get<std::string>();
+}
+
+// The variable takes precedence where it is set and not empty.
+std::string variable_or_text(const Environment& environment, const char* variable, const json& file,
+                             const char* key) {
+    const char* const value = environment(variable);
+    if (value != nullptr && *value != '\0') {
+        return value;
     }
-    return found.get<std::string>();
+    return parse_text(file, key);
 }
 
-std::uint64_t seed_from(const json& file) {
+std::uint64_t parse_seed(const json& file) {
+    constexpr int kHexadecimal = 16;
     const json& seed = member(file, "seed");
     if (seed.is_number_unsigned()) {
         return seed.get<std::uint64_t>();
     }
     const std::string text = seed.is_string() ? seed.get<std::string>() : "";
     std::uint64_t value = 0;
-    if (!protocol::parse_integer(text, value, 16)) {
-        throw ConfigurationError("'seed' is no hexadecimal number");
+    if (!protocol::parse_integer(text, value, kHexadecimal)) {
+        throw ConfigurationError("seed", "'seed' is no hexadecimal number");
     }
     return value;
 }
 
-// A report is at most as long as a hundred and twenty usual ones (a break may lie within), and a
-// try ends with its RPC's deadline, where the settings tell one.
-protocol::Bounds bounds_of(const json& profile, const DeploymentSettings& settings) {
+std::size_t parse_limit(const json& file, const char* key) {
+    const json& limit = member(member(file, "limits"), key);
+    const bool usable =
+        limit.is_number() && limit.get<double>() >= 0 && limit.get<double>() < kMaxLimit;
+    if (!usable) {
+        const std::string path = std::string("limits.") + key;
+        throw ConfigurationError(path, "'" + path + "' can't be used");
+    }
+    return limit.get<std::size_t>();
+}
+
+// Zero if no method has a deadline.
+Duration longest_deadline(const json& settings) {
+    Duration longest{};
+    for (const json& method : settings.value("classes", json::array())) {
+        const auto deadline_us = method.value("deadline_us", std::int64_t{0});
+        longest = std::max(longest, duration_of_micros(deadline_us));
+    }
+    return longest;
+}
+
+// An attempt ends with its RPC's deadline, where the settings have one; twice that bounds a
+// report's mean latency.
+protocol::Bounds parse_bounds(const json& settings_json, const DeploymentSettings& settings) {
     protocol::Bounds bounds;
     bounds.proxies = settings.proxy_count;
-    bounds.longest_window = std::max(120 * settings.report_interval, Duration{10'000});
-    Duration deadline{};
-    for (const json& method : profile.value("classes", json::array())) {
-        deadline =
-            std::max(deadline, duration_of_micros(method.value("deadline_us", std::int64_t{0})));
-    }
+    bounds.longest_window =
+        std::max(kMaxReportIntervals * settings.report_interval, kMinLongestWindow);
+    const Duration deadline = longest_deadline(settings_json);
     if (deadline > Duration{}) {
         bounds.longest_mean = 2 * deadline;
     }
     return bounds;
 }
 
-std::size_t limit_from(const json& file, const char* key) {
-    const json& limit = member(member(file, "limits"), key);
-    if (!limit.is_number() || !(limit.get<double>() >= 0 && limit.get<double>() < 1e9)) {
-        throw ConfigurationError(std::string("'limits.") + key + "' can't be used");
+void parse_settings(const json& settings_json, StartConfiguration& start) {
+    try {
+        start.settings = parse_deployment_settings(settings_json);
+        start.names = parse_symbol_table(settings_json);
+    } catch (const json::exception& error) {
+        throw unusable_settings(error);
+    }
+    if (start.settings.methods.empty()) {
+        throw ConfigurationError("settings", "'settings' names no method");
+    }
+    if (start.names.zones.empty()) {
+        throw ConfigurationError("settings", "'settings' names no zone");
+    }
+    if (start.settings.proxy_count < 1) {
+        throw ConfigurationError("settings", "'settings' allows no proxy");
     }
-    return limit.get<std::size_t>();
 }
 
-// What only a start can bring in. Neither the seed nor the known list is meant to stay as it was.
-std::map<std::string, std::string> rest_of(const json& file) {
-    std::map<std::string, std::string> rest;
-    for (const char* key : {"name", "listen", "limits", "settings"}) {
-        if (const auto found = file.find(key); found != file.end()) {
-            rest[key] = found->dump();
-        }
+protocol::EndpointListMessage parse_known_list(std::string_view known, const SymbolTable& names) {
+    if (known.empty() || known == "null") {
+        throw missing_key("known");
     }
-    return rest;
+    auto message = protocol::EndpointListReader(names).read(known);
+    if (!message) {
+        throw ConfigurationError("known", "'known' is no list of servers");
+    }
+    message->list.form = event::EndpointListUpdate::Form::complete;
+    return std::move(*message);
 }
 
-constexpr const char* kNoObject = "the start file holds no JSON object";
+std::map<std::string, std::string> restart_key_texts(const json& file) {
+    std::map<std::string, std::string> texts;
+    for (const char* key : kRestartKeys) {
+        const auto found = file.find(key);
+        if (found != file.end()) {
+            texts[key] = found->dump();
+        }
+    }
+    return texts;
+}
 
-// The list stands apart: as a tree of objects it would take many times the room of its text.
-struct Parted {
+// The list is kept out of the tree of JSON objects, where it would take many times the memory of
+// its text.
+struct SplitFile {
     json file;               // all but `known`
-    std::string_view known;  // empty: there is none
+    std::string_view known;  // a part of the file's text; empty: the key is missing
 };
 
-// `value`, a part of the text, gives way to a null.
-std::string without(const std::string& text, std::string_view value) {
+// Replaces `value`, a part of `text`, by null. An empty `value` changes nothing.
+std::string replace_by_null(const std::string& text, std::string_view value) {
     if (value.empty()) {
         return text;
     }
@@ -100,132 +176,120 @@
     return text.substr(0, begin).append("null").append(text, begin + value.size());
 }
 
-Parted part(const std::string& text) try {
-    Parted parted;
-    protocol::JsonCursor cursor(text);
-    cursor.object([&](const std::string& key) {
-        const std::string_view value = cursor.raw();
-        if (key == "known") {
-            parted.known = value;
-        }
-    });
-    cursor.end();
-    parted.file = json::parse(without(text, parted.known), nullptr, false);
-    if (!parted.file.is_object()) {
-        throw ConfigurationError(kNoObject);
+std::string_view find_known_list(const std::string& text) {
+    std::string_view known;
+    try {
+        protocol::JsonCursor cursor(text);
+        cursor.object([&cursor, &known](const std::string& key) {
+            const std::string_view value = cursor.raw();
+            if (key == "known") {
+                known = value;
+            }
+        });
+        cursor.end();
+    } catch (const protocol::JsonFault&) {
+        throw not_an_object();
     }
-    return parted;
-} catch (const protocol::JsonFault&) {
-    throw ConfigurationError(kNoObject);
+    return known;
 }
 
-std::string text_of_file(const Environment& environment) {
-    const char* path = environment("LB_CONFIG");
-    if (!path || !*path) {
-        throw ConfigurationError("LB_CONFIG is not set");
-    }
-    const std::ifstream file(path);
-    std::ostringstream read;
-    read << file.rdbuf();
-    std::string text = std::move(read).str();
-    if (!file || text.empty()) {
-        throw ConfigurationError(std::string("LB_CONFIG: ") + path + " can't be read");
+SplitFile split_file(const std::string& text) {
+    SplitFile split;
+    split.known = find_known_list(text);
+    split.file = json::parse(replace_by_null(text, split.known), nullptr, false);
+    if (!split.file.is_object()) {
+        throw not_an_object();
     }
-    return text;
+    return split;
 }
 
-}  // namespace
-
-StartConfiguration parse_start_configuration(const std::string& text,
-                                             const Environment& environment) {
-    const auto [file, known] = part(text);
-    StartConfiguration start;
-    start.rest = rest_of(file);
-    start.name = text_from(environment, "LB_NAME", file, "name");
-    start.listen = text_from(environment, "LB_LISTEN", file, "listen");
-    start.discovery = text_from(environment, "LB_DISCOVERY", file, "discovery");
-    start.seed = seed_from(file);
-    const json& profile = member(file, "settings");
-    try {
-        start.settings = parse_deployment_settings(profile);
-        start.names = parse_symbol_table(profile);
-    } catch (const json::exception& bad) {
-        throw ConfigurationError(std::string("'settings' can't be used: ") + bad.what());
-    }
-    if (start.settings.methods.empty()) {
-        throw ConfigurationError("'settings' names no method");
-    }
-    if (start.names.zones.empty()) {
-        throw ConfigurationError("'settings' names no zone");
-    }
-    if (start.settings.proxy_count < 1) {
-        throw ConfigurationError("'settings' allows no proxy");
-    }
-    start.bounds = bounds_of(profile, start.settings);
-    start.sockets = limit_from(file, "sockets");
-    start.memory_mb = limit_from(file, "memory_mb");
-    if (known.empty() || known == "null") {
-        throw ConfigurationError("the start file lacks 'known'");
+std::string read_file(const Environment& environment) {
+    const char* const path = environment("LB_CONFIG");
+    if (path == nullptr || *path == '\0') {
+        throw ConfigurationError("LB_CONFIG", "LB_CONFIG is not set");
     }
-    auto list = protocol::EndpointListReader(start.names).read(known);
-    if (!list) {
-        throw ConfigurationError("'known' is no list of servers");
+    const std::ifstream file(path);
+    std::ostringstream content;
+    content << file.rdbuf();
+    std::string text = std::move(content).str();
+    if (!file || text.empty()) {
+        throw ConfigurationError("LB_CONFIG", std::string("LB_CONFIG: ") + path + " can't be read");
     }
-    start.known = std::move(*list);
-    start.known.list.form = event::EndpointListUpdate::Form::complete;
-    return start;
-}
-
-StartConfiguration load_start_configuration(const Environment& environment) {
-    return parse_start_configuration(text_of_file(environment), environment);
+    return text;
 }
 
-namespace {
-
-bool any_of(const std::vector<std::string>& names, const std::vector<std::string>& among) {
-    return std::any_of(names.begin(), names.end(), [&among](const std::string& name) {
-        return std::find(among.begin(), among.end(), name) != among.end();
+bool have_common_name(const std::vector<std::string>& names,
+                      const std::vector<std::string>& others) {
+    return std::ranges::any_of(names, [&others](const std::string& name) {
+        return std::ranges::find(others, name) != others.end();
     });
 }
 
-// Guards against another deployment's file in this one's place: not even its discovery is followed.
-void expect_ours(const json& file, const StartConfiguration& start) {
+// Guards against another deployment's file in place of this one's: not even its discovery is
+// followed. A file without settings passes.
+void check_same_deployment(const json& file, const StartConfiguration& start) {
     const auto settings = file.find("settings");
     if (settings == file.end()) {
         return;
     }
+    SymbolTable names;
     try {
-        const SymbolTable names = parse_symbol_table(*settings);
-        if (any_of(names.methods, start.names.methods) && any_of(names.zones, start.names.zones)) {
-            return;
-        }
-    } catch (const json::exception& bad) {
-        throw ConfigurationError(std::string("'settings' can't be used: ") + bad.what());
+        names = parse_symbol_table(*settings);
+    } catch (const json::exception& error) {
+        throw unusable_settings(error);
+    }
+    const bool same_deployment = have_common_name(names.methods, start.names.methods) &&
+                                 have_common_name(names.zones, start.names.zones);
+    if (!same_deployment) {
+        throw ConfigurationError("settings",
+                                 "'settings' names none of our methods, or none of our zones: "
+                                 "another deployment's file");
     }
-    throw ConfigurationError(
-        "'settings' names none of our methods, or none of our zones: another deployment's file");
 }
 
 }  // namespace
 
+StartConfiguration parse_start_configuration(const std::string& text,
+                                             const Environment& environment) {
+    const SplitFile split = split_file(text);
+    const json& file = split.file;
+    StartConfiguration start;
+    start.rest = restart_key_texts(file);
+    start.name = variable_or_text(environment, "LB_NAME", file, "name");
+    start.listen = variable_or_text(environment, "LB_LISTEN", file, "listen");
+    start.discovery = variable_or_text(environment, "LB_DISCOVERY", file, "discovery");
+    start.seed = parse_seed(file);
+    const json& settings = member(file, "settings");
+    parse_settings(settings, start);
+    start.bounds = parse_bounds(settings, start.settings);
+    start.sockets = parse_limit(file, "sockets");
+    start.memory_mb = parse_limit(file, "memory_mb");
+    start.known = parse_known_list(split.known, start.names);
+    return start;
+}
+
+StartConfiguration load_start_configuration(const Environment& environment) {
+    return parse_start_configuration(read_file(environment), environment);
+}
+
 ReloadedConfiguration parse_reloaded_configuration(const std::string& text,
                                                    const StartConfiguration& start) {
-    const json file = part(text).file;
-    expect_ours(file, start);
-    const auto no_variable = [](const char*) -> const char* { return nullptr; };
-    ReloadedConfiguration reread{text_from(no_variable, "", file, "discovery"), {}};
-    for (const auto& [key, told] : rest_of(file)) {
-        const auto old = start.rest.find(key);
-        if (old == start.rest.end() || old->second != told) {
-            reread.restart_required_keys.push_back(key);
+    const SplitFile split = split_file(text);
+    check_same_deployment(split.file, start);
+    ReloadedConfiguration reloaded;
+    reloaded.discovery = parse_text(split.file, "discovery");
+    for (const auto& [key, value] : restart_key_texts(split.file)) {
+        const auto at_start = start.rest.find(key);
+        if (at_start == start.rest.end() || at_start->second != value) {
+            reloaded.restart_required_keys.push_back(key);
         }
     }
-    return reread;
+    return reloaded;
 }
 
 ReloadedConfiguration reload_configuration(const Environment& environment,
                                            const StartConfiguration& start) {
-    return parse_reloaded_configuration(text_of_file(environment), start);
+    return parse_reloaded_configuration(read_file(environment), start);
 }
 
 }  // namespace micaroad
--- a/src/planner/core.cpp
+++ b/src/planner/core.cpp
@@ -2,326 +2,280 @@
 
 #include <algorithm>
 #include <chrono>
+#include <utility>
 
 #include "protocol/push_writer.hpp"
 
 namespace micaroad {
 namespace {
 
-constexpr Duration kLagSaidEvery = std::chrono::seconds(15);
+constexpr Duration kLagSummaryInterval = std::chrono::seconds(15);
 
-double ms(Duration span) {
-    return static_cast<double>(span.count()) / 10;
-}
-
-const char* name_of(EndpointPhase phase) {
-    return phase == EndpointPhase::ready      ? "ready"
-           : phase == EndpointPhase::draining ? "draining"
-                                              : "gone";
-}
+// Of a name that a peer sent and nobody listed; it may have any length.
+constexpr std::size_t kMaxLoggedName = 40;
 
 }  // namespace
 
 Core::Core(const DeploymentSettings& settings, SymbolTable names, std::uint64_t seed,
            Transport& transport, Log& log, Observer* observer)
     : names_(std::move(names)),
-      subscribed_(settings.subscription_required),
+      subscription_required_(settings.subscription_required),
       transport_(transport),
       log_(log),
       observer_(observer),
       planner_(settings, seed),
-      update_builder_(names_.methods.size()) {
+      update_builder_(names_.methods.size()),
+      endpoints_(names_, log) {
     if (settings.slice_count > 0) {
-        log_.warn("the settings name {} slices: this protocol has no words for them",
+        log_.warn("core: slices not supported by the protocol slice_count={}",
                   settings.slice_count);
     }
 }
 
-void Core::turn(std::vector<Inbox::Item>& items, TimePoint now) {
+void Core::process(std::vector<Inbox::Item>& items, TimePoint now) {
     now_ = now;
-    forget_removed();
-    for (auto& item : items) {
-        std::visit([this](auto& arrived) { handle(arrived); }, item.arrival);
-    }
-    for (; !timers_.empty() && timers_.begin()->first <= now; timers_.erase(timers_.begin())) {
-        tell_module(event::TimerExpired{timers_.begin()->second});
+    endpoints_.expire_removals(
+        now, [this](const ServerId& server) { return update_builder_.forget(server); });
+    for (Inbox::Item& item : items) {
+        std::visit([this](auto& event) { handle(event); }, item.event);
     }
+    expire_timers();
     const std::vector<Order> orders = planner_.decide(now);
     if (observer_ != nullptr) {
         observer_->on_decision(now, orders);
     }
     for (const Order& order : orders) {
-        carry_out(order, now);
+        execute(order);
     }
     const std::vector<ProxyUpdate> updates = update_builder_.build_updates(orders);
-    if (const std::size_t barred = update_builder_.take_suppressed_orders(); barred > 0) {
-        log_.error("{} orders not written: they name servers that are off the list and withdrawn",
-                   barred);
+    const std::size_t suppressed = update_builder_.take_suppressed_orders();
+    if (suppressed > 0) {
+        log_.error(
+            "core: orders suppressed count={} reason=\"their servers are withdrawn and no "
+            "longer listed\"",
+            suppressed);
     }
     for (const ProxyUpdate& update : updates) {
-        const auto stream = streams_.find(update.proxy);
-        if (stream == streams_.end()) {
-            continue;
-        }
-        ++lag_.updates, lag_.lines += static_cast<std::int64_t>(update.channel_lines());
-        const auto message = protocol::format_update(update, names_);
-        if (message) {
-            transport_.write(stream->second, *message);
-        } else {
-            log_.error("proxy {}: an order of {} lines is too large for one message",
-                       update.proxy.value, update.channel_lines());
-        }
+        send(update);
+    }
+}
+
+std::optional<TimePoint> Core::next_due() const {
+    return timers_.empty() ? std::nullopt : std::optional{timers_.begin()->first};
+}
+
+void Core::expire_timers() {
+    while (!timers_.empty() && timers_.begin()->first <= now_) {
+        pass_to_planner(event::TimerExpired{timers_.begin()->second});
+        timers_.erase(timers_.begin());
     }
 }
 
-void Core::tell_module(Event event) {
+void Core::pass_to_planner(Event event) {
     if (observer_ != nullptr) {
         observer_->on_event(event);
     }
     planner_.handle(std::move(event));
 }
 
-std::optional<TimePoint> Core::next_due() const {
-    return timers_.empty() ? std::nullopt : std::optional{timers_.begin()->first};
+void Core::send(const ProxyUpdate& update) {
+    const auto stream = streams_.find(update.proxy);
+    if (stream == streams_.end()) {
+        return;
+    }
+    ++lag_.updates;
+    lag_.update_lines += static_cast<std::int64_t>(update.channel_lines());
+    const auto message = protocol::format_update(update, names_);
+    if (!message) {
+        log_.error("core: update too large for one message proxy={} lines={}", update.proxy.value,
+                   update.channel_lines());
+        return;
+    }
+    transport_.write(stream->second, *message);
 }
 
-// A new stream may come before the old one is seen to end, and its end later still.
-void Core::handle(core_event::StreamOpened& begun) {
-    const ProxyId proxy = begun.joined.proxy;
-    if (const auto old = streams_.find(proxy); old != streams_.end()) {
-        if (begun.stream < old->second) {
-            return transport_.close(begun.stream);
+// A new stream may open before the old one is seen to end. Streams are numbered in the order in
+// which they were accepted; the later one of a proxy is its current one.
+void Core::handle(core_event::StreamOpened& opened) {
+    const event::ProxyJoined& joined = opened.joined;
+    const ProxyId proxy = joined.proxy;
+    const auto current = streams_.find(proxy);
+    if (current != streams_.end()) {
+        const StreamId old_stream = current->second;
+        if (opened.stream < old_stream) {
+            transport_.close(opened.stream);
+            return;
         }
-        log_.info("proxy {}: a new stream replaces its old one", proxy.value);
-        transport_.close(old->second);
-        leave(proxy, old->second);
+        log_.info("core: stream replaced proxy={} stream={} old_stream={}", proxy.value,
+                  opened.stream.value, old_stream.value);
+        transport_.close(old_stream);
+        remove_proxy(proxy, old_stream);
     }
-    log_.info("proxy {} joined from {}, about {} RPCs a second{}", proxy.value,
-              names_.zone(begun.joined.zone), begun.joined.rpcs_per_second,
-              begun.joined.initial_table_only ? ", with a table of its start" : "");
-    streams_[proxy] = begun.stream;
-    proxies_[begun.stream] = proxy;
+    log_.info("core: proxy joined proxy={} zone={} rpcs_per_second={} initial_table_only={}",
+              proxy.value, names_.zone(joined.zone), joined.rpcs_per_second,
+              joined.initial_table_only);
+    streams_[proxy] = opened.stream;
+    proxies_[opened.stream] = proxy;
     update_builder_.on_proxy_joined(proxy);
-    tell_module(begun.joined);
+    pass_to_planner(joined);
 }
 
-void Core::handle(core_event::StreamAcknowledged& answered) {
-    if (!proxies_.contains(answered.stream)) {
-        return;  // of a stream that was replaced
+void Core::handle(core_event::StreamAcknowledged& acknowledged) {
+    if (!proxies_.contains(acknowledged.stream)) {
+        return;  // the stream was replaced
     }
-    const auto& [proxy, mark] = answered.acknowledgement;
-    if (!update_builder_.on_acknowledgement(proxy, mark)) {
-        return log_.warn("proxy {} answers mark {}, which is not open on its stream: dropped",
-                         proxy.value, mark.value);
+    const event::Acknowledgement& acknowledgement = acknowledged.acknowledgement;
+    if (!update_builder_.on_acknowledgement(acknowledgement.proxy, acknowledgement.nonce)) {
+        log_.warn(
+            "core: acknowledgement dropped proxy={} nonce={} reason=\"not pending on its "
+            "stream\"",
+            acknowledgement.proxy.value, acknowledgement.nonce.value);
+        return;
     }
-    tell_module(answered.acknowledgement);
+    pass_to_planner(acknowledgement);
 }
 
-void Core::handle(core_event::StreamClosed& ended) {
-    const auto at = proxies_.find(ended.stream);
-    if (at == proxies_.end()) {
+void Core::handle(core_event::StreamClosed& closed) {
+    const auto found = proxies_.find(closed.stream);
+    if (found == proxies_.end()) {
         return;
     }
-    const ProxyId proxy = at->second;
-    log_.info("proxy {} left: {}", proxy.value, ended.reason);
-    leave(proxy, ended.stream);
+    const ProxyId proxy = found->second;
+    log_.info("core: proxy left proxy={} reason={:?}", proxy.value, closed.reason);
+    remove_proxy(proxy, closed.stream);
 }
 
-void Core::leave(ProxyId proxy, StreamId stream) {
+void Core::remove_proxy(ProxyId proxy, StreamId stream) {
     proxies_.erase(stream);
     streams_.erase(proxy);
     update_builder_.on_proxy_left(proxy);
-    tell_module(event::ProxyLeft{proxy});
+    pass_to_planner(event::ProxyLeft{proxy});
 }
 
-void Core::handle(core_event::ReportReceived& reported) {
-    if (const auto* met = std::get_if<event::EndpointLoadReport>(&reported.report);
-        met && !held_.contains(met->server) && !removed_.contains(met->server)) {
-        return log_.warn("a report on {}, which was never listed, is dropped",
-                         met->server.value.substr(0, 40));
+void Core::handle(core_event::ReportReceived& received) {
+    const auto* load = std::get_if<event::EndpointLoadReport>(&received.report);
+    if (load != nullptr && !endpoints_.is_or_was_listed(load->server)) {
+        log_.warn("core: load report dropped server={} reason=\"never listed\"",
+                  load->server.value.substr(0, kMaxLoggedName));
+        return;
     }
-    std::visit([this](auto& report) { tell_module(report); }, reported.report);
+    std::visit([this](const auto& report) { pass_to_planner(report); }, received.report);
 }
 
-void Core::handle(core_event::EndpointListReceived& told) {
-    auto& [version, list, addresses, dropped] = told.message;
-    const bool complete = list.form == event::EndpointListUpdate::Form::complete;
-    if (foreign(list)) {
-        log_.error(
-            "discovery: version {} names no server of our zones and kinds: nothing of it is taken",
-            version);
-        return complete ? void() : transport_.fetch_list();  // the whole list tells whose it is
-    }
-    if (!complete && version <= version_) {
-        if (list.servers.empty()) {
+void Core::handle(core_event::EndpointListReceived& received) {
+    protocol::EndpointListMessage& message = received.message;
+    switch (endpoints_.apply(message, now_)) {
+        case ListResult::ignored:
             return;
-        }
-        log_.warn("discovery: changes of version {} dropped, {} is held", version, version_);
-        // Either they came twice, or discovery counts anew: the whole list tells.
-        return version < version_ ? transport_.fetch_list() : void();
-    }
-    if (complete && version < version_) {
-        drop_removed(list);
-    }
-    version_ = version;
-    // What was known of a server stands where its new entry can't be used: it is listed all the
-    // same.
-    for (const auto& [server, why] : dropped) {
-        log_.warn("discovery: the entry of '{}' is dropped: {}", server.value, why);
-        const auto old = held_.find(server);
-        if (!complete || old == held_.end() || addresses.contains(server)) {
-            continue;
-        }
-        list.servers.push_back(old->second.entry);
-        addresses[server] = old->second.address;
-    }
-    for (const ServerId& server : complete ? missing_in(list) : std::vector<ServerId>{}) {
-        held_.erase(server);
-        removed_[server] = now_;
-    }
-    for (const ListedEndpoint& server : list.servers) {
-        if (server.phase == EndpointPhase::gone) {
-            held_.erase(server.server), removed_[server.server] = now_;
-        } else {
-            held_[server.server] = {server, std::move(addresses[server.server])};
-        }
-        if (!complete) {
-            log_.info("server {} is {}", server.server.value, name_of(server.phase));
-        }
+        case ListResult::complete_list_needed:
+            transport_.fetch_list();
+            return;
+        case ListResult::applied:
+            break;
     }
-    log_.info("discovery: version {}, {} of {} servers{}", version, list.servers.size(),
-              held_.size(), complete ? ", the whole list" : "");
-    addresses.clear(), dropped.clear();  // the arrival stays until the module has decided
-    update_builder_.on_endpoint_list(list);
-    tell_module(std::move(list));
+    update_builder_.on_endpoint_list(message.list);
+    pass_to_planner(std::move(message.list));
 }
 
-// Guards against another deployment's discovery: its servers would take our RPCs. A list that names
-// some of ours and new zones or kinds is ours, and grown.
-bool Core::foreign(const event::EndpointListUpdate& list) const {
-    bool any = false;
-    for (const ListedEndpoint& server : list.servers) {
-        if (server.phase == EndpointPhase::gone) {
-            continue;
-        }
-        const auto told = [](int place, const std::vector<std::string>& names) {
-            return names.empty() || place < std::ssize(names);
-        };
-        if (told(server.zone.value, names_.zones) && told(server.kind.value, names_.kinds)) {
-            return false;
-        }
-        any = true;
+// Where the planner has to subscribe to the list, it asks for it again; elsewhere the watch is
+// taken up again by itself.
+void Core::handle(core_event::WatchLost& /*lost*/) {
+    if (subscription_required_) {
+        pass_to_planner(
+            event::EndpointListUpdate{event::EndpointListUpdate::Form::unavailable, {}});
     }
-    return any;
 }
 
-std::vector<ServerId> Core::missing_in(const event::EndpointListUpdate& list) const {
-    std::set<ServerId> named;
-    for (const ListedEndpoint& server : list.servers) {
-        named.insert(server.server);
-    }
-    std::vector<ServerId> missing;
-    for (const auto& [id, held] : held_) {
-        if (!named.contains(id)) {
-            missing.push_back(id);
-        }
+void Core::handle(core_event::HealthCheckCompleted& completed) {
+    const ServerId& server = completed.result.server;
+    const bool awaited = health_checks_.erase(server) > 0;
+    if (awaited && endpoints_.find(server) != nullptr) {
+        pass_to_planner(completed.result);
     }
-    return missing;
 }
 
-void Core::forget_removed() {
-    std::erase_if(removed_, [this](const auto& removed) {
-        const auto& [server, since] = removed;
-        if (now_ - since <= kRemovedStands) {
-            return false;
-        }
-        return held_.contains(server) || update_builder_.forget(server);
-    });
+// A reload changes where the endpoint list comes from and nothing else; the list stays.
+void Core::handle(core_event::ConfigurationReloaded& reloaded) {
+    const ReloadedConfiguration& configuration = reloaded.configuration;
+    log_.info("configuration: reloaded discovery={}", configuration.discovery);
+    for (const std::string& key : configuration.restart_required_keys) {
+        log_.warn("configuration: change needs a restart key={}", key);
+    }
+    transport_.follow(configuration.discovery);
 }
 
-void Core::drop_removed(event::EndpointListUpdate& list) {
-    std::erase_if(list.servers, [this](const ListedEndpoint& server) {
-        const auto at = removed_.find(server.server);
-        const bool stands = at != removed_.end() && now_ - at->second <= kRemovedStands &&
-                            server.last_start.value_or(TimePoint{}) < at->second;
-        if (stands) {
-            log_.warn("discovery: {} was removed, an older list does not bring it back",
-                      server.server.value);
-        }
-        return stands;
-    });
+void Core::handle(core_event::StopRequested& /*requested*/) {
+    stopping_ = true;
 }
 
-// Where a planner must ask for the list, the module asks again; elsewhere the watch comes back by
-// itself.
-void Core::handle(core_event::WatchLost&) {
-    if (subscribed_) {
-        tell_module(event::EndpointListUpdate{event::EndpointListUpdate::Form::unavailable, {}});
+void Core::execute(const Order& order) {
+    std::visit([this](const auto& specific) { execute(specific); }, order);
+    if (!UpdateBuilder::is_supported(order)) {
+        warn_of_unsupported(order);
     }
 }
 
-void Core::handle(core_event::HealthCheckCompleted& ended) {
-    if (probed_.erase(ended.result.server) > 0 && held_.contains(ended.result.server)) {
-        tell_module(ended.result);
-    }
+void Core::execute(const order::StartTimer& order) {
+    timers_.emplace(now_ + order.after, order.timer);
 }
 
-// A reload changes where the list comes from, and nothing that is held.
-void Core::handle(core_event::ConfigurationReloaded& reloaded) {
-    const auto& [discovery, restart_required_keys] = reloaded.configuration;
-    log_.info("reload: discovery is at {}", discovery);
-    for (const std::string& key : restart_required_keys) {
-        log_.warn("reload: '{}' differs: it counts at the next start", key);
+void Core::execute(const order::CheckHealth& order) {
+    const KnownEndpoint* const endpoint = endpoints_.find(order.server);
+    if (endpoint == nullptr) {
+        return;
+    }
+    const bool started = health_checks_.insert(order.server).second;
+    if (started) {
+        transport_.probe(order.server, endpoint->address);
     }
-    transport_.follow(discovery);
 }
 
-void Core::carry_out(const Order& order, TimePoint now) {
-    if (const auto* timer = std::get_if<order::StartTimer>(&order)) {
-        timers_.emplace(now + timer->after, timer->timer);
-    } else if (const auto* probe = std::get_if<order::CheckHealth>(&order)) {
-        const auto held = held_.find(probe->server);
-        if (held != held_.end() && probed_.insert(probe->server).second) {
-            transport_.probe(probe->server, held->second.address);
+void Core::execute(const order::SetAdmission& order) {
+    for (const MethodId method : order.methods) {
+        double& last = admissions_.try_emplace(method, 1).first->second;
+        if (std::exchange(last, order.amount) != order.amount) {
+            log_.info("core: admission changed method={} amount={:.2f}", names_.method(method),
+                      order.amount);
         }
-    } else if (const auto* level = std::get_if<order::SetAdmission>(&order)) {
-        for (const MethodId method : level->methods) {
-            double& last = levels_.try_emplace(method, 1).first->second;
-            if (std::exchange(last, level->amount) == level->amount) {
-                continue;
-            }
-            log_.info("level of {}: {:.2f}", names_.method(method), level->amount);
-        }
-    } else if (const auto* withdrawal = std::get_if<order::SetWithdrawn>(&order)) {
-        log_.info("server {} is {}", withdrawal->server.value,
-                  withdrawal->withdrawn ? "withdrawn" : "let back");
-    } else if (std::holds_alternative<order::FetchList>(order)) {
-        transport_.fetch_list();
-    } else if (const auto* line = std::get_if<order::LogLine>(&order)) {
-        log_.info("module: {}", line->text);
-    } else if (!UpdateBuilder::is_supported(order) && unserved_.insert(order.index()).second) {
-        log_.warn("the module orders what this protocol has no words for (order {}): not served",
-                  order.index());
     }
 }
 
-void Core::note_lag(const std::vector<Inbox::Item>& items, TimePoint done) {
-    for (const auto& item : items) {
-        const Duration lag = std::max(done - item.at, Duration{});
-        lag_.longest = std::max(lag_.longest, lag);
-        lag_.sum += lag, ++lag_.number;
+void Core::execute(const order::SetWithdrawn& order) {
+    log_.info("core: server {} server={}", order.withdrawn ? "withdrawn" : "reinstated",
+              order.server.value);
+}
+
+void Core::execute(const order::FetchList& /*order*/) {
+    transport_.fetch_list();
+}
+
+void Core::execute(const order::LogLine& order) {
+    log_.info("core: planner message text={:?}", order.text);
+}
+
+void Core::warn_of_unsupported(const Order& order) {
+    const bool first = unsupported_order_kinds_.insert(order.index()).second;
+    if (first) {
+        log_.warn("core: order not supported by the protocol order_kind={}", order.index());
+    }
+}
+
+void Core::record_lag(const std::vector<Inbox::Item>& items, TimePoint done) {
+    for (const Inbox::Item& item : items) {
+        lag_.add_event(std::max(done - item.at, Duration{}));
     }
-    if (done - lag_.since < kLagSaidEvery) {
+    if (done - lag_.since < kLagSummaryInterval) {
         return;
     }
-    if (lag_.since != TimePoint{}) {
-        const double mean = lag_.number > 0 ? ms(lag_.sum) / static_cast<double>(lag_.number) : 0;
+    const bool first = lag_.since == TimePoint{};
+    if (!first) {
         log_.info(
-            "from arrival to orders: mean {:.1f} ms, longest {:.1f} ms of {} arrivals; "
-            "{} messages with {} lines; {} proxies joined",
-            mean, ms(lag_.longest), lag_.number, lag_.updates, lag_.lines, streams_.size());
+            "core: decision lag mean_ms={:.1f} longest_ms={:.1f} events={} updates={} "
+            "update_lines={} proxies={}",
+            lag_.mean_ms(), to_milliseconds(lag_.longest), lag_.events, lag_.updates,
+            lag_.update_lines, streams_.size());
     }
-    lag_ = {done, {}, {}, 0, 0, 0};
+    lag_ = LagStatistics{.since = done};
 }
 
 }  // namespace micaroad
--- a/src/planner/core.hpp
+++ b/src/planner/core.hpp
@@ -1,5 +1,5 @@
-// Owns the module: arrivals to events, one decide(), orders to updates. Touches no socket and reads
-// no clock.
+/// The core: the one owner of the planner. It passes events to the planner, has it decide, and
+/// sends the orders to the proxies.
 #pragma once
 
 #include <map>
@@ -9,72 +9,85 @@
 
 #include "log/log.hpp"
 #include "micaroad/planner.hpp"
+#include "planner/endpoint_registry.hpp"
 #include "planner/inbox.hpp"
+#include "planner/lag_statistics.hpp"
 #include "planner/ports.hpp"
 #include "updates/update_builder.hpp"
 
 namespace micaroad {
 
+/// Translates core events to the planner's events and the planner's orders to updates for proxies.
+///
+/// Keeps which proxy is joined on which stream, the endpoint list, and the planner's timers. Uses
+/// no socket and reads no clock: whoever calls process() passes the time, which must not go back.
+/// Not thread-safe; one thread calls it. It never blocks.
 class Core {
  public:
+    /// `transport`, `log` and `observer` must outlive the core. Without an observer events and
+    /// orders are passed on to nobody else. `seed` is that of the planner's random choices.
     Core(const DeploymentSettings& settings, SymbolTable names, std::uint64_t seed,
          Transport& transport, Log& log, Observer* observer = nullptr);
 
-    // Hears all of them and the timers that are due, decides once, and sends what was ordered.
-    void turn(std::vector<Inbox::Item>& items, TimePoint now);
-    // Sums up now and then how long arrivals took to become orders.
-    void note_lag(const std::vector<Inbox::Item>& items, TimePoint done);
-    std::optional<TimePoint> next_due() const;
-    bool stopping() const { return stopping_; }
+    /// Handles the events in their order and then the timers that are due, decides once, and sends
+    /// what was ordered. The events' contents are consumed.
+    void process(std::vector<Inbox::Item>& items, TimePoint now);
+
+    /// Counts how long the events took from their arrival to `done`; logs a summary from time to
+    /// time.
+    void record_lag(const std::vector<Inbox::Item>& items, TimePoint done);
+
+    /// When process() must be called next, even if no event arrives; absent: no timer is running.
+    [[nodiscard]] std::optional<TimePoint> next_due() const;
+
+    /// Whether a stop has been requested.
+    [[nodiscard]] bool stopping() const { return stopping_; }
 
  private:
-    struct Held {
-        ListedEndpoint entry;
-        std::string address;
-    };
-    void handle(core_event::StreamOpened& begun);
-    void handle(core_event::StreamAcknowledged& answered);
-    void handle(core_event::StreamClosed& ended);
-    void handle(core_event::ReportReceived& reported);
-    void handle(core_event::EndpointListReceived& told);
-    bool foreign(const event::EndpointListUpdate& list) const;
-    void drop_removed(event::EndpointListUpdate& list);
-    void forget_removed();
-    std::vector<ServerId> missing_in(const event::EndpointListUpdate& list) const;
-    void handle(core_event::WatchLost&);
-    void handle(core_event::HealthCheckCompleted& ended);
+    void handle(core_event::StreamOpened& opened);
+    void handle(core_event::StreamAcknowledged& acknowledged);
+    void handle(core_event::StreamClosed& closed);
+    void handle(core_event::ReportReceived& received);
+    void handle(core_event::EndpointListReceived& received);
+    void handle(core_event::WatchLost& lost);
+    void handle(core_event::HealthCheckCompleted& completed);
     void handle(core_event::ConfigurationReloaded& reloaded);
-    void handle(core_event::StopRequested&) { stopping_ = true; }
-    void leave(ProxyId proxy, StreamId stream);
-    void tell_module(Event event);
-    void carry_out(const Order& order, TimePoint now);
+    void handle(core_event::StopRequested& requested);
+
+    void execute(const Order& order);
+    void execute(const order::StartTimer& order);
+    void execute(const order::CheckHealth& order);
+    void execute(const order::SetAdmission& order);
+    void execute(const order::SetWithdrawn& order);
+    void execute(const order::FetchList& order);
+    void execute(const order::LogLine& order);
+    /// The other orders are for proxies alone; the update builder writes them.
+    template <class Other>
+    void execute(const Other& /*order*/) {}
+
+    void pass_to_planner(Event event);
+    void expire_timers();
+    void remove_proxy(ProxyId proxy, StreamId stream);
+    void send(const ProxyUpdate& update);
+    void warn_of_unsupported(const Order& order);
 
-    // A list of an older version that names a server removed so lately is out of date; the removal
-    // stands. After that, nothing is kept of the server.
-    static constexpr Duration kRemovedStands = std::chrono::seconds(60);
     const SymbolTable names_;
-    const bool subscribed_;
+    const bool subscription_required_;
     Transport& transport_;
     Log& log_;
-    Observer* const observer_;  // absent: nobody is told
+    Observer* const observer_;  // null: none
     Planner planner_;
     UpdateBuilder update_builder_;
+    EndpointRegistry endpoints_;
     std::map<ProxyId, StreamId> streams_;
     std::map<StreamId, ProxyId> proxies_;
-    std::map<ServerId, Held> held_;  // the list, without what is gone
-    std::set<ServerId> probed_;      // an answer is awaited
-    std::int64_t version_ = -1;
-    std::map<ServerId, TimePoint> removed_;  // not long ago
+    std::set<ServerId> health_checks_;  // under way
     std::multimap<TimePoint, TimerId> timers_;
-    std::map<MethodId, double> levels_;  // as last ordered, for the log
-    std::set<std::size_t> unserved_;     // kinds of order that were logged as such
+    std::map<MethodId, double> admissions_;          // as last ordered, for the log
+    std::set<std::size_t> unsupported_order_kinds_;  // already logged, by index in Order
     bool stopping_ = false;
-    TimePoint now_{};
-    struct {
-        TimePoint since{};
-        Duration longest{}, sum{};
-        std::int64_t number = 0, updates = 0, lines = 0;
-    } lag_;
+    TimePoint now_;
+    LagStatistics lag_;
 };
 
 }  // namespace micaroad
--- a/src/planner/sync_points.hpp
+++ b/src/planner/sync_points.hpp
@@ -1,33 +1,35 @@
-// Named places between two lines at which something else may come in between: a signal, an end, an
-// answer. In service nobody stands there. A test passes in its own SyncPoints, holds the thread
-// that reaches one, does the crossing meanwhile and lets it go on: so the crossing is forced, not
-// hoped for.
+/// Places at which a test may hold a thread, so that it can force two things to happen in a chosen
+/// order, such as a signal between two steps of a connection's start.
+///
+/// The program serves without SyncPoints. A test passes in its own, which holds the thread that
+/// reaches a point, does meanwhile what is to happen in between, and lets the thread go on.
 #pragma once
 
 namespace micaroad {
 
+/// Named after what has happened when the thread gets there.
 enum class SyncPoint {
-    connection_accepted,  // Acceptor: the kernel gave it, nobody knows of it yet
-    connection_listed,    // EventLoop: it stands in the maps and is not watched yet
-    connection_ready,     // EventLoop: there is something to read, which has not been read yet
-    bytes_received,       // Connection: out of the kernel, not taken yet
-    watch_registered,  // DiscoveryWatch: whoever stops it sees the socket, which is not connected
-                       // yet
-    watch_connected,   // and now it is; nothing has been asked
-    watch_asked,       // and nothing has been answered
-    watch_answered,    // an answer has ended, or broken off; nothing was made of that yet
-    probe_registered,  // Prober: as for the watch
-    probe_connected,
-    core_heard_stop,  // PlannerProcess: the core has ended, the drivers serve on
+    connection_accepted,  ///< Acceptor: the kernel accepted it, nothing else refers to it yet
+    connection_listed,    ///< EventLoop: it is in the maps, and not polled yet
+    connection_ready,     ///< EventLoop: it is readable, and has not been read yet
+    bytes_received,       ///< Connection: read from the kernel, not parsed yet
+    watch_registered,     ///< DiscoveryWatch: stop() sees the socket, which is not connected yet
+    watch_connected,      ///< DiscoveryWatch: the socket is connected, nothing was requested yet
+    watch_asked,          ///< DiscoveryWatch: requested, and no answer was read
+    watch_answered,       ///< DiscoveryWatch: an answer has ended or broken off, not evaluated yet
+    probe_registered,     ///< Prober: as watch_registered
+    probe_connected,      ///< Prober: as watch_connected
+    core_heard_stop,      ///< PlannerProcess: the core has ended, its drivers still serve
 };
 
 class SyncPoints {
  public:
     virtual ~SyncPoints() = default;
-    virtual void reached(SyncPoint point) = 0;  // any thread; may hold it
+    /// Called by any thread; may block it.
+    virtual void reached(SyncPoint point) = 0;
 };
 
-// Absent wherever the program serves.
+/// Reports that the calling thread is at `point`; does nothing without `points`.
 inline void reach(SyncPoints* points, SyncPoint point) {
     if (points != nullptr) {
         points->reached(point);
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -1,5 +1,5 @@
-// The core without sockets: streams that replace each other, lists, probes, timers, and the start
-// file.
+// The core without sockets: streams that replace each other, endpoint lists, health checks, timers,
+// and the start configuration.
 #include "planner/core.hpp"
 
 #include <malloc.h>
@@ -10,12 +10,13 @@
 #include "daemon/limits.hpp"
 #include "daemon/start_configuration.hpp"
 #include "helpers.hpp"
+#include "protocol/buffer_pool.hpp"
 
 using namespace micaroad;
 
 namespace {
 
-struct Ear : Transport {
+struct FakeTransport : Transport {
     std::map<StreamId, std::string> written;
     std::vector<StreamId> closed;
     void write(StreamId stream, std::string_view message) override { written[stream] += message; }
@@ -27,19 +28,19 @@
     void follow(const std::string& discovery) override { followed = discovery; }
 };
 
-struct Stage {
+struct CoreFixture {
     test::Quiet quiet;
     test::HandClock clock;
-    Ear ear;
-    Core core{test::terms(), test::names(), 7, ear, quiet.log};
+    FakeTransport transport;
+    Core core{test::terms(), test::names(), 7, transport, quiet.log};
 
     void turn(std::vector<CoreEvent> arrivals = {}) {
         std::vector<Inbox::Item> items;
         for (auto& arrival : arrivals) {
             items.push_back({clock.now(), std::move(arrival)});
         }
-        core.turn(items, clock.now());
-        core.note_lag(items, clock.now());
+        core.process(items, clock.now());
+        core.record_lag(items, clock.now());
     }
     void run(int ms) {
         const TimePoint end = clock.now() + Duration{ms * 10};
@@ -56,7 +57,9 @@
     static CoreEvent begun(std::uint64_t stream, int proxy, bool standing = true) {
         return core_event::StreamOpened{{stream}, {{proxy}, {0}, 5, standing}};
     }
-    std::string said(std::uint64_t stream) { return std::exchange(ear.written[{stream}], ""); }
+    std::string said(std::uint64_t stream) {
+        return std::exchange(transport.written[{stream}], "");
+    }
     bool names(std::uint64_t stream, const char* text) {
         return said(stream).find(text) != std::string::npos;
     }
@@ -71,94 +74,96 @@
 }  // namespace
 
 TEST_CASE("a joined proxy is bound; of a replaced stream nothing counts any more") {
-    Stage stage;
-    stage.turn({Stage::told(test::kList)});
-    stage.turn({Stage::begun(1, 3)});
-    CHECK(stage.names(1, "full=1 endpoints=s-1:"));
+    CoreFixture fixture;
+    fixture.turn({CoreFixture::told(test::kList)});
+    fixture.turn({CoreFixture::begun(1, 3)});
+    CHECK(fixture.names(1, "full=1 endpoints=s-1:"));
     // The new stream comes before the old one's end, and both at once.
-    stage.turn({Stage::begun(5, 3, false), core_event::StreamClosed{{1}, "reset"}});
-    CHECK(stage.ear.closed == std::vector<StreamId>{{1}});
-    CHECK(stage.names(5, "full=1 endpoints=s-1:"));
+    fixture.turn({CoreFixture::begun(5, 3, false), core_event::StreamClosed{{1}, "reset"}});
+    CHECK(fixture.transport.closed == std::vector<StreamId>{{1}});
+    CHECK(fixture.names(5, "full=1 endpoints=s-1:"));
     // An older connection whose first line was read late, then its end.
-    stage.turn({Stage::begun(4, 3), core_event::StreamClosed{{4}, "its end"}});
-    CHECK(stage.ear.closed.back() == StreamId{4});
-    stage.run(1'000);
-    stage.turn({Stage::told(change(42, "draining"))});
-    CHECK(stage.names(5, "eject=s-1"));
-    CHECK((stage.said(1).empty() && stage.said(4).empty()));
-    stage.turn({core_event::StreamClosed{{5}, "its end"}});
-    stage.turn({Stage::told(change(43, "up"))});
-    stage.run(1'000);
-    CHECK(stage.said(5).empty());
+    fixture.turn({CoreFixture::begun(4, 3), core_event::StreamClosed{{4}, "its end"}});
+    CHECK(fixture.transport.closed.back() == StreamId{4});
+    fixture.run(1'000);
+    fixture.turn({CoreFixture::told(change(42, "draining"))});
+    CHECK(fixture.names(5, "eject=s-1"));
+    CHECK((fixture.said(1).empty() && fixture.said(4).empty()));
+    fixture.turn({core_event::StreamClosed{{5}, "its end"}});
+    fixture.turn({CoreFixture::told(change(43, "up"))});
+    fixture.run(1'000);
+    CHECK(fixture.said(5).empty());
 }
 
 TEST_CASE("what an earlier life shut out is let back once its proxy is taken back") {
-    Stage stage;
+    CoreFixture fixture;
     const auto start =
-        stage.clock.now().time_since_epoch().count() / 10 - 60'000;  // ms; warm by now
-    stage.turn({Stage::told(test::kList), Stage::told(change(42, "up", start))});
-    stage.turn({Stage::begun(1, 3, false)});
-    CHECK(stage.names(1, "restore=s-1"));
+        fixture.clock.now().time_since_epoch().count() / 10 - 60'000;  // ms; warm by now
+    fixture.turn({CoreFixture::told(test::kList), CoreFixture::told(change(42, "up", start))});
+    fixture.turn({CoreFixture::begun(1, 3, false)});
+    CHECK(fixture.names(1, "restore=s-1"));
 }
 
 TEST_CASE(
     "changes of an older version are dropped; an entry that can't be used leaves what was known") {
-    Stage stage;
-    stage.turn({Stage::told(test::kList), Stage::begun(1, 0)});
-    stage.said(1);
-    stage.turn({Stage::told(change(41, "draining")), Stage::told(change(12, "removed"))});
-    stage.run(500);
-    CHECK(!stage.names(1, "eject"));
+    CoreFixture fixture;
+    fixture.turn({CoreFixture::told(test::kList), CoreFixture::begun(1, 0)});
+    fixture.said(1);
+    fixture.turn(
+        {CoreFixture::told(change(41, "draining")), CoreFixture::told(change(12, "removed"))});
+    fixture.run(500);
+    CHECK(!fixture.names(1, "eject"));
     std::string odd = test::kList;
     odd.replace(odd.find("\"up\""), 4, "\"??\"");
-    stage.turn({Stage::told(odd)});
-    stage.run(500);
-    CHECK(!stage.names(1, "eject"));
+    fixture.turn({CoreFixture::told(odd)});
+    fixture.run(500);
+    CHECK(!fixture.names(1, "eject"));
     const auto without = test::kList.substr(test::kList.find("{\"id\":\"s-2"));
-    stage.turn({Stage::told(R"({"version":50,"full":true,"servers":[)" + without)});
-    stage.run(500);
-    CHECK(stage.names(1, "eject=s-1"));
+    fixture.turn({CoreFixture::told(R"({"version":50,"full":true,"servers":[)" + without)});
+    fixture.run(500);
+    CHECK(fixture.names(1, "eject=s-1"));
 }
 
 TEST_CASE("a lost watch changes nothing, and the end is heard") {
-    Stage stage;
-    stage.turn({Stage::told(test::kList), Stage::begun(1, 0)});
-    stage.said(1);
-    stage.turn({core_event::WatchLost{},
-                core_event::HealthCheckCompleted{{{"s-9"}, true, Duration{5}}},
-                core_event::StreamAcknowledged{{9}, {{0}, {0}}}});
-    stage.run(3'000);
-    CHECK(!stage.names(1, "eject"));
-    CHECK(!stage.core.stopping());
-    stage.turn({core_event::StopRequested{}});
-    CHECK(stage.core.stopping());
+    CoreFixture fixture;
+    fixture.turn({CoreFixture::told(test::kList), CoreFixture::begun(1, 0)});
+    fixture.said(1);
+    fixture.turn({core_event::WatchLost{},
+                  core_event::HealthCheckCompleted{{{"s-9"}, true, Duration{5}}},
+                  core_event::StreamAcknowledged{{9}, {{0}, {0}}}});
+    fixture.run(3'000);
+    CHECK(!fixture.names(1, "eject"));
+    CHECK(!fixture.core.stopping());
+    fixture.turn({core_event::StopRequested{}});
+    CHECK(fixture.core.stopping());
 }
 
 TEST_CASE(
     "a reload asks for another discovery; lists that count anew lose no server and revive none") {
-    Stage stage;
-    stage.turn({Stage::told(test::kList), Stage::begun(1, 0), Stage::told(change(50, "removed"))});
-    CHECK(stage.names(1, "s-2:"));
-    stage.turn({core_event::ConfigurationReloaded{{"127.0.0.1:9", {"limits"}}}});
-    CHECK(stage.ear.followed == "127.0.0.1:9");
-    stage.run(3'000);
-    CHECK(!stage.names(1, "eject=s-2"));
-    stage.turn({Stage::told(change(50, "up"))});
-    CHECK(stage.ear.fetched == 0);
-    stage.turn({Stage::told(change(3, "up"))});
-    CHECK(stage.ear.fetched == 1);
-    stage.turn({Stage::told(test::kList)});  // version 41, with the server that is gone
-    stage.run(3'000);
-    CHECK(!stage.names(1, "s-1:"));
-    const auto start = stage.clock.now().time_since_epoch().count() / 10;
-    stage.turn({Stage::told(change(42, "up", start))});
-    stage.run(20'000);
-    CHECK(stage.names(1, "s-1:"));
+    CoreFixture fixture;
+    fixture.turn({CoreFixture::told(test::kList), CoreFixture::begun(1, 0),
+                  CoreFixture::told(change(50, "removed"))});
+    CHECK(fixture.names(1, "s-2:"));
+    fixture.turn({core_event::ConfigurationReloaded{{"127.0.0.1:9", {"limits"}}}});
+    CHECK(fixture.transport.followed == "127.0.0.1:9");
+    fixture.run(3'000);
+    CHECK(!fixture.names(1, "eject=s-2"));
+    fixture.turn({CoreFixture::told(change(50, "up"))});
+    CHECK(fixture.transport.fetched == 0);
+    fixture.turn({CoreFixture::told(change(3, "up"))});
+    CHECK(fixture.transport.fetched == 1);
+    fixture.turn({CoreFixture::told(test::kList)});  // version 41, with the server that is gone
+    fixture.run(3'000);
+    CHECK(!fixture.names(1, "s-1:"));
+    const auto start = fixture.clock.now().time_since_epoch().count() / 10;
+    fixture.turn({CoreFixture::told(change(42, "up", start))});
+    fixture.run(20'000);
+    CHECK(fixture.names(1, "s-1:"));
 }
 
 TEST_CASE("servers under ever new ids and streams that come and go leave nothing behind") {
-    Stage stage;
-    stage.turn({Stage::told(test::kList)});
+    CoreFixture fixture;
+    fixture.turn({CoreFixture::told(test::kList)});
     std::uint64_t stream = 1;
     int number = 0;
     const auto entry = [](int n, const char* state) {
@@ -169,36 +174,36 @@
         for (const int end = number + seconds; number < end; ++number) {
             const std::string entries = entry(number, "up") + "," + entry(number - 4, "draining") +
                                         "," + entry(number - 8, "removed");
-            stage.turn({Stage::told(R"({"version":)" + std::to_string(100 + number) +
-                                    R"(,"full":false,"servers":[)" + entries + "]}"),
-                        Stage::begun(++stream, number % 8, false),
-                        core_event::StreamAcknowledged{{stream - 1},
-                                                       {{(number + 7) % 8}, {number % 65'536}}},
-                        core_event::ReportReceived{
-                            event::EndpointLoadReport{{"n-" + std::to_string(number - 9)},
-                                                      {0},
-                                                      3,
-                                                      1,
-                                                      Duration{30},
-                                                      Duration{5'000}}},
-                        core_event::ReportReceived{
-                            event::EndpointLoadReport{{"n-" + std::to_string(number - 2)},
-                                                      {0},
-                                                      3,
-                                                      0,
-                                                      Duration{300},
-                                                      Duration{5'000}}}});
-            stage.run(1'000);
-            stage.ear.written.clear(), stage.ear.closed.clear();
+            fixture.turn({CoreFixture::told(R"({"version":)" + std::to_string(100 + number) +
+                                            R"(,"full":false,"servers":[)" + entries + "]}"),
+                          CoreFixture::begun(++stream, number % 8, false),
+                          core_event::StreamAcknowledged{{stream - 1},
+                                                         {{(number + 7) % 8}, {number % 65'536}}},
+                          core_event::ReportReceived{
+                              event::EndpointLoadReport{{"n-" + std::to_string(number - 9)},
+                                                        {0},
+                                                        3,
+                                                        1,
+                                                        Duration{30},
+                                                        Duration{5'000}}},
+                          core_event::ReportReceived{
+                              event::EndpointLoadReport{{"n-" + std::to_string(number - 2)},
+                                                        {0},
+                                                        3,
+                                                        0,
+                                                        Duration{300},
+                                                        Duration{5'000}}}});
+            fixture.run(1'000);
+            fixture.transport.written.clear(), fixture.transport.closed.clear();
         }
         return mallinfo2().uordblks;
     };
     const std::size_t early = live(200), late = live(600);
     CHECK(late < early + 48 * 1024);
     // Who joins now is told of those that left lately, not of all that ever did.
-    stage.turn({Stage::begun(++stream, 5, false)});
-    stage.run(300);
-    const std::string told = stage.said(stream);
+    fixture.turn({CoreFixture::begun(++stream, 5, false)});
+    fixture.run(300);
+    const std::string told = fixture.said(stream);
     CHECK(told.find("n-" + std::to_string(number - 1)) != std::string::npos);
     CHECK(told.find("n-" + std::to_string(number - 30)) == std::string::npos);
 }
@@ -233,16 +238,18 @@
 
 TEST_CASE("room follows from both limits, proxies first") {
     const Limits small = Limits::of(32, 256, 150, 3);
-    CHECK((small.enough && small.connections <= 256 - Limits::kSocketsKept &&
-           small.unidentified >= 32));
-    CHECK(small.connections - small.unidentified >= 156);
-    const std::size_t buffers = small.connections + small.line_buffers * 2 + small.out_buffers;
-    CHECK(small.connections * (Limits::kConnection - protocol::BufferPool::kBlock) +
-              buffers * protocol::BufferPool::kBlock + Limits::kProgram <=
+    CHECK((small.sufficient && small.max_connections <= 256 - Limits::kReservedSockets &&
+           small.max_unidentified >= 32));
+    CHECK(small.max_connections - small.max_unidentified >= 156);
+    const std::size_t buffers =
+        small.max_connections + small.line_buffers * 2 + small.update_buffers;
+    CHECK(small.max_connections * (Limits::kConnectionBytes - protocol::BufferPool::kBlock) +
+              buffers * protocol::BufferPool::kBlock + Limits::kProgramBytes <=
           std::size_t{32} << 20);
     const Limits wide = Limits::of(192, 1024, 400, 3);
-    CHECK((wide.enough && wide.connections > 500));
-    CHECK((!Limits::of(32, 256, 400, 3).enough && Limits::of(1, 1, 400, 3).connections > 0));
+    CHECK((wide.sufficient && wide.max_connections > 500));
+    CHECK(
+        (!Limits::of(32, 256, 400, 3).sufficient && Limits::of(1, 1, 400, 3).max_connections > 0));
 }
 
 TEST_CASE("a start file is read, and what it lacks is named") {
@@ -314,29 +321,30 @@
 TEST_CASE(
     "a list that belongs to another deployment is not mixed in, whole or in parts; one that has "
     "grown is") {
-    Stage stage;
-    stage.turn({Stage::told(test::kList)});
-    stage.turn({Stage::begun(1, 3)});
-    stage.said(1);
+    CoreFixture fixture;
+    fixture.turn({CoreFixture::told(test::kList)});
+    fixture.turn({CoreFixture::begun(1, 3)});
+    fixture.said(1);
     const auto entry = [](const std::string& id, const std::string& zone, const std::string& kind) {
         return R"({"id":")" + id + R"(","addr":"h:1","zone":")" + zone + R"(","kind":")" + kind +
                R"(","state":"up","weight":1,"started_ms":0})";
     };
     const auto list = [](int version, bool full, const std::string& entries) {
-        return Stage::told(R"({"version":)" + std::to_string(version) + R"(,"full":)" +
-                           (full ? "true" : "false") + R"(,"servers":[)" + entries + "]}");
+        return CoreFixture::told(R"({"version":)" + std::to_string(version) + R"(,"full":)" +
+                                 (full ? "true" : "false") + R"(,"servers":[)" + entries + "]}");
     };
-    stage.turn({list(900, false, entry("x-1", "hall-a", "m1"))});
-    CHECK(stage.ear.fetched == 1);
-    stage.turn({list(900, true, entry("x-1", "hall-a", "m1") + "," + entry("x-2", "a", "type-b"))});
-    stage.run(3'000);
-    CHECK(stage.said(1).find("x-") == std::string::npos);
-    stage.turn(
-        {Stage::told(change(42, "draining"))});  // its version has not been taken over either
-    CHECK(stage.names(1, "eject=s-1"));
-    stage.turn({list(43, true, entry("s-2", "b", "m2") + "," + entry("s-9", "hall-a", "m1"))});
-    stage.run(6'000);
-    CHECK(stage.names(1, "s-9"));
+    fixture.turn({list(900, false, entry("x-1", "hall-a", "m1"))});
+    CHECK(fixture.transport.fetched == 1);
+    fixture.turn(
+        {list(900, true, entry("x-1", "hall-a", "m1") + "," + entry("x-2", "a", "type-b"))});
+    fixture.run(3'000);
+    CHECK(fixture.said(1).find("x-") == std::string::npos);
+    fixture.turn(
+        {CoreFixture::told(change(42, "draining"))});  // its version has not been taken over either
+    CHECK(fixture.names(1, "eject=s-1"));
+    fixture.turn({list(43, true, entry("s-2", "b", "m2") + "," + entry("s-9", "hall-a", "m1"))});
+    fixture.run(6'000);
+    CHECK(fixture.names(1, "s-9"));
 }
 
 namespace {
@@ -346,19 +354,19 @@
                    const std::string& list, std::uint64_t seed) {
     test::Quiet quiet;
     test::HandClock clock;
-    Ear ear;
-    Core core(settings, names, seed, ear, quiet.log);
+    FakeTransport transport;
+    Core core(settings, names, seed, transport, quiet.log);
     const auto turn = [&](std::vector<CoreEvent> arrivals) {
         std::vector<Inbox::Item> items;
         for (auto& arrival : arrivals) {
             items.push_back({clock.now(), std::move(arrival)});
         }
-        core.turn(items, clock.now());
+        core.process(items, clock.now());
     };
     turn(
         {core_event::EndpointListReceived{protocol::EndpointListReader(names).read(list).value()}});
     for (int p = 0; p < settings.proxy_count; ++p) {
-        turn({Stage::begun(static_cast<std::uint64_t>(p) + 1, p, p % 2 == 0)});
+        turn({CoreFixture::begun(static_cast<std::uint64_t>(p) + 1, p, p % 2 == 0)});
     }
     for (int step = 0; step < 200; ++step) {
         clock.tenths += 1'000;
@@ -379,7 +387,7 @@
         turn(std::move(arrivals));
     }
     std::string all;
-    for (const auto& [stream, text] : ear.written) {
+    for (const auto& [stream, text] : transport.written) {
         all += std::to_string(stream.value) + ": " + text;
     }
     return all;
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -295,11 +295,11 @@
     std::size_t of_flood = 0, of_other = 0;
     inbox.put(core_event::StopRequested{});
     for (const auto& item : inbox.wait({})) {
-        if (const auto* said = std::get_if<core_event::StreamAcknowledged>(&item.arrival)) {
+        if (const auto* said = std::get_if<core_event::StreamAcknowledged>(&item.event)) {
             CHECK((said->stream == flooding || said->stream == good));
             ++(said->stream == flooding ? of_flood : of_other);
         }
-        if (const auto* said = std::get_if<core_event::ReportReceived>(&item.arrival)) {
+        if (const auto* said = std::get_if<core_event::ReportReceived>(&item.event)) {
             ++(std::get<event::DemandReport>(said->report).proxy == ProxyId{5} ? of_flood
                                                                                : of_other);
         }
@@ -324,7 +324,7 @@
     const auto items = inbox.wait({});
     CHECK(items.size() == Inbox::kMostReportsOfOne + 1);
     CHECK(std::get<event::EndpointLoadReport>(
-              std::get<core_event::ReportReceived>(items.back().arrival).report)
+              std::get<core_event::ReportReceived>(items.back().event).report)
               .attempts == 9);
 }
 
@@ -368,7 +368,7 @@
             }
             REQUIRE(clock_now()() < limit);
             for (auto& item : inbox.wait(limit)) {
-                held.push_back(std::move(item.arrival));
+                held.push_back(std::move(item.event));
             }
         }
     }
@@ -651,7 +651,7 @@
     PlannerProcess program(start_file(""), clock_now(), quiet.log);
     program.stop();
     CHECK(program.run() == 0);
-    CHECK(program.stage() == Stage::ended);
+    CHECK(program.state() == LifecycleState::stopped);
 }
 
 TEST_CASE(
--- a/tests/drain_oracle_test.cpp
+++ b/tests/drain_oracle_test.cpp
@@ -217,7 +217,7 @@
             for (auto& arrival : std::exchange(arrivals, {})) {
                 items.push_back({now, std::move(arrival)});
             }
-            core->turn(items, now);
+            core->process(items, now);
             if (comparison && !comparison->difference().empty()) {
                 yard.complain(comparison->difference().c_str(), number, -1, "", {});
             }
--- a/tests/golden_orders_test.cpp
+++ b/tests/golden_orders_test.cpp
@@ -474,7 +474,7 @@
         for (CoreEvent& arrival : std::exchange(arrivals_, {})) {
             items.push_back({now, std::move(arrival)});
         }
-        core_.turn(items, now);
+        core_.process(items, now);
     }
     bool must_fetch() { return std::exchange(must_fetch_, false); }
     const std::map<int, StreamId>& streams() const { return streams_; }
--- a/tests/large_list_test.cpp
+++ b/tests/large_list_test.cpp
@@ -70,7 +70,7 @@
 }
 
 std::size_t bound_at(std::size_t memory_mb) {
-    return Limits::of(memory_mb, 1'024, 16, 2).list_bytes;
+    return Limits::of(memory_mb, 1'024, 16, 2).max_list_bytes;
 }
 
 // Discovery's answers to a fetch and to a watch.
@@ -89,7 +89,7 @@
     EndpointListMessage next_list() {
         for (;;) {
             for (auto& item : inbox.wait(clock_now()() + Duration{200'000})) {
-                held.push_back(std::move(item.arrival));
+                held.push_back(std::move(item.event));
             }
             REQUIRE(!held.empty());
             while (!held.empty()) {
--- a/tests/net_helpers.hpp
+++ b/tests/net_helpers.hpp
@@ -101,7 +101,7 @@
         const TimePoint limit = clock_now()() + Duration{100'000};
         while (held.empty() && clock_now()() < limit) {
             for (auto& item : inbox.wait(limit)) {
-                held.push_back(std::move(item.arrival));
+                held.push_back(std::move(item.event));
             }
         }
         REQUIRE(!held.empty());
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -200,7 +200,7 @@
     const protocol::Bounds wide{kProxies};
     const Limits limits = Limits::of(192, 2'944, kProxies, 3);
     Acceptor acceptor(ConnectionContext{names, wide, pool, lines, writing, inbox, quiet.log},
-                      limits.connections, limits.unidentified);
+                      limits.max_connections, limits.max_unidentified);
     std::string why;
     REQUIRE(acceptor.open(*address_of("127.0.0.1:0"), why));
     std::vector<Socket> proxies, silent;
@@ -248,7 +248,7 @@
     int lost = 0;
     while (versions.empty() || versions.back() < 46) {
         for (auto& item : inbox.wait(clock_now()() + Duration{100'000})) {
-            if (const auto* told = std::get_if<core_event::EndpointListReceived>(&item.arrival)) {
+            if (const auto* told = std::get_if<core_event::EndpointListReceived>(&item.event)) {
                 versions.push_back(told->message.version);
             } else {
                 ++lost;
@@ -283,7 +283,7 @@
     std::int64_t last = 0;
     while (last != 43) {
         for (auto& item : inbox.wait(clock_now()() + Duration{100'000})) {
-            if (const auto* told = std::get_if<core_event::EndpointListReceived>(&item.arrival)) {
+            if (const auto* told = std::get_if<core_event::EndpointListReceived>(&item.event)) {
                 last = told->message.version;
             }
         }
@@ -339,13 +339,14 @@
     start.names = test::names();
     start.known = *protocol::EndpointListReader(start.names).read(test::kList);
     PlannerProcess program(start, clock_now(), quiet.log);
-    CHECK(program.stage() == Stage::made);
+    CHECK(program.state() == LifecycleState::created);
     int code = -1;
     std::thread runs([&] { code = program.run(); });
-    while (program.stage() != Stage::serving && program.stage() != Stage::failed) {
+    while (program.state() != LifecycleState::serving &&
+           program.state() != LifecycleState::failed) {
         std::this_thread::yield();
     }
-    REQUIRE(program.stage() == Stage::serving);
+    REQUIRE(program.state() == LifecycleState::serving);
     const Socket proxy = dial(program.address());
     proxy.send_all("probe\r\n" + kHello);
     CHECK(read_some(proxy, 7) == "alive\r\n");
@@ -378,11 +379,11 @@
     other.listen = text_of(program.address());
     PlannerProcess second(other, clock_now(), quiet.log);
     CHECK(second.run() == 1);
-    CHECK(second.stage() == Stage::failed);
+    CHECK(second.state() == LifecycleState::failed);
     program.stop();
     runs.join();
     CHECK(code == 0);
-    CHECK(program.stage() == Stage::ended);
+    CHECK(program.state() == LifecycleState::stopped);
     CHECK(ended(proxy));
     start.listen = "somewhere";
     CHECK_THROWS_WITH(PlannerProcess(start, clock_now(), quiet.log), Catch::Contains("listen"));
--- a/tests/program_helpers.hpp
+++ b/tests/program_helpers.hpp
@@ -83,10 +83,11 @@
         : program(following(std::move(start), discovery), std::move(clock), quiet.log, &heard,
                   &sync, patience),
           code(beside([this] { return program.run(); })) {
-        while (program.stage() != Stage::serving && program.stage() != Stage::failed) {
+        while (program.state() != LifecycleState::serving &&
+               program.state() != LifecycleState::failed) {
             std::this_thread::yield();
         }
-        REQUIRE(program.stage() == Stage::serving);
+        REQUIRE(program.state() == LifecycleState::serving);
     }
     ~Running() { program.stop(), code.wait(); }
     // How long it takes to its end from the word on.
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -113,7 +113,7 @@
         for (auto& arrival : arrivals) {
             items.push_back({clock.now(), std::move(arrival)});
         }
-        core.turn(items, clock.now());
+        core.process(items, clock.now());
     }
     void run(int seconds, bool work = true) {
         for (int i = 0; i < seconds * 10; ++i) {
--- a/tests/short_days_test.cpp
+++ b/tests/short_days_test.cpp
@@ -175,9 +175,9 @@
         const auto items = base.inbox.wait(clock_now()() + Duration{100'000});
         REQUIRE(!items.empty());
         for (const auto& item : items) {
-            usages += std::holds_alternative<core_event::ReportReceived>(item.arrival);
-            begun += std::holds_alternative<core_event::StreamOpened>(item.arrival);
-            const auto* left = std::get_if<core_event::StreamClosed>(&item.arrival);
+            usages += std::holds_alternative<core_event::ReportReceived>(item.event);
+            begun += std::holds_alternative<core_event::StreamOpened>(item.event);
+            const auto* left = std::get_if<core_event::StreamClosed>(&item.event);
             over += left != nullptr;
             good_has_left |= left != nullptr && left->stream == stream;
         }
@@ -279,20 +279,20 @@
     int usages = 0;
     inbox.put(core_event::StopRequested{});
     for (const auto& item : inbox.wait({})) {
-        if (const auto* begun = std::get_if<core_event::StreamOpened>(&item.arrival)) {
+        if (const auto* begun = std::get_if<core_event::StreamOpened>(&item.event)) {
             proxies.insert(begun->joined.proxy);
             of_stream[begun->stream].push_back(0);
         } else if (const auto* answered =
-                       std::get_if<core_event::StreamAcknowledged>(&item.arrival)) {
+                       std::get_if<core_event::StreamAcknowledged>(&item.event)) {
             of_stream[answered->stream].push_back(answered->acknowledgement.nonce.value);
-        } else if (const auto* reported = std::get_if<core_event::ReportReceived>(&item.arrival)) {
+        } else if (const auto* reported = std::get_if<core_event::ReportReceived>(&item.event)) {
             if (const auto* met = std::get_if<event::EndpointLoadReport>(&reported->report)) {
                 servers.insert(met->server.value);
             } else {
                 ++usages;
             }
         } else {
-            CHECK(std::holds_alternative<core_event::StopRequested>(item.arrival));
+            CHECK(std::holds_alternative<core_event::StopRequested>(item.event));
         }
     }
     CHECK(proxies.size() == cuts.size());
--- a/tests/signals_test.sh
+++ b/tests/signals_test.sh
@@ -14,7 +14,7 @@
 J
 }
 begin() { write 127.0.0.1:1; : >"$dir/log"; LB_CONFIG="$dir/start.json" "$micaroad" 2>>"$dir/log" & pid=$!; }
-ready() { until grep -q 'n1: serving' "$dir/log"; do kill -0 "$pid" || return; sleep 0.01; done; }
+ready() { until grep -q 'process: state changed planner=n1 state=serving' "$dir/log"; do kill -0 "$pid" || return; sleep 0.01; done; }
 logs() { # what is to be logged; 10 s at most, and no longer than the daemon lives
     for _ in {1..1000}; do
         grep -q "$1" "$dir/log" && return
@@ -36,8 +36,8 @@
 begin; ready; kill -TERM "$pid"; kill -HUP "$pid" 2>/dev/null; ends "SIGTERM and SIGHUP together" 0 700
 begin; ready
 for port in 2 1 3 1 2; do write 127.0.0.1:$port; kill -HUP "$pid"; done
-logs 'discovery is at 127.0.0.1:2'
+logs 'configuration: reloaded discovery=127.0.0.1:2'
 printf '{"discovery":' >"$dir/start.json"; kill -HUP "$pid"
-logs 'nothing is changed'
+logs 'configuration: reload rejected planner=n1'
 kill -TERM "$pid"; ends "there and back, and half a file" 0 700
 exit $bad
