--- a/src/command/command.cpp
+++ b/src/command/command.cpp
@@ -273,49 +273,50 @@
         fmt::print(err, "{}: no folder\n", wish.folder);
         return kUnusable;
     }
-    const auto disk = record::folder(wish.folder);
-    record::Verdict verdict;
+    const auto disk = record::open_directory(wish.folder);
+    record::ReplayResult result;
     if (wish.verify) {
-        verdict = record::replay(*disk);
+        result = record::replay(*disk);
     } else {
-        verdict.read = record::read_all(*disk, [](const records::Record&) {});
+        result.summary = record::read_recording(*disk, [](const records::Record&) {});
     }
-    const record::Read& read = verdict.read;
-    const double at = std::chrono::duration<double>(verdict.at.time_since_epoch()).count();
+    const record::ReadSummary& read = result.summary;
+    const double at = std::chrono::duration<double>(result.last_turn_at.time_since_epoch()).count();
+    const std::string why = result.fault ? record::describe(*result.fault) : "";
     if (wish.json) {
         nlohmann::json troubles = nlohmann::json::array();
-        for (const auto& trouble : read.troubles) {
-            troubles.push_back({{"segment", trouble.segment},
-                                {"at", trouble.at},
-                                {"bytes", trouble.bytes},
-                                {"what", trouble.what}});
+        for (const auto& fault : read.faults) {
+            troubles.push_back({{"segment", fault.segment},
+                                {"at", fault.offset},
+                                {"bytes", fault.bytes},
+                                {"what", fault.description}});
         }
-        nlohmann::json all{{"records", read.records}, {"turns", read.turns},
-                           {"events", read.events},   {"orders", read.orders},
-                           {"bytes", read.bytes},     {"lives", read.heads},
-                           {"missing", read.missing}, {"troubles", troubles}};
+        nlohmann::json all{{"records", read.records},       {"turns", read.turns},
+                           {"events", read.events},         {"orders", read.orders},
+                           {"bytes", read.bytes},           {"lives", read.headers},
+                           {"missing", read.missing_turns}, {"troubles", troubles}};
         if (wish.verify) {
-            all["replayed"] = verdict.replayed, all["skipped"] = verdict.skipped,
-            all["same"] = verdict.same, all["at"] = at, all["why"] = verdict.why;
+            all["replayed"] = result.replayed_turns, all["skipped"] = result.skipped_turns,
+            all["same"] = result.matches(), all["at"] = at, all["why"] = why;
         }
         out << all.dump(1) << "\n";
     } else {
-        fmt::print(out,
-                   "{} turns with {} events and {} orders, {} bytes, {} lives, {} turns missing\n",
-                   read.turns, read.events, read.orders, read.bytes, read.heads, read.missing);
-        for (const auto& trouble : read.troubles) {
-            fmt::print(out, "{}: at {}: {} bytes: {}\n", trouble.segment, trouble.at, trouble.bytes,
-                       trouble.what);
+        fmt::print(
+            out, "{} turns with {} events and {} orders, {} bytes, {} lives, {} turns missing\n",
+            read.turns, read.events, read.orders, read.bytes, read.headers, read.missing_turns);
+        for (const auto& fault : read.faults) {
+            fmt::print(out, "{}: at {}: {} bytes: {}\n", fault.segment, fault.offset, fault.bytes,
+                       fault.description);
         }
-        if (wish.verify && verdict.same) {
+        if (wish.verify && result.matches()) {
             fmt::print(out, "{} turns replayed, the same to the byte; {} behind a hole were not\n",
-                       verdict.replayed, verdict.skipped);
+                       result.replayed_turns, result.skipped_turns);
         }
-        if (wish.verify && !verdict.same) {
-            fmt::print(out, "turn {} differs, at {:.4f}: {}\n", verdict.replayed, at, verdict.why);
+        if (wish.verify && !result.matches()) {
+            fmt::print(out, "turn {} differs, at {:.4f}: {}\n", result.replayed_turns, at, why);
         }
     }
-    return verdict.same ? kDone : kFindings;
+    return result.matches() ? kDone : kFindings;
 }
 
 }  // namespace
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -13,8 +13,8 @@
 #include "command/version.hpp"
 #include "daemon/clock.hpp"
 #include "operators/file.hpp"
-#include "record/convert.hpp"
 #include "record/recorder.hpp"
+#include "record/settings_conversion.hpp"
 #include "routing/roster.hpp"
 
 namespace micaroad::command {
@@ -43,22 +43,23 @@
 }  // namespace
 
 struct Served::Kept {
-    std::unique_ptr<record::Disk> disk;
+    std::unique_ptr<record::Directory> directory;
     background::Worker worker;
     background::JobId job{};
     std::unique_ptr<record::Recorder> recorder;
 
     static constexpr int kPriority = 1;
     Kept(const routing::Recording& wish, const StartConfiguration& start, const Clock& clock)
-        : disk(record::folder(wish.path)),
+        : directory(record::open_directory(wish.path)),
           worker({1'024.0 * wish.kib_per_second, wish.processor_percent / 100.0}, clock) {
-        record::Keeping keeping;
-        keeping.segment_bytes = static_cast<std::uint64_t>(wish.segment_mb) << 20;
-        keeping.all_bytes = static_cast<std::uint64_t>(wish.all_mb) << 20,
-        keeping.all_age = wish.keep;
+        record::RetentionPolicy retention;
+        retention.segment_bytes = static_cast<std::uint64_t>(wish.segment_mb) << 20;
+        retention.total_bytes = static_cast<std::uint64_t>(wish.all_mb) << 20;
+        retention.max_age = wish.keep;
         recorder = std::make_unique<record::Recorder>(
-            *disk, keeping,
-            record::head_of(start.settings, start.names, start.seed, start.name, kVersion, clock()),
+            *directory, retention,
+            record::make_header(start.settings, start.names, start.seed, start.name, kVersion,
+                                clock()),
             [this] { worker.wake(job); });
         job = worker.add(kPriority, [this] { return recorder->work(); });
     }
--- a/src/record/recorder.cpp
+++ b/src/record/recorder.cpp
@@ -1,213 +1,255 @@
 #include "record/recorder.hpp"
 
-#include <fmt/format.h>
-
 #include <algorithm>
-#include <charconv>
 #include <utility>
 
 #include "record/block.hpp"
-#include "record/convert.hpp"
+#include "record/event_conversion.hpp"
+#include "record/order_conversion.hpp"
+#include "record/segment_name.hpp"
 
 namespace micaroad::record {
+namespace {
 
-std::string Recorder::name_of(std::uint64_t first) {
-    return fmt::format("{:016x}.mrec", first);
-}
+// An incarnation's first sequence number is the next multiple of this: far behind the last segment,
+// whose length is not known without reading it.
+constexpr std::uint64_t kSequencesPerIncarnation = 1u << 24;
+constexpr std::size_t kRecordOverheadBytes = 20;  // of a record in a block
 
-std::optional<std::uint64_t> Recorder::first_of(const std::string& name) {
-    std::uint64_t first = 0;
-    const auto [end, wrong] = std::from_chars(
-        name.data(), name.data() + std::min<std::size_t>(name.size(), 16), first, 16);
-    if (wrong != std::errc{} || end != name.data() + 16 || name.substr(16) != ".mrec") {
-        return std::nullopt;
+std::uint64_t first_free_sequence(Directory& directory) {
+    std::uint64_t free = 0;
+    for (const Directory::Entry& entry : directory.list()) {
+        if (const auto first_sequence = parse_segment_name(entry.name)) {
+            const std::uint64_t incarnation = *first_sequence / kSequencesPerIncarnation + 1;
+            free = std::max(free, incarnation * kSequencesPerIncarnation);
+        }
     }
-    return first;
+    return free;
 }
 
-// The next life's first record goes far behind the last segment's, whose length is not known
-// without reading it.
-Recorder::Recorder(Disk& disk, Keeping keeping, records::Head head, std::function<void()> wake)
-    : disk_(disk), keeping_(keeping), head_(std::move(head)), wake_(std::move(wake)) {
-    constexpr std::uint64_t kBetweenLives = 1u << 24;
-    for (const auto& entry : disk_.list()) {
-        if (const auto first = first_of(entry.name)) {
-            next_ = std::max(next_, (*first / kBetweenLives + 1) * kBetweenLives);
-        }
-    }
+}  // namespace
+
+Recorder::Recorder(Directory& directory, RetentionPolicy retention, const records::Head& header,
+                   std::function<void()> notify_worker)
+    : directory_(directory),
+      retention_(retention),
+      notify_worker_(std::move(notify_worker)),
+      next_sequence_(first_free_sequence(directory)) {
     records::Record record;
-    *record.mutable_head() = head_;
-    add(record);
+    *record.mutable_head() = header;
+    add_record(record);
 }
 
 void Recorder::on_event(const Event& event) {
-    heard_.push_back(event);
+    events_.push_back(event);
 }
 
 void Recorder::on_decision(TimePoint now, const std::vector<Order>& orders) {
-    const std::size_t size = heard_.size() + orders.size() + 1;
+    const std::size_t items = events_.size() + orders.size() + 1;
     {
         const std::lock_guard lock(mutex_);
-        // Once a turn is lost, all behind it are of no use to a replay until the queue has been
-        // emptied.
-        if (queued_ + size > kMostQueued || hole_.turns > 0) {
-            if (hole_.turns++ == 0) {
-                hole_.first = now;
+        // A replay can't pass a turn that is lost, so those behind it are dropped too until the
+        // queue has been emptied.
+        if (queued_items_ + items > kMaxQueuedItems || gap_.turns > 0) {
+            if (gap_.turns == 0) {
+                gap_.first_at = now;
             }
-            hole_.last = now, ++counts_.lost;
-            heard_.clear();
+            gap_.last_at = now;
+            ++gap_.turns;
+            ++counts_.lost;
+            events_.clear();
         } else {
-            queue_.push_back({now, std::exchange(heard_, {}), orders});
-            queued_ += size, ++counts_.turns;
+            queue_.push_back({now, std::exchange(events_, {}), orders});
+            queued_items_ += items;
+            ++counts_.turns;
         }
     }
-    if (wake_) {
-        wake_();
+    if (notify_worker_) {
+        notify_worker_();
     }
 }
 
-void Recorder::add(const records::Record& record) {
-    records_.push_back(record.SerializeAsString());
-    raw_ += records_.back().size() + 20;
+background::Spent Recorder::work() {
+    take_queue();
+    const TimePoint now = convert_turns();
+    if (next_turn_ == taken_turns_.size()) {
+        record_gap();
+    }
+    background::Spent spent;
+    if (block_due(now)) {
+        const std::uint64_t bytes_before = counts_.bytes;
+        write_block(now);
+        spent.bytes = static_cast<double>(counts_.bytes - bytes_before);
+    }
+    const std::lock_guard lock(mutex_);
+    spent.more = next_turn_ < taken_turns_.size() || !queue_.empty() || gap_.turns > 0;
+    return spent;
 }
 
-// Then the head again, so that what follows can be told to be of the same planner, though not
-// replayed from here.
-void Recorder::note_hole() {
-    std::uint64_t turns;
-    records::Record record;
-    {
-        const std::lock_guard lock(mutex_);
-        if (hole_.turns == 0 || !queue_.empty()) {
-            return;
-        }
-        record.mutable_hole()->set_first_at(hole_.first.time_since_epoch().count());
-        record.mutable_hole()->set_last_at(hole_.last.time_since_epoch().count());
-        turns = std::exchange(hole_.turns, 0);
+// Exchanges the vectors, so that neither has to grow anew.
+void Recorder::take_queue() {
+    if (next_turn_ < taken_turns_.size()) {
+        return;
     }
-    record.mutable_hole()->set_turns(turns);
-    add(record);
+    taken_turns_.clear();
+    next_turn_ = 0;
+    const std::lock_guard lock(mutex_);
+    taken_turns_.swap(queue_);
+    queued_items_ = 0;
 }
 
-background::Spent Recorder::work() {
-    if (at_ == taken_.size()) {
-        taken_.clear(), at_ = 0;
-        const std::lock_guard lock(mutex_);
-        taken_.swap(queue_);
-        queued_ = 0;
-    }
-    background::Spent spent;
+// Turns to records, until the block is full. The time of the last turn in the block.
+TimePoint Recorder::convert_turns() {
     TimePoint now = block_since_;
-    for (; at_ < taken_.size() && raw_ < kBlock; ++at_) {
-        const Turn& turn = taken_[at_];
-        if (records_.empty() || block_since_ == TimePoint{}) {
+    for (; next_turn_ < taken_turns_.size() && block_raw_bytes_ < kBlockRawBytes; ++next_turn_) {
+        const Turn& turn = taken_turns_[next_turn_];
+        if (block_records_.empty() || block_since_ == TimePoint{}) {
             block_since_ = turn.at;
         }
         now = turn.at;
         records::Record record;
-        auto& to = *record.mutable_turn();
-        to.set_at(turn.at.time_since_epoch().count());
+        records::Turn& turn_record = *record.mutable_turn();
+        turn_record.set_at(turn.at.time_since_epoch().count());
         for (const Event& event : turn.events) {
-            *to.add_event() = record_of(event);
+            *turn_record.add_event() = to_record(event);
         }
         for (const Order& order : turn.orders) {
-            *to.add_order() = record_of(order);
+            *turn_record.add_order() = to_record(order);
         }
-        add(record);
+        add_record(record);
     }
-    if (at_ == taken_.size()) {
-        note_hole();
+    return now;
+}
+
+void Recorder::add_record(const records::Record& record) {
+    block_records_.push_back(record.SerializeAsString());
+    block_raw_bytes_ += block_records_.back().size() + kRecordOverheadBytes;
+}
+
+// The gap stands behind the turns that are in the queue, so these have to be converted first.
+void Recorder::record_gap() {
+    Gap gap;
+    {
+        const std::lock_guard lock(mutex_);
+        if (gap_.turns == 0 || !queue_.empty()) {
+            return;
+        }
+        gap = std::exchange(gap_, {});
     }
-    if (!records_.empty() && (raw_ >= kBlock || now - block_since_ >= kBlockAge)) {
-        const std::uint64_t before = counts_.bytes;
-        write_block(now);
-        spent.bytes = static_cast<double>(counts_.bytes - before);
+    records::Record record;
+    record.mutable_hole()->set_first_at(gap.first_at.time_since_epoch().count());
+    record.mutable_hole()->set_last_at(gap.last_at.time_since_epoch().count());
+    record.mutable_hole()->set_turns(gap.turns);
+    add_record(record);
+}
+
+bool Recorder::block_due(TimePoint now) const {
+    return !block_records_.empty() &&
+           (block_raw_bytes_ >= kBlockRawBytes || now - block_since_ >= kMaxBlockAge);
+}
+
+// A block that can't be written whole ends its segment, and its records are a gap in the next.
+bool Recorder::write_block(TimePoint now) {
+    const std::string block = encode_block(block_records_, next_sequence_);
+    if (!append_to_segment(block, now)) {
+        replace_block_by_gap(now);
+        return false;
     }
+    next_sequence_ += block_records_.size();
+    block_records_.clear();
+    block_raw_bytes_ = 0;
+    block_since_ = TimePoint{};
+    segment_bytes_ += block.size();
     const std::lock_guard lock(mutex_);
-    spent.more = at_ < taken_.size() || !queue_.empty() || hole_.turns > 0;
-    return spent;
+    counts_.bytes += block.size();
+    return true;
 }
 
-// A block that can't be written whole ends its segment, and its records are a hole in the next.
-bool Recorder::write_block(TimePoint now) {
-    const std::string block = block_of(records_, next_);
-    const std::size_t number = records_.size();
-    next_ += number;
-    const auto lose = [&] {
-        // What stands of it is no block; a segment without any whole one goes, as the next has its
-        // name.
-        if (std::exchange(file_, nullptr) && file_bytes_ == 0) {
-            (void)disk_.remove(file_name_);
-        }
-        next_ -= number;
-        records_.clear(), raw_ = 0;
-        records::Record record;
-        record.mutable_hole()->set_turns(number);
-        record.mutable_hole()->set_last_at(now.time_since_epoch().count());
-        add(record);
-        const std::lock_guard lock(mutex_);
-        ++counts_.failures, counts_.lost += number;
+bool Recorder::append_to_segment(const std::string& block, TimePoint now) {
+    const bool segment_full = segment_bytes_ + block.size() > retention_.segment_bytes ||
+                              now - segment_since_ >= retention_.segment_age;
+    if (segment_ && segment_full) {
+        (void)segment_->sync();  // the blocks are written; a failure here leaves them to the system
+        segment_.reset();
+    }
+    if (!segment_ && !begin_segment(now)) {
         return false;
-    };
-    if (file_ && (file_bytes_ + block.size() > keeping_.segment_bytes ||
-                  now - segment_since_ >= keeping_.segment_age)) {
-        (void)file_->sync();
-        file_.reset();
-    }
-    if (!file_) {
-        keep_within(now);
-        const std::string name = name_of(next_ - number);
-        file_ = disk_.create(name);
-        if (!file_) {
-            return lose();
-        }
-        file_bytes_ = 0, file_name_ = name, segment_since_ = now, ages_[name] = now;
-        const std::lock_guard lock(mutex_);
-        ++counts_.segments;
     }
-    if (!file_->append(block)) {
-        return lose();
+    return segment_->append(block);
+}
+
+bool Recorder::begin_segment(TimePoint now) {
+    delete_old_segments(now);
+    const std::string name = segment_name(next_sequence_);
+    segment_ = directory_.create(name);
+    if (!segment_) {
+        return false;
     }
-    records_.clear(), raw_ = 0, block_since_ = TimePoint{};
-    file_bytes_ += block.size();
+    segment_name_ = name;
+    segment_bytes_ = 0;
+    segment_since_ = now;
+    segment_starts_[name] = now;
     const std::lock_guard lock(mutex_);
-    counts_.bytes += block.size();
+    ++counts_.segments;
     return true;
 }
 
-void Recorder::keep_within(TimePoint now) {
-    std::uint64_t all = 0;
-    std::vector<Disk::Entry> ours;
-    for (auto& entry : disk_.list()) {
-        if (!first_of(entry.name)) {
+void Recorder::replace_block_by_gap(TimePoint now) {
+    // What was written of the block can't be read. A segment without any whole block is deleted, as
+    // the next one has its name.
+    const bool had_segment = segment_ != nullptr;
+    segment_.reset();
+    if (had_segment && segment_bytes_ == 0) {
+        (void)directory_.remove(segment_name_);  // if it stays, create() fails and is retried
+    }
+    const std::size_t lost = block_records_.size();
+    block_records_.clear();
+    block_raw_bytes_ = 0;
+    records::Record record;
+    record.mutable_hole()->set_turns(lost);
+    record.mutable_hole()->set_last_at(now.time_since_epoch().count());
+    add_record(record);
+    const std::lock_guard lock(mutex_);
+    ++counts_.failures;
+    counts_.lost += lost;
+}
+
+void Recorder::delete_old_segments(TimePoint now) {
+    std::uint64_t total_bytes = 0;
+    std::vector<Directory::Entry> segments;
+    for (const Directory::Entry& entry : directory_.list()) {
+        if (!parse_segment_name(entry.name)) {
             continue;
         }
-        ages_.try_emplace(entry.name, now);  // of an earlier life: its age begins anew
-        all += entry.bytes, ours.push_back(entry);
+        segment_starts_.try_emplace(entry.name, now);  // of an earlier incarnation
+        total_bytes += entry.bytes;
+        segments.push_back(entry);
     }
-    for (const auto& entry : ours) {  // oldest first
-        const bool old = now - ages_.at(entry.name) >= keeping_.all_age;
-        if (!old && all + keeping_.segment_bytes <= keeping_.all_bytes) {
+    for (const Directory::Entry& segment : segments) {  // oldest first
+        const bool too_old = now - segment_starts_.at(segment.name) >= retention_.max_age;
+        const bool space_left = total_bytes + retention_.segment_bytes <= retention_.total_bytes;
+        if (!too_old && space_left) {
             continue;
         }
-        if (!disk_.remove(entry.name)) {
+        if (!directory_.remove(segment.name)) {
             continue;
         }
-        all -= entry.bytes, ages_.erase(entry.name);
+        total_bytes -= segment.bytes;
+        segment_starts_.erase(segment.name);
     }
 }
 
 void Recorder::close() {
     while (work().more) {
     }
-    // Once more where that fails: then the hole at least is told.
-    if (!records_.empty() && !write_block(block_since_)) {
+    // If the last block can't be written, the gap that replaces it is tried once.
+    if (!block_records_.empty() && !write_block(block_since_)) {
         write_block(block_since_);
     }
-    if (file_) {
-        (void)file_->sync();
+    if (segment_) {
+        (void)segment_->sync();  // as at each segment's end
     }
-    file_.reset();
+    segment_.reset();
 }
 
 Recorder::Counts Recorder::counts() const {
--- a/src/record/recorder.hpp
+++ b/src/record/recorder.hpp
@@ -1,17 +1,20 @@
-// Keeps what the module hears and orders. The core hands each turn over and goes on; a background
-// job makes records of them, writes blocks, begins new segments and deletes old ones.
-//
-// Guards against a disk that is slow or full: what finds no room in the queue, or can't be written,
-// is counted, and the recording says where it has holes. It should cost decisions nothing but a
-// copy of what was heard. It could harm by memory: the queue is bounded by the number of events and
-// orders in it.
+/// Records the events that a planner receives and the orders that it decides. The core's thread
+/// hands each turn (one decision with the events before it) to a queue and goes on; a background
+/// job converts the turns, writes them in blocks, begins new segments and deletes old ones.
+///
+/// Guards against a storage device that is slow or full: what finds no space in the queue, or can't
+/// be written, is counted, and the recording says where it has gaps. Decisions should pay no more
+/// than a copy of their events and orders. The risk is memory: the queue is bounded by the number
+/// of events and orders in it.
 #pragma once
 
+#include <chrono>
+#include <cstddef>
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
 #include <mutex>
-#include <optional>
 #include <string>
 #include <vector>
 
@@ -19,42 +22,54 @@
 #include "micaroad/planner.hpp"
 #include "planner/ports.hpp"
 #include "proto/record.pb.h"
-#include "record/disk.hpp"
+#include "record/directory.hpp"
 
 namespace micaroad::record {
 
-struct Keeping {
-    std::uint64_t segment_bytes = 8u << 20;  // then a new one begins
-    std::uint64_t all_bytes = 512u << 20;    // then the oldest segments go
-    Duration segment_age = std::chrono::minutes(10), all_age = std::chrono::hours(72);
+/// How long segments grow, and how long they are kept.
+struct RetentionPolicy {
+    std::uint64_t segment_bytes = 8u << 20;  ///< a segment of this size is followed by a new one
+    std::uint64_t total_bytes = 512u << 20;  ///< over this, the oldest segments are deleted
+    Duration segment_age = std::chrono::minutes(10);  ///< a segment so old is followed by a new one
+    Duration max_age = std::chrono::hours(72);        ///< segments so old are deleted
 };
 
+/// The planner's observer that records. on_event() and on_decision() belong to the core's thread,
+/// work() and close() to the thread of background jobs (close() after its end); counts() may be
+/// called by any thread.
 class Recorder : public Observer {
  public:
-    static constexpr std::size_t kMostQueued =
-        200'000;                                      // events and orders, of some 100 bytes each
-    static constexpr std::size_t kBlock = 64 * 1024;  // raw bytes, then a block is written
-    static constexpr Duration kBlockAge = std::chrono::seconds(1);
+    /// The most events and orders in the queue, of some 100 bytes each.
+    static constexpr std::size_t kMaxQueuedItems = 200'000;
+    /// A block with so many raw bytes is written.
+    static constexpr std::size_t kBlockRawBytes = 64 * 1024;
+    /// A block whose first turn is so old is written.
+    static constexpr Duration kMaxBlockAge = std::chrono::seconds(1);
 
-    // `disk` must outlive it. Goes on behind the last sequence that the folder's names tell.
-    Recorder(Disk& disk, Keeping keeping, records::Head head, std::function<void()> wake);
+    /// What was recorded since the start.
+    struct Counts {
+        std::uint64_t turns = 0;     ///< that entered the queue
+        std::uint64_t lost = 0;      ///< turns that did not, and records that could not be written
+        std::uint64_t bytes = 0;     ///< that were written
+        std::uint64_t segments = 0;  ///< that were begun
+        std::uint64_t failures = 0;  ///< blocks that could not be written
+    };
+
+    /// Continues behind the segments that `directory` has, which must outlive the recorder.
+    /// `header` becomes the first record; `notify_worker`, if any, is called by the core's thread
+    /// for each turn.
+    Recorder(Directory& directory, RetentionPolicy retention, const records::Head& header,
+             std::function<void()> notify_worker);
 
     void on_event(const Event& event) override;
     void on_decision(TimePoint now, const std::vector<Order>& orders) override;
 
-    // The background job: at most a block at a time.
-    background::Spent work();
-    // All that is left, and the segment's end. No more may be heard.
+    /// A portion of the background job: writes one block at most.
+    [[nodiscard]] background::Spent work();
+    /// Writes all that is left and ends the segment. Nothing may be recorded after it.
     void close();
 
-    struct Counts {
-        std::uint64_t turns = 0, lost = 0, bytes = 0, segments = 0, failures = 0;
-    };
-    Counts counts() const;
-
-    // "0000000000000042.mrec": the sequence of its first record, in hexadecimal.
-    static std::string name_of(std::uint64_t first);
-    static std::optional<std::uint64_t> first_of(const std::string& name);
+    [[nodiscard]] Counts counts() const;
 
  private:
     struct Turn {
@@ -62,37 +77,48 @@
         std::vector<Event> events;
         std::vector<Order> orders;
     };
-    void add(const records::Record& record);
-    void note_hole();
+    // Turns that are missing behind those in the queue.
+    struct Gap {
+        std::uint64_t turns = 0;
+        TimePoint first_at;
+        TimePoint last_at;
+    };
+
+    void take_queue();
+    TimePoint convert_turns();
+    void add_record(const records::Record& record);
+    void record_gap();
+    [[nodiscard]] bool block_due(TimePoint now) const;
     bool write_block(TimePoint now);
-    void keep_within(TimePoint now);
+    bool append_to_segment(const std::string& block, TimePoint now);
+    bool begin_segment(TimePoint now);
+    void replace_block_by_gap(TimePoint now);
+    void delete_old_segments(TimePoint now);
 
-    Disk& disk_;
-    const Keeping keeping_;
-    const records::Head head_;
-    const std::function<void()> wake_;
-    std::vector<Event> heard_;  // of the turn that is on; the core's thread alone
+    Directory& directory_;
+    const RetentionPolicy retention_;
+    const std::function<void()> notify_worker_;
+    std::vector<Event> events_;  // since the last decision; the core's thread alone
 
-    mutable std::mutex mutex_;
+    mutable std::mutex mutex_;  // guards the queue, the gap and the counts
     std::vector<Turn> queue_;
-    std::size_t queued_ = 0;
+    std::size_t queued_items_ = 0;  // events, orders and turns in the queue
+    Gap gap_;
     Counts counts_;
-    struct {
-        std::uint64_t turns = 0;
-        TimePoint first{}, last{};
-    } hole_;  // turns that are missing behind those in the queue
 
     // The background job's own.
-    std::vector<Turn> taken_;
-    std::size_t at_ = 0;
-    std::vector<std::string> records_;
-    std::size_t raw_ = 0;
-    std::uint64_t next_ = 0;
-    TimePoint block_since_{}, segment_since_{};
-    std::unique_ptr<Disk::File> file_;
-    std::uint64_t file_bytes_ = 0;
-    std::string file_name_;
-    std::map<std::string, TimePoint> ages_;  // of segments, as far as this life has seen them
+    std::vector<Turn> taken_turns_;  // from the queue
+    std::size_t next_turn_ = 0;      // the first of them that is not converted
+    std::vector<std::string> block_records_;
+    std::size_t block_raw_bytes_ = 0;
+    TimePoint block_since_;  // time of the block's first turn; the epoch if it has none
+    std::uint64_t next_sequence_ = 0;
+    std::unique_ptr<Directory::File> segment_;  // null: the next block begins one
+    std::string segment_name_;
+    std::uint64_t segment_bytes_ = 0;
+    TimePoint segment_since_;
+    // When each segment began, or was first seen by this incarnation.
+    std::map<std::string, TimePoint> segment_starts_;
 };
 
 }  // namespace micaroad::record
--- a/src/record/replay.cpp
+++ b/src/record/replay.cpp
@@ -2,127 +2,120 @@
 
 #include <fmt/format.h>
 
-#include <optional>
+#include <algorithm>
+#include <utility>
 
-#include "record/convert.hpp"
-#include "record/recorder.hpp"
+#include "micaroad/planner.hpp"
+#include "record/event_conversion.hpp"
+#include "record/order_conversion.hpp"
+#include "record/settings_conversion.hpp"
 
 namespace micaroad::record {
 namespace {
 
-constexpr std::size_t kPiece = 64 * 1024;
+using RecordedOrders = google::protobuf::RepeatedPtrField<records::Order>;
 
-// The orders of both sides, one by one.
-std::string difference(const records::Turn& turn, const std::vector<records::Order>& now) {
-    for (int i = 0; i < turn.order_size() || i < static_cast<int>(now.size()); ++i) {
-        const bool here = i < turn.order_size(), there = i < static_cast<int>(now.size());
-        if (here && there &&
-            turn.order(i).SerializeAsString() ==
-                now[static_cast<std::size_t>(i)].SerializeAsString()) {
-            continue;
-        }
-        return fmt::format("order {}: recorded {}, now {}", i + 1,
-                           here ? text_of(turn.order(i)) : "none",
-                           there ? text_of(now[static_cast<std::size_t>(i)]) : "none");
-    }
-    return "";
+std::string describe_or_none(const std::optional<records::Order>& order) {
+    return order ? describe(*order) : "none";
 }
 
-}  // namespace
+std::string describe_fault(const UnsupportedSchema& fault) {
+    return fmt::format("schema {}, this build reads up to {}", fault.schema, kSchemaVersion);
+}
 
-Read read_all(Disk& disk, const std::function<void(const records::Record&)>& taken) {
-    Read read;
-    std::optional<std::uint64_t> last;
-    for (const auto& entry : disk.list()) {
-        if (!Recorder::first_of(entry.name)) {
-            continue;
-        }
-        const auto take = [&](std::uint64_t sequence, std::string_view bytes) {
-            if (last && sequence <= *last) {
-                return;  // it stands twice
-            }
-            records::Record record;
-            if (!record.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
-                read.troubles.push_back(
-                    {entry.name, fmt::format("record {} is none", sequence), 0, bytes.size()});
-                return;
-            }
-            // A new life begins with its head, at a sequence of its own.
-            if (last && sequence != *last + 1 && !record.has_head()) {
-                records::Record hole;
-                hole.mutable_hole()->set_turns(sequence - *last - 1);
-                read.missing += sequence - *last - 1;
-                taken(hole);
-            }
-            last = sequence;
-            ++read.records;
-            read.heads += record.has_head();
-            if (record.has_hole()) {
-                read.missing += record.hole().turns();
-            }
-            if (record.has_turn()) {
-                ++read.turns, read.events += static_cast<std::uint64_t>(record.turn().event_size()),
-                    read.orders += static_cast<std::uint64_t>(record.turn().order_size());
-            }
-            taken(record);
-        };
-        BlockReader blocks(take);
-        for (std::uint64_t at = 0;;) {
-            const auto bytes = disk.read(entry.name, at, kPiece);
-            if (!bytes) {
-                read.troubles.push_back({entry.name, "can't be read", at, 0});
-            }
-            if (!bytes || bytes->empty()) {
-                break;
-            }
-            blocks.feed(*bytes), at += bytes->size(), read.bytes += bytes->size();
-        }
-        blocks.finish();
-        for (const Damage& damage : blocks.damages()) {
-            read.troubles.push_back({entry.name, damage.what, damage.at, damage.bytes});
-        }
+std::string describe_fault(const OrderMismatch& fault) {
+    return fmt::format("order {}: recorded {}, now {}", fault.position,
+                       describe_or_none(fault.recorded), describe_or_none(fault.replayed));
+}
+
+std::optional<records::Order> order_at(const RecordedOrders& orders, int index) {
+    return index < orders.size() ? std::optional(orders.at(index)) : std::nullopt;
+}
+
+// Both to the byte.
+std::optional<OrderMismatch> first_mismatch(const RecordedOrders& recorded,
+                                            const RecordedOrders& replayed) {
+    const int common = std::min(recorded.size(), replayed.size());
+    int index = 0;
+    while (index < common &&
+           recorded[index].SerializeAsString() == replayed[index].SerializeAsString()) {
+        ++index;
+    }
+    if (index == recorded.size() && index == replayed.size()) {
+        return std::nullopt;
     }
-    return read;
+    return OrderMismatch{.position = static_cast<std::size_t>(index) + 1,
+                         .recorded = order_at(recorded, index),
+                         .replayed = order_at(replayed, index)};
 }
 
-Verdict replay(Disk& disk) {
-    Verdict verdict;
-    std::optional<Planner> planner;
-    verdict.read = read_all(disk, [&](const records::Record& record) {
-        if (!verdict.same) {
+// Takes the records of a recording in order.
+class Replayer {
+ public:
+    explicit Replayer(ReplayResult& result) : result_(result) {}
+
+    void on_record(const records::Record& record) {
+        if (result_.fault) {
             return;
         }
         if (record.has_head()) {
-            planner.reset();
-            if (record.head().schema() > kSchema) {
-                verdict.same = false,
-                verdict.why = fmt::format("schema {}, this build reads up to {}",
-                                          record.head().schema(), kSchema);
-                return;
-            }
-            planner.emplace(settings_of(record.head().terms()), record.head().seed());
+            start_planner(record.head());
         } else if (record.has_hole()) {
-            planner.reset();
+            planner_.reset();
         } else if (record.has_turn()) {
-            const records::Turn& turn = record.turn();
-            if (!planner) {
-                return (void)++verdict.skipped;
-            }
-            for (const auto& event : turn.event()) {
-                if (auto heard = event_of(event)) {
-                    planner->handle(std::move(*heard));
-                }
-            }
-            std::vector<records::Order> orders;
-            for (const Order& order : planner->decide(TimePoint{Duration{turn.at()}})) {
-                orders.push_back(record_of(order));
+            replay_turn(record.turn());
+        }
+    }
+
+ private:
+    void start_planner(const records::Head& header) {
+        planner_.reset();
+        if (header.schema() > kSchemaVersion) {
+            result_.fault = UnsupportedSchema{.schema = header.schema()};
+            return;
+        }
+        planner_.emplace(settings_from_record(header.terms()), header.seed());
+    }
+
+    void replay_turn(const records::Turn& turn) {
+        if (!planner_) {
+            ++result_.skipped_turns;
+            return;
+        }
+        for (const records::Event& record : turn.event()) {
+            if (std::optional<Event> event = event_from_record(record)) {
+                planner_->handle(std::move(*event));
             }
-            ++verdict.replayed;
-            verdict.why = difference(turn, orders);
-            verdict.same = verdict.why.empty(), verdict.at = TimePoint{Duration{turn.at()}};
         }
-    });
-    return verdict;
+        const TimePoint at{Duration{turn.at()}};
+        RecordedOrders replayed;
+        for (const Order& order : planner_->decide(at)) {
+            *replayed.Add() = to_record(order);
+        }
+        ++result_.replayed_turns;
+        result_.last_turn_at = at;
+        if (const auto mismatch = first_mismatch(turn.order(), replayed)) {
+            result_.fault = *mismatch;
+        }
+    }
+
+    ReplayResult& result_;
+    std::optional<Planner> planner_;  // absent before the first header and behind a gap
+};
+
+}  // namespace
+
+std::string describe(const ReplayFault& fault) {
+    return std::visit([](const auto& concrete_fault) { return describe_fault(concrete_fault); },
+                      fault);
+}
+
+ReplayResult replay(Directory& directory) {
+    ReplayResult result;
+    Replayer replayer(result);
+    result.summary = read_recording(
+        directory, [&replayer](const records::Record& record) { replayer.on_record(record); });
+    return result;
 }
 
 }  // namespace micaroad::record
--- a/src/record/replay.hpp
+++ b/src/record/replay.hpp
@@ -1,41 +1,47 @@
-// A recording's segments in order, and what a build of the module makes of what was heard.
+/// Replays a recording: gives its events to this build's planner, and compares the orders that it
+/// decides with those that were recorded.
 #pragma once
 
-#include <functional>
+#include <cstddef>
+#include <cstdint>
+#include <optional>
 #include <string>
-#include <vector>
+#include <variant>
 
 #include "micaroad/types.hpp"
 #include "proto/record.pb.h"
-#include "record/block.hpp"
-#include "record/disk.hpp"
+#include "record/directory.hpp"
+#include "record/recording_reader.hpp"
 
 namespace micaroad::record {
 
-struct Trouble {
-    std::string segment, what;
-    std::uint64_t at = 0, bytes = 0;
+/// A header's schema is newer than this build reads.
+struct UnsupportedSchema {
+    std::uint32_t schema = 0;
 };
 
-struct Read {
-    std::uint64_t records = 0, turns = 0, events = 0, orders = 0, bytes = 0, heads = 0,
-                  missing = 0;  // missing: turns in holes
-    std::vector<Trouble> troubles;
+/// An order of a turn is not the recorded one.
+struct OrderMismatch {
+    std::size_t position = 0;                ///< among the turn's orders, from 1
+    std::optional<records::Order> recorded;  ///< absent: the recording has fewer orders
+    std::optional<records::Order> replayed;  ///< absent: this build decides fewer orders
 };
 
-// Calls taken() for each record, in the order of their sequences. Records that stand twice count
-// once; sequences that are missing between two records of one life come as a Hole.
-Read read_all(Disk& disk, const std::function<void(const records::Record&)>& taken);
-
-struct Verdict {
-    Read read;
-    std::uint64_t replayed = 0, skipped = 0;  // turns; skipped: behind a hole, until the next head
-    bool same = true;
-    // The first decision that differs.
-    TimePoint at{};
-    std::string why;
+using ReplayFault = std::variant<UnsupportedSchema, OrderMismatch>;
+
+/// For a person to read, such as "order 4: recorded SET_LINE table 1 s-1 0.25, now none".
+[[nodiscard]] std::string describe(const ReplayFault& fault);
+
+struct ReplayResult {
+    ReadSummary summary;               ///< of the whole recording
+    std::uint64_t replayed_turns = 0;  ///< up to the fault, with its turn
+    std::uint64_t skipped_turns = 0;   ///< behind a gap, until the next header
+    TimePoint last_turn_at;            ///< of the last turn that was replayed
+    std::optional<ReplayFault> fault;  ///< the first; nothing is replayed behind it
+
+    [[nodiscard]] bool matches() const { return !fault.has_value(); }
 };
 
-Verdict replay(Disk& disk);
+[[nodiscard]] ReplayResult replay(Directory& directory);
 
 }  // namespace micaroad::record
--- a/tests/golden_stored_test.cpp
+++ b/tests/golden_stored_test.cpp
@@ -30,9 +30,11 @@
 #include "daemon/start_configuration.hpp"
 #include "helpers.hpp"
 #include "operators/file.hpp"
-#include "record/convert.hpp"
+#include "record/block.hpp"
 #include "record/recorder.hpp"
 #include "record/replay.hpp"
+#include "record/segment_name.hpp"
+#include "record/settings_conversion.hpp"
 
 using namespace micaroad;
 namespace fs = std::filesystem;
@@ -57,11 +59,11 @@
 // and its timers and marks come back to it.
 class Life {
  public:
-    Life(record::Disk& disk, const DeploymentSettings& settings, std::uint64_t seed,
+    Life(record::Directory& disk, const DeploymentSettings& settings, std::uint64_t seed,
          std::int64_t begins_after)
         : recorder_(disk, {},
-                    record::head_of(settings, test::names(), seed, "planner-0", "golden",
-                                    begin(begins_after)),
+                    record::make_header(settings, test::names(), seed, "planner-0", "golden",
+                                        begin(begins_after)),
                     nullptr),
           planner_(settings, seed),
           chance_(seed) {
@@ -189,7 +191,7 @@
 
 // A life with a shared table and one with slices and a rate, in segments of their own.
 void record_two_lives(const fs::path& folder) {
-    const auto disk = record::folder(folder.string());
+    const auto disk = record::open_directory(folder.string());
     Life(*disk, test::terms(), 5, 0).run(200);
     DeploymentSettings other = test::terms();
     other.admission_kind = AdmissionKind::rate;
@@ -201,8 +203,8 @@
 
 std::vector<std::string> records_of(const fs::path& folder) {
     std::vector<std::string> records;
-    const auto disk = record::folder(folder.string());
-    record::read_all(*disk, [&records](const records::Record& record) {
+    const auto disk = record::open_directory(folder.string());
+    record::read_recording(*disk, [&records](const records::Record& record) {
         records.push_back(record.SerializeAsString());
     });
     return records;
@@ -215,8 +217,8 @@
     std::vector<std::string> records;
     bool changed = false;
     int heads = 0;
-    const auto disk = record::folder(recording.string());
-    record::read_all(*disk, [&](const records::Record& record) {
+    const auto disk = record::open_directory(recording.string());
+    record::read_recording(*disk, [&](const records::Record& record) {
         heads += record.has_head() ? 1 : 0;
         if (heads > 1) {
             return;
@@ -232,8 +234,8 @@
         records.push_back(copy.SerializeAsString());
     });
     REQUIRE(changed);
-    std::ofstream(spoilt / record::Recorder::name_of(0), std::ios::binary)
-        << record::block_of(records, 0);
+    std::ofstream(spoilt / record::segment_name(0), std::ios::binary)
+        << record::encode_block(records, 0);
     const std::string second = disk->list().at(1).name;
     const std::string bytes = bytes_of(recording / second);
     std::ofstream(spoilt / second, std::ios::binary) << bytes.substr(0, bytes.size() / 2);
@@ -250,21 +252,21 @@
         FAIL("written, not compared: " << stored);
     }
     REQUIRE(fs::is_directory(stored));
-    const auto disk = record::folder(stored.string());
-    const record::Verdict verdict = record::replay(*disk);
-    INFO(verdict.why);
-    CHECK(verdict.same);
-    CHECK(verdict.skipped == 0);
-    CHECK(verdict.replayed == 402);
-    CHECK(verdict.read.turns == 402);
-    CHECK(verdict.read.heads == 2);
-    CHECK(verdict.read.missing == 0);
-    CHECK(verdict.read.troubles.empty());
+    const auto disk = record::open_directory(stored.string());
+    const record::ReplayResult result = record::replay(*disk);
+    INFO((result.fault ? record::describe(*result.fault) : ""));
+    CHECK(result.matches());
+    CHECK(result.skipped_turns == 0);
+    CHECK(result.replayed_turns == 402);
+    CHECK(result.summary.turns == 402);
+    CHECK(result.summary.headers == 2);
+    CHECK(result.summary.missing_turns == 0);
+    CHECK(result.summary.faults.empty());
 
     // Every kind of event is in it, and these kinds of orders.
     std::set<int> events;
     std::set<int> orders;
-    record::read_all(*disk, [&events, &orders](const records::Record& record) {
+    record::read_recording(*disk, [&events, &orders](const records::Record& record) {
         for (const auto& event : record.turn().event()) {
             events.insert(event.kind());
         }
@@ -292,13 +294,15 @@
 
 TEST_CASE(
     "golden: the stored recording that is spoilt tells its first order that differs, and its cut") {
-    const auto disk = record::folder((kData / "recording-spoilt").string());
-    const record::Verdict verdict = record::replay(*disk);
-    CHECK(!verdict.same);
-    CHECK(verdict.replayed == 82);
-    CHECK(verdict.why == "order 4: recorded SET_LINE table 1 s-1 0.25, now SET_LINE table 1 s-1 0");
-    REQUIRE(verdict.read.troubles.size() == 1);
-    CHECK(verdict.read.troubles[0].what == "a block that was cut");
+    const auto disk = record::open_directory((kData / "recording-spoilt").string());
+    const record::ReplayResult result = record::replay(*disk);
+    CHECK(!result.matches());
+    CHECK(result.replayed_turns == 82);
+    REQUIRE(result.fault);
+    CHECK(record::describe(*result.fault) ==
+          "order 4: recorded SET_LINE table 1 s-1 0.25, now SET_LINE table 1 s-1 0");
+    REQUIRE(result.summary.faults.size() == 1);
+    CHECK(result.summary.faults[0].description == "a block that was cut");
 }
 
 TEST_CASE("golden: the stored operator's file is written back to the same bytes") {
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -11,9 +11,13 @@
 #include "background/turns.hpp"
 #include "helpers.hpp"
 #include "planner/core.hpp"
-#include "record/convert.hpp"
+#include "record/block.hpp"
+#include "record/event_conversion.hpp"
+#include "record/order_conversion.hpp"
 #include "record/recorder.hpp"
 #include "record/replay.hpp"
+#include "record/segment_name.hpp"
+#include "record/settings_conversion.hpp"
 
 using namespace micaroad;
 using namespace micaroad::record;
@@ -26,7 +30,7 @@
 
 // A folder in memory, each of whose calls can be made to fail: the one with that number, and all
 // behind it if `stays`.
-struct Memory : Disk {
+struct Memory : Directory {
     std::map<std::string, std::string> files;
     int calls = 0, fails_at = -1;
     bool stays = false, half = false;  // half: a failed append leaves half of its bytes
@@ -87,9 +91,10 @@
     void fetch_list() override {}
     void follow(const std::string&) override {}
 
-    Day(Disk& disk, std::uint64_t seed, Keeping keeping = {})
-        : recorder(disk, keeping,
-                   head_of(test::terms(), test::names(), seed, "n0", "test", clock.now()), nullptr),
+    Day(Directory& disk, std::uint64_t seed, RetentionPolicy retention = {})
+        : recorder(disk, retention,
+                   make_header(test::terms(), test::names(), seed, "n0", "test", clock.now()),
+                   nullptr),
           core(test::terms(), test::names(), seed, *this, quiet.log, &recorder),
           chance(seed) {
         turn({told("up", 41, true)});
@@ -154,14 +159,18 @@
     }
 };
 
-std::uint64_t turns_in(Memory& disk, Read* read = nullptr) {
-    const Read all = read_all(disk, [](const records::Record&) {});
-    if (read != nullptr) {
-        *read = all;
+std::uint64_t turns_in(Memory& disk, ReadSummary* summary = nullptr) {
+    const ReadSummary all = read_recording(disk, [](const records::Record&) {});
+    if (summary != nullptr) {
+        *summary = all;
     }
     return all.turns;
 }
 
+std::string fault_text(const ReplayResult& result) {
+    return result.fault ? describe(*result.fault) : "";
+}
+
 }  // namespace
 
 TEST_CASE("every kind of event and order is recorded without loss") {
@@ -184,17 +193,19 @@
         event::PeerMessage{{2}, std::string("\0\xff", 2)}};
     CHECK(events.size() == std::variant_size_v<Event>);
     for (const Event& event : events) {
-        const records::Event record = record_of(event);
+        const records::Event record = to_record(event);
         records::Event read;
         REQUIRE(read.ParseFromString(record.SerializeAsString()));
-        const auto back = event_of(read);
+        const auto back = event_from_record(read);
         REQUIRE(back);
         CHECK(back->index() == event.index());
-        CHECK(record_of(*back).SerializeAsString() == record.SerializeAsString());
+        CHECK(to_record(*back).SerializeAsString() == record.SerializeAsString());
     }
-    CHECK(std::get<event::EndpointLoadReport>(*event_of(record_of(events[5]))).failures == 3.5);
-    CHECK(std::get<event::ProxyJoined>(*event_of(record_of(events[2]))).rpcs_per_second == odd);
-    CHECK(std::get<event::EndpointListUpdate>(*event_of(record_of(events[0])))
+    CHECK(std::get<event::EndpointLoadReport>(*event_from_record(to_record(events[5]))).failures ==
+          3.5);
+    CHECK(std::get<event::ProxyJoined>(*event_from_record(to_record(events[2]))).rpcs_per_second ==
+          odd);
+    CHECK(std::get<event::EndpointListUpdate>(*event_from_record(to_record(events[0])))
               .servers[0]
               .last_start == TimePoint{Duration{-7}});
     const std::vector<Order> orders{
@@ -213,14 +224,14 @@
     CHECK(orders.size() == std::variant_size_v<Order>);
     std::set<std::string> texts;
     for (const Order& order : orders) {
-        texts.insert(record_of(order).SerializeAsString());
+        texts.insert(to_record(order).SerializeAsString());
     }
     CHECK(texts.size() == orders.size());
     DeploymentSettings settings = test::terms();
     settings.methods[0].only_kinds = {{1}}, settings.methods[1].own_zone_only = true,
     settings.single_owner = true, settings.write_lifetime = s(5);
-    CHECK(record_of(settings_of(record_of(settings))).SerializeAsString() ==
-          record_of(settings).SerializeAsString());
+    CHECK(to_record(settings_from_record(to_record(settings))).SerializeAsString() ==
+          to_record(settings).SerializeAsString());
 }
 
 TEST_CASE(
@@ -234,7 +245,7 @@
             records.push_back("record " + std::to_string(block * 5 + i) +
                               std::string(static_cast<std::size_t>(block * 7), 'x'));
         }
-        bytes += block_of(records, static_cast<std::uint64_t>(block) * 5);
+        bytes += encode_block(records, static_cast<std::uint64_t>(block) * 5);
         ends.push_back(bytes.size());
     }
     const auto read = [](std::string_view text, std::size_t piece,
@@ -283,25 +294,25 @@
     day.run(40);
     day.recorder.close();
     const auto begun = std::chrono::steady_clock::now();
-    const Verdict verdict = replay(disk);
+    const ReplayResult result = replay(disk);
     const double took =
         std::chrono::duration<double>(std::chrono::steady_clock::now() - begun).count();
-    CAPTURE(verdict.why);
-    CHECK((verdict.same && verdict.replayed == verdict.read.turns && verdict.skipped == 0 &&
-           verdict.read.missing == 0));
-    CHECK((verdict.read.turns > 400 && verdict.read.orders > 500 && verdict.read.heads == 1 &&
-           verdict.read.troubles.empty()));
+    CAPTURE(fault_text(result));
+    CHECK((result.matches() && result.replayed_turns == result.summary.turns &&
+           result.skipped_turns == 0 && result.summary.missing_turns == 0));
+    CHECK((result.summary.turns > 400 && result.summary.orders > 500 &&
+           result.summary.headers == 1 && result.summary.faults.empty()));
 
-    WARN(verdict.read.turns << " turns, " << verdict.read.events << " events and "
-                            << verdict.read.orders << " orders in " << verdict.read.bytes
-                            << " bytes; replayed in " << took << " s");
+    WARN(result.summary.turns << " turns, " << result.summary.events << " events and "
+                              << result.summary.orders << " orders in " << result.summary.bytes
+                              << " bytes; replayed in " << took << " s");
 
     // The same recording with one order another, and with one event another: what a changed build
     // would show.
     for (const bool event : {false, true}) {
         std::vector<std::string> records;
         std::int64_t at = 0;
-        read_all(disk, [&](const records::Record& record) {
+        read_recording(disk, [&](const records::Record& record) {
             records::Record copy = record;
             auto* turn = copy.mutable_turn();
             if (record.has_turn() && at == 0 && turn->order_size() > 3 && records.size() > 100) {
@@ -316,13 +327,13 @@
                                                 : record.SerializeAsString());
         });
         Memory other;
-        other.files[Recorder::name_of(0)] = block_of(records, 0);
-        const Verdict differs = replay(other);
-        CHECK(!differs.same);
-        CHECK(differs.at.time_since_epoch().count() >= at);
+        other.files[segment_name(0)] = encode_block(records, 0);
+        const ReplayResult differs = replay(other);
+        CHECK(!differs.matches());
+        CHECK(differs.last_turn_at.time_since_epoch().count() >= at);
         if (!event) {
-            CHECK((differs.at.time_since_epoch().count() == at &&
-                   differs.why.find("order 3: recorded") != std::string::npos));
+            CHECK((differs.last_turn_at.time_since_epoch().count() == at &&
+                   fault_text(differs).find("order 3: recorded") != std::string::npos));
         }
     }
 }
@@ -334,7 +345,7 @@
     day.run(5);
     const auto before = day.recorder.counts();
     CHECK(before.lost == 0);
-    for (std::size_t i = 0; i < Recorder::kMostQueued / 100; ++i) {  // nobody works meanwhile
+    for (std::size_t i = 0; i < Recorder::kMaxQueuedItems / 100; ++i) {  // nobody works meanwhile
         for (int k = 0; k < 120; ++k) {
             day.recorder.on_event(event::TimerExpired{{7}});
         }
@@ -346,12 +357,13 @@
     }
     day.run(5);
     day.recorder.close();
-    Read read;
-    turns_in(disk, &read);
-    CHECK(read.missing == after.lost);
-    CHECK(read.turns == day.recorder.counts().turns);
-    const Verdict verdict = replay(disk);
-    CHECK((verdict.skipped > 40 && verdict.replayed + verdict.skipped == read.turns));
+    ReadSummary summary;
+    turns_in(disk, &summary);
+    CHECK(summary.missing_turns == after.lost);
+    CHECK(summary.turns == day.recorder.counts().turns);
+    const ReplayResult result = replay(disk);
+    CHECK((result.skipped_turns > 40 &&
+           result.replayed_turns + result.skipped_turns == summary.turns));
 }
 
 TEST_CASE("whichever call of the disk fails, the core goes on and all that is kept can be read") {
@@ -361,24 +373,24 @@
             for (int at = 0; at < 40; ++at) {
                 Memory disk;
                 disk.fails_at = at, disk.stays = stays, disk.half = half;
-                Keeping keeping;
-                keeping.segment_bytes = 4'000, keeping.all_bytes = 40'000;
-                Day day(disk, 3, keeping);
+                RetentionPolicy retention;
+                retention.segment_bytes = 4'000, retention.total_bytes = 40'000;
+                Day day(disk, 3, retention);
                 day.run(20);
                 day.recorder.close();
                 const auto counts = day.recorder.counts();
-                Read read;
-                turns_in(disk, &read);
+                ReadSummary summary;
+                turns_in(disk, &summary);
                 CAPTURE(stays, half, at);
-                REQUIRE(read.turns <= counts.turns);
-                if (!stays && read.heads == 1) {
-                    REQUIRE(read.turns + read.missing >= counts.turns);
+                REQUIRE(summary.turns <= counts.turns);
+                if (!stays && summary.headers == 1) {
+                    REQUIRE(summary.turns + summary.missing_turns >= counts.turns);
                 }
                 if (!half) {
-                    REQUIRE(read.troubles.empty());
+                    REQUIRE(summary.faults.empty());
                 }
                 // What was read whole up to the first hole replays.
-                REQUIRE(replay(disk).same);
+                REQUIRE(replay(disk).matches());
                 most = std::max(most, disk.calls);
             }
         }
@@ -390,10 +402,10 @@
     "old segments go by size and by age, the newest stay, and another life goes on behind them") {
     Memory disk;
     disk.files["notes.txt"] = "not ours";
-    Keeping keeping;
-    keeping.segment_bytes = 3'000, keeping.all_bytes = 12'000;
+    RetentionPolicy retention;
+    retention.segment_bytes = 3'000, retention.total_bytes = 12'000;
     {
-        Day day(disk, 3, keeping);
+        Day day(disk, 3, retention);
         day.run(60);
         day.recorder.close();
         CHECK(day.recorder.counts().segments > 8);
@@ -406,21 +418,21 @@
     CHECK(disk.files.contains("notes.txt"));
     const std::string last = std::prev(disk.files.end(), 2)->first;
     {
-        Day day(disk, 4, keeping);
+        Day day(disk, 4, retention);
         day.run(3);
         day.recorder.close();
     }
     CHECK(disk.files.contains(last));
-    Read read;
-    turns_in(disk, &read);
-    CHECK(
-        (read.heads == 1 && read.troubles.empty()));  // the first life's head went with its segment
-    const Verdict verdict = replay(disk);
-    CHECK((verdict.same && verdict.skipped > 0 && verdict.replayed > 30));
+    ReadSummary summary;
+    turns_in(disk, &summary);
+    CHECK((summary.headers == 1 &&
+           summary.faults.empty()));  // the first life's head went with its segment
+    const ReplayResult result = replay(disk);
+    CHECK((result.matches() && result.skipped_turns > 0 && result.replayed_turns > 30));
 
     Memory aged;
-    keeping.all_bytes = 1 << 20, keeping.all_age = s(10), keeping.segment_age = s(2);
-    Day day(aged, 5, keeping);
+    retention.total_bytes = 1 << 20, retention.max_age = s(10), retention.segment_age = s(2);
+    Day day(aged, 5, retention);
     day.run(40);
     day.recorder.close();
     CHECK((aged.files.size() >= 4 && aged.files.size() <= 8));
@@ -431,26 +443,26 @@
     Day day(disk, 2);
     day.recorder.close();
     records::Record record;
-    *record.mutable_head() = head_of(test::terms(), test::names(), 1, "n", "b", TimePoint{});
-    record.mutable_head()->set_schema(kSchema + 1);
+    *record.mutable_head() = make_header(test::terms(), test::names(), 1, "n", "b", TimePoint{});
+    record.mutable_head()->set_schema(kSchemaVersion + 1);
     Memory newer;
-    newer.files[Recorder::name_of(0)] = block_of({record.SerializeAsString()}, 0);
-    CHECK(replay(newer).why.find("schema 2") != std::string::npos);
-    CHECK(!replay(newer).same);
-    CHECK(Recorder::first_of(Recorder::name_of(77)) == 77u);
+    newer.files[segment_name(0)] = encode_block({record.SerializeAsString()}, 0);
+    CHECK(fault_text(replay(newer)).find("schema 2") != std::string::npos);
+    CHECK(!replay(newer).matches());
+    CHECK(parse_segment_name(segment_name(77)) == 77u);
     for (const char* odd :
          {"", "x", "0000000000000042.mre", "000000000000004.mrec", "zz00000000000042.mrec"}) {
-        CHECK(!Recorder::first_of(odd));
+        CHECK(!parse_segment_name(odd));
     }
     // The system's own folder.
     const auto path =
         std::filesystem::temp_directory_path() / ("micaroad-record-" + std::to_string(::getpid()));
     {
-        const auto real = folder(path.string());
+        const auto real = open_directory(path.string());
         Day kept(*real, 2);
         kept.run(3);
         kept.recorder.close();
-        CHECK((replay(*real).same && replay(*real).replayed > 30));
+        CHECK((replay(*real).matches() && replay(*real).replayed_turns > 30));
         CHECK(!real->create(real->list().at(0).name));
     }
     std::filesystem::remove_all(path);
