--- a/src/simhost/main.cpp
+++ b/src/simhost/main.cpp
@@ -1,23 +1,26 @@
+// Hosts planners for the simulator: batches on standard input, replies on standard output. Ends
+// with 1 at the first line that can't be read.
+#include <cstddef>
 #include <iostream>
 #include <string>
 
-#include "simhost/wire.hpp"
+#include "simhost/planner_host.hpp"
 
 int main() {
     std::ios::sync_with_stdio(false);
-    micaroad::simhost::Host host;
-    std::size_t number = 0;
+    micaroad::simhost::PlannerHost host;
+    std::size_t line_number = 0;
     for (std::string line; std::getline(std::cin, line);) {
-        ++number;
+        ++line_number;
         if (line.find_first_not_of(" \t\r") == std::string::npos) {
             continue;
         }
-        try {
-            std::cout << host.answer(line) << '\n' << std::flush;
-        } catch (const micaroad::simhost::WireError& bad) {
-            std::cerr << "micaroad_simhost: line " << number << " can't be read: " << bad.what()
-                      << '\n';
+        const auto reply = host.answer(line);
+        if (!reply) {
+            std::cerr << "micaroad_simhost: line " << line_number
+                      << " can't be read: " << reply.error().message << '\n';
             return 1;
         }
+        std::cout << *reply << '\n' << std::flush;
     }
 }
--- a/src/simhost/wire.cpp
+++ b/src/simhost/wire.cpp
@@ -1,8 +1,8 @@
 #include "simhost/wire.hpp"
 
 #include <algorithm>
-#include <cmath>
-#include <type_traits>
+#include <array>
+#include <string_view>
 #include <utility>
 
 #include "settings/deployment_settings.hpp"
@@ -12,14 +12,19 @@
 
 using nlohmann::json;
 
-TimePoint instant_of(std::int64_t micros) {
+constexpr int kEveryProxy = 65535;
+constexpr int kEveryPeer = -1;
+
+TimePoint time_point_of_micros(std::int64_t micros) {
     return TimePoint{duration_of_micros(micros)};
 }
 
-// The values of a message, in order; those past the end or null are the type's default.
-class Fields {
+// The values of a message, taken one after the other. Throws json::exception for a value of another
+// type.
+class Values {
  public:
-    Fields(const json& message, std::size_t next) : message_(message), next_(next) {}
+    explicit Values(const json& message) : message_(message) {}
+
     template <class T>
     T take() {
         const std::size_t at = next_++;
@@ -29,238 +34,303 @@
     T take_id() {
         return T{take<decltype(T::value)>()};
     }
-    Duration take_span() { return duration_of_micros(take<std::int64_t>()); }
+    Duration take_duration() { return duration_of_micros(take<std::int64_t>()); }
 
  private:
     const json& message_;
-    std::size_t next_;
+    std::size_t next_ = 0;
 };
 
-event::EndpointListUpdate list_of(Fields fields) {
-    event::EndpointListUpdate list;
-    const auto form = fields.take<std::string>();
-    list.form = form == "update"     ? event::EndpointListUpdate::Form::incremental
-                : form == "replace"  ? event::EndpointListUpdate::Form::complete
-                : form == "restored" ? event::EndpointListUpdate::Form::restored
-                                     : event::EndpointListUpdate::Form::unavailable;
-    fields.take<std::int64_t>();  // the list's version: lists come in order
-    for (const auto& entry : fields.take<json>()) {
-        Fields values(entry, 0);
-        ListedEndpoint server;
-        server.server = values.take_id<ServerId>();
-        server.zone = values.take_id<ZoneId>();
-        server.kind = values.take_id<KindId>();
-        server.cell = values.take_id<CellId>();
-        const auto phase = values.take<std::string>();
-        server.phase = phase == "Ready"         ? EndpointPhase::ready
-                       : phase == "Terminating" ? EndpointPhase::draining
-                                                : EndpointPhase::gone;
-        server.size = values.take<double>();
-        if (const auto started = values.take<std::int64_t>(); started != 0) {
-            server.last_start = instant_of(started);
-        }
-        list.servers.push_back(std::move(server));
+event::EndpointListUpdate::Form parse_form(std::string_view word) {
+    using Form = event::EndpointListUpdate::Form;
+    if (word == "update") {
+        return Form::incremental;
     }
-    return list;
+    if (word == "replace") {
+        return Form::complete;
+    }
+    return word == "restored" ? Form::restored : Form::unavailable;
 }
 
-// Absent for an event that planners have no use for.
-std::optional<Event> event_of(const std::string& name, Fields f) {
-    if (name == "directory_update") {
-        return list_of(f);
-    }
-    if (name == "deadline_hit") {
-        return event::TimerExpired{f.take_id<TimerId>()};
-    }
-    if (name == "stream_up") {
-        event::ProxyJoined joined;
-        joined.zone = f.take_id<ZoneId>();
-        joined.rpcs_per_second = f.take<double>();
-        joined.proxy = f.take_id<ProxyId>();
-        joined.initial_table_only = f.take<bool>();
-        return joined;
+EndpointPhase parse_phase(std::string_view word) {
+    if (word == "Ready") {
+        return EndpointPhase::ready;
     }
-    if (name == "dropped_off") {
-        return event::ProxyLeft{f.take_id<ProxyId>()};
+    return word == "Terminating" ? EndpointPhase::draining : EndpointPhase::gone;
+}
+
+ListedEndpoint parse_endpoint(const json& entry) {
+    Values values(entry);
+    ListedEndpoint endpoint;
+    endpoint.server = values.take_id<ServerId>();
+    endpoint.zone = values.take_id<ZoneId>();
+    endpoint.kind = values.take_id<KindId>();
+    endpoint.cell = values.take_id<CellId>();
+    endpoint.phase = parse_phase(values.take<std::string>());
+    endpoint.size = values.take<double>();
+    const auto last_start = values.take<std::int64_t>();
+    if (last_start != 0) {
+        endpoint.last_start = time_point_of_micros(last_start);
     }
-    if (name == "in_force") {
-        event::Acknowledgement applied;
-        applied.proxy = f.take_id<ProxyId>();
-        applied.nonce = f.take_id<Nonce>();
-        return applied;
+    return endpoint;
+}
+
+Event parse_endpoint_list_update(Values& values) {
+    event::EndpointListUpdate update;
+    update.form = parse_form(values.take<std::string>());
+    values.take<std::int64_t>();  // the list's version: lists come in order
+    for (const json& entry : values.take<json>()) {
+        update.servers.push_back(parse_endpoint(entry));
     }
-    if (name == "roundup") {
-        event::EndpointLoadReport met;
-        met.failures = f.take<double>();
-        met.attempts = f.take<double>();
-        met.mean_latency = f.take_span();
-        met.proxy_zone = f.take_id<ZoneId>();
-        met.server = f.take_id<ServerId>();
-        met.window = f.take_span();
-        return met;
+    return update;
+}
+
+Event parse_timer_expired(Values& values) {
+    return event::TimerExpired{.timer = values.take_id<TimerId>()};
+}
+
+// Initializers are evaluated in the order of the members, which is not that of the wire: hence one
+// statement for each value in the functions below.
+
+Event parse_proxy_joined(Values& values) {
+    event::ProxyJoined joined;
+    joined.zone = values.take_id<ZoneId>();
+    joined.rpcs_per_second = values.take<double>();
+    joined.proxy = values.take_id<ProxyId>();
+    joined.initial_table_only = values.take<bool>();
+    return joined;
+}
+
+Event parse_proxy_left(Values& values) {
+    return event::ProxyLeft{.proxy = values.take_id<ProxyId>()};
+}
+
+Event parse_acknowledgement(Values& values) {
+    event::Acknowledgement acknowledgement;
+    acknowledgement.proxy = values.take_id<ProxyId>();
+    acknowledgement.nonce = values.take_id<Nonce>();
+    return acknowledgement;
+}
+
+Event parse_endpoint_load_report(Values& values) {
+    event::EndpointLoadReport report;
+    report.failures = values.take<double>();
+    report.attempts = values.take<double>();
+    report.mean_latency = values.take_duration();
+    report.proxy_zone = values.take_id<ZoneId>();
+    report.server = values.take_id<ServerId>();
+    report.window = values.take_duration();
+    return report;
+}
+
+Event parse_demand_report(Values& values) {
+    event::DemandReport report;
+    report.window = values.take_duration();
+    report.requests = values.take<double>();
+    report.method = values.take_id<MethodId>();
+    report.unanswered = values.take<double>();
+    report.proxy = values.take_id<ProxyId>();
+    return report;
+}
+
+Event parse_slice_demand_report(Values& values) {
+    event::SliceDemandReport report;
+    report.slice = values.take_id<TableId>();
+    report.method = values.take_id<MethodId>();
+    report.requests = values.take<double>();
+    report.unanswered = values.take<double>();
+    report.window = values.take_duration();
+    return report;
+}
+
+Event parse_slice_assigned(Values& values) {
+    event::SliceAssigned assigned;
+    assigned.slice = values.take_id<TableId>();
+    assigned.ours = values.take<bool>();
+    return assigned;
+}
+
+Event parse_slice_owner_reported(Values& values) {
+    event::SliceOwnerReported owner;
+    owner.slice = values.take_id<TableId>();
+    owner.server = values.take_id<ServerId>();
+    owner.weight = values.take<double>();
+    return owner;
+}
+
+Event parse_health_check_result(Values& values) {
+    event::HealthCheckResult result;
+    result.server = values.take_id<ServerId>();
+    result.healthy = values.take<std::string>() == "GOOD";
+    result.latency = values.take_duration();
+    return result;
+}
+
+Event parse_peer_message(Values& values) {
+    event::PeerMessage message;
+    message.from = values.take_id<PlannerId>();
+    message.text = values.take<std::string>();
+    return message;
+}
+
+struct EventParser {
+    std::string_view word;
+    Event (*parse)(Values& values);
+};
+
+constexpr std::array kEventParsers{
+    EventParser{"directory_update", parse_endpoint_list_update},
+    EventParser{"deadline_hit", parse_timer_expired},
+    EventParser{"stream_up", parse_proxy_joined},
+    EventParser{"dropped_off", parse_proxy_left},
+    EventParser{"in_force", parse_acknowledgement},
+    EventParser{"roundup", parse_endpoint_load_report},
+    EventParser{"intake", parse_demand_report},
+    EventParser{"range_load", parse_slice_demand_report},
+    EventParser{"leased", parse_slice_assigned},
+    EventParser{"current_owner", parse_slice_owner_reported},
+    EventParser{"health_result", parse_health_check_result},
+    EventParser{"peer_data", parse_peer_message},
+};
+
+Launch parse_launch(Values& values) {
+    Launch launch;
+    launch.seed = values.take<std::uint64_t>();
+    const json profile = values.take<json>();
+    try {
+        launch.settings = parse_deployment_settings(profile);
+    } catch (const json::exception&) {
+        throw;  // the line's fault, not that of the settings
+    } catch (const std::exception& failure) {
+        launch.settings = tl::unexpected<std::string>(failure.what());
     }
-    if (name == "intake") {
-        event::DemandReport came;
-        came.window = f.take_span();
-        came.requests = f.take<double>();
-        came.method = f.take_id<MethodId>();
-        came.unanswered = f.take<double>();
-        came.proxy = f.take_id<ProxyId>();
-        return came;
+    return launch;
+}
+
+tl::expected<Command, WireError> parse_command(const std::string& word, Values& values) {
+    if (word == "kill") {
+        return Kill{};
     }
-    if (name == "range_load") {
-        event::SliceDemandReport came;
-        came.slice = f.take_id<TableId>();
-        came.method = f.take_id<MethodId>();
-        came.requests = f.take<double>();
-        came.unanswered = f.take<double>();
-        came.window = f.take_span();
-        return came;
+    if (word == "launch") {
+        return parse_launch(values);
     }
-    if (name == "leased") {
-        event::SliceAssigned given;
-        given.slice = f.take_id<TableId>();
-        given.ours = f.take<bool>();
-        return given;
+    const auto* const parser =
+        std::find_if(kEventParsers.begin(), kEventParsers.end(),
+                     [&word](const EventParser& candidate) { return candidate.word == word; });
+    if (parser == kEventParsers.end()) {
+        return tl::unexpected(WireError{"unknown event '" + word + "'"});
     }
-    if (name == "current_owner") {
-        event::SliceOwnerReported owner;
-        owner.slice = f.take_id<TableId>();
-        owner.server = f.take_id<ServerId>();
-        owner.weight = f.take<double>();
-        return owner;
+    return parser->parse(values);
+}
+
+tl::expected<Message, WireError> parse_message(const json& message) {
+    if (!message.is_array()) {
+        return tl::unexpected(WireError{"an event is not an array"});
     }
-    if (name == "health_result") {
-        event::HealthCheckResult probed;
-        probed.server = f.take_id<ServerId>();
-        probed.healthy = f.take<std::string>() == "GOOD";
-        probed.latency = f.take_span();
-        return probed;
+    Values values(message);
+    const auto word = values.take<std::string>();
+    auto planner = values.take<std::string>();
+    if (planner.empty()) {
+        return tl::unexpected(WireError{"an event names no instance"});
     }
-    if (name == "peer_data") {
-        event::PeerMessage said;
-        said.from = f.take_id<PlannerId>();
-        said.text = f.take<std::string>();
-        return said;
+    auto command = parse_command(word, values);
+    if (!command) {
+        return tl::unexpected(std::move(command.error()));
     }
-    throw WireError("unknown event '" + name + "'");
+    return Message{.planner = std::move(planner), .command = std::move(*command)};
 }
 
-std::int64_t lanes_of(const std::vector<MethodId>& methods) {
-    std::int64_t lanes = 0;
-    for (const auto& method : methods) {
-        lanes |= std::int64_t{1} << method.value;
+std::int64_t method_bits(const std::vector<MethodId>& methods) {
+    std::int64_t bits = 0;
+    for (const MethodId method : methods) {
+        bits |= std::int64_t{1} << method.value;
     }
-    return lanes;
+    return bits;
 }
 
-struct ActionOf {
-    constexpr static int kEveryProxy = 65535;
-    constexpr static int kEveryPeer = -1;
-    const std::string& i;
+json format(const std::string& planner, const order::SetTableEntry& entry) {
+    return {"set_line", planner, entry.table.value, entry.server.value, entry.weight};
+}
 
-    json operator()(const order::SetTableEntry& o) const {
-        return {"set_line", i, o.table.value, o.server.value, o.weight};
-    }
-    json operator()(const order::ClearTable& o) const { return {"blank", i, o.table.value}; }
-    json operator()(const order::BindProxy& o) const {
-        return {"pin", i, o.table.value, lanes_of(o.methods), o.proxy.value};
-    }
-    json operator()(const order::SetAdmission& o) const {
-        return {"ration",
-                i,
-                o.table ? o.table->value : kEveryProxy,
-                lanes_of(o.methods),
-                o.amount,
-                static_cast<int>(o.retry_policy)};
-    }
-    json operator()(const order::SetWithdrawn& o) const {
-        return {"suspend", i, o.server.value, o.withdrawn};
-    }
-    json operator()(const order::SendNonce& o) const {
-        return {"seal", i, o.nonce.value, o.to_all};
-    }
-    json operator()(const order::StartTimer& o) const {
-        return {"timer", i, o.after.count() * kMicrosPerUnit, o.timer.value};
-    }
-    json operator()(const order::CheckHealth& o) const { return {"ask_load", i, o.server.value}; }
-    json operator()(const order::Subscribe& o) const { return {"listen", i, o.on}; }
-    json operator()(const order::FetchList&) const { return {"refresh", i}; }
-    json operator()(const order::SendPeerMessage& o) const {
-        return {"publish", i, o.to ? o.to->value : kEveryPeer, o.text};
-    }
-    json operator()(const order::LogLine& o) const { return {"journal_line", i, o.text}; }
-};
+json format(const std::string& planner, const order::ClearTable& clear) {
+    return {"blank", planner, clear.table.value};
+}
+
+json format(const std::string& planner, const order::BindProxy& binding) {
+    return {"pin", planner, binding.table.value, method_bits(binding.methods), binding.proxy.value};
+}
+
+json format(const std::string& planner, const order::SetAdmission& admission) {
+    const int table = admission.table ? admission.table->value : kEveryProxy;
+    const int retry_policy = static_cast<int>(admission.retry_policy);
+    return {"ration",         planner,     table, method_bits(admission.methods),
+            admission.amount, retry_policy};
+}
+
+json format(const std::string& planner, const order::SetWithdrawn& withdrawal) {
+    return {"suspend", planner, withdrawal.server.value, withdrawal.withdrawn};
+}
+
+json format(const std::string& planner, const order::SendNonce& send) {
+    return {"seal", planner, send.nonce.value, send.to_all};
+}
+
+json format(const std::string& planner, const order::StartTimer& start) {
+    return {"timer", planner, start.after.count() * kMicrosPerUnit, start.timer.value};
+}
+
+json format(const std::string& planner, const order::CheckHealth& check) {
+    return {"ask_load", planner, check.server.value};
+}
+
+json format(const std::string& planner, const order::Subscribe& subscribe) {
+    return {"listen", planner, subscribe.on};
+}
+
+json format(const std::string& planner, const order::FetchList& /*fetch*/) {
+    return {"refresh", planner};
+}
+
+json format(const std::string& planner, const order::SendPeerMessage& message) {
+    const int peer = message.to ? message.to->value : kEveryPeer;
+    return {"publish", planner, peer, message.text};
+}
+
+json format(const std::string& planner, const order::LogLine& line) {
+    return {"journal_line", planner, line.text};
+}
 
 }  // namespace
 
-void Host::take(const json& event) {
-    Fields head(event, 0);
-    const auto name = head.take<std::string>();
-    const auto whom = head.take<std::string>();
-    if (whom.empty()) {
-        throw WireError("an event names no instance");
-    }
-    if (name == "kill") {
-        instances_.erase(whom);
-        std::erase(spoken_to_, whom);
-        return;
-    }
-    if (std::find(spoken_to_.begin(), spoken_to_.end(), whom) == spoken_to_.end()) {
-        spoken_to_.push_back(whom);
-    }
-    std::optional<Event> heard;
-    if (name != "launch") {
-        heard = event_of(name, head);
-    }
-    Instance& instance = instances_[whom];
-    try {
-        if (heard) {
-            if (instance.planner) {
-                instance.planner->handle(std::move(*heard));
-            }
-            return;
+tl::expected<Batch, WireError> parse_batch(const std::string& line) try {
+    const json parsed = json::parse(line);
+    Batch batch;
+    batch.now = time_point_of_micros(parsed.at("t_us").get<std::int64_t>());
+    for (const json& entry : parsed.at("inbox")) {
+        auto message = parse_message(entry);
+        if (!message) {
+            return tl::unexpected(std::move(message.error()));
         }
-        const auto seed = head.take<std::uint64_t>();
-        DeploymentSettings settings = parse_deployment_settings(head.take<json>());
-        instance = Instance{};
-        instance.planner.emplace(std::move(settings), seed);
-    } catch (const json::exception&) {
-        throw;
-    } catch (const std::exception& failed) {
-        instance = Instance{std::nullopt, failed.what()};
+        batch.messages.push_back(std::move(*message));
     }
+    return batch;
+} catch (const json::exception& malformed) {
+    return tl::unexpected(WireError{malformed.what()});
 }
 
-std::string Host::answer(const std::string& line) try {
-    const json batch = json::parse(line);
-    const TimePoint now = instant_of(batch.at("t_us").get<std::int64_t>());
-    spoken_to_.clear();
-    for (const auto& event : batch.at("inbox")) {
-        if (!event.is_array()) {
-            throw WireError("an event is not an array");
-        }
-        take(event);
-    }
-    json actions = json::array();
-    for (const auto& whom : spoken_to_) {
-        Instance& instance = instances_[whom];
-        try {
-            if (instance.planner) {
-                for (const auto& order : instance.planner->decide(now)) {
-                    actions.push_back(std::visit(ActionOf{whom}, order));
-                }
-            }
-        } catch (const std::exception& failed) {
-            instance = Instance{std::nullopt, failed.what()};
-        }
-        if (!instance.failure.empty()) {
-            actions.push_back({"fatal", whom, instance.failure});
-        }
-    }
+json format_order(const std::string& planner, const Order& order) {
+    return std::visit(
+        [&planner](const auto& concrete_order) { return format(planner, concrete_order); }, order);
+}
+
+json format_failure(const std::string& planner, const std::string& reason) {
+    return {"fatal", planner, reason};
+}
+
+tl::expected<std::string, WireError> format_reply(json actions) try {
     return json{{"do", std::move(actions)}}.dump();
-} catch (const json::exception& bad) {
-    throw WireError(bad.what());
+} catch (const json::exception& failure) {
+    return tl::unexpected(WireError{failure.what()});
 }
 
 }  // namespace micaroad::simhost
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -2,15 +2,16 @@
 
 #include <catch2/catch.hpp>
 
-using micaroad::simhost::Host;
-using micaroad::simhost::WireError;
+#include "simhost/planner_host.hpp"
+
+using micaroad::simhost::PlannerHost;
 using nlohmann::json;
 
 namespace {
 
-json play(Host& host, std::int64_t t_us, json inbox) {
-    return json::parse(host.answer(json{{"t_us", t_us}, {"inbox", std::move(inbox)}}.dump()))
-        .at("do");
+json play(PlannerHost& host, std::int64_t t_us, json inbox) {
+    const auto reply = host.answer(json{{"t_us", t_us}, {"inbox", std::move(inbox)}}.dump());
+    return json::parse(reply.value()).at("do");
 }
 
 json launch(const char* whom) {
@@ -38,7 +39,7 @@
 }  // namespace
 
 TEST_CASE("a batch reaches its instances and no other") {
-    Host host;
+    PlannerHost host;
     const json first = play(host, 1000,
                             {launch("planner/0"),
                              list("planner/0"),
@@ -54,7 +55,7 @@
 }
 
 TEST_CASE("a kill loses everything, and a launch in the same batch starts anew") {
-    Host host;
+    PlannerHost host;
     play(host, 1000,
          {launch("planner/0"), list("planner/0"), {"stream_up", "planner/0", 0, 2.5, 4, true}});
     const json again =
@@ -66,7 +67,7 @@
 }
 
 TEST_CASE("absent and null values are their type's default") {
-    Host host;
+    PlannerHost host;
     play(host, 1000, {launch("planner/0"), list("planner/0")});
     CHECK_NOTHROW(play(host, 2000,
                        {{"roundup", "planner/0", 1, 3, nullptr, nullptr, "server.a", 2000, nullptr},
@@ -74,10 +75,12 @@
 }
 
 TEST_CASE("what can't be read is said and not answered") {
-    Host host;
+    PlannerHost host;
     const auto line = GENERATE("nonsense", "[]", R"({"t_us":1})", R"({"t_us":1,"inbox":[7]})",
                                R"({"t_us":1,"inbox":[["no_such_event","planner/0"]]})",
                                R"({"t_us":1,"inbox":[["kill"]]})",
                                R"({"t_us":1,"inbox":[["stream_up","planner/0","zero"]]})");
-    CHECK_THROWS_AS(host.answer(line), WireError);
+    const auto reply = host.answer(line);
+    REQUIRE(!reply);
+    CHECK(!reply.error().message.empty());
 }
