--- a/src/daemon/start_configuration.cpp
+++ b/src/daemon/start_configuration.cpp
@@ -100,7 +100,7 @@
     return text.substr(0, begin).append("null").append(text, begin + value.size());
 }
 
-Parted part(const std::string& text) try {
+Parted part(const std::string& text) {
     Parted parted;
     protocol::JsonCursor cursor(text);
     cursor.object([&](const std::string& key) {
@@ -109,14 +109,14 @@
             parted.known = value;
         }
     });
-    cursor.end();
+    if (!cursor.end()) {
+        throw ConfigurationError(kNoObject);
+    }
     parted.file = json::parse(without(text, parted.known), nullptr, false);
     if (!parted.file.is_object()) {
         throw ConfigurationError(kNoObject);
     }
     return parted;
-} catch (const protocol::JsonFault&) {
-    throw ConfigurationError(kNoObject);
 }
 
 std::string text_of_file(const Environment& environment) {
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -90,7 +90,7 @@
         return std::nullopt;
     }
     if (why.empty()) {
-        why = protocol::text_of(fault);
+        why = protocol::describe(fault);
     }
     context_.log.warn("{} sent what can't be used: {}", peer_, why);
     return role_ == Role::unidentified ? refuse(why) : why;
@@ -137,11 +137,11 @@
 std::string Connection::take(std::string_view line) {
     const auto verdict = protocol::parse_message(line, context_.names, context_.bounds);
     if (const auto* unreadable = std::get_if<protocol::Unparseable>(&verdict)) {
-        return unreadable->why;
+        return protocol::describe(*unreadable);
     }
     std::string why;
     if (const auto* spoilt = std::get_if<protocol::Malformed>(&verdict)) {
-        why = spoilt->why;
+        why = protocol::describe(*spoilt);
     } else {
         heard_ = steady_clock::now();
         why = std::visit([&](const auto& said) { return take(said); },
--- a/src/planner/core.cpp
+++ b/src/planner/core.cpp
@@ -167,7 +167,8 @@
     // What was known of a server stands where its new entry can't be used: it is listed all the
     // same.
     for (const auto& [server, why] : dropped) {
-        log_.warn("discovery: the entry of '{}' is dropped: {}", server.value, why);
+        log_.warn("discovery: the entry of '{}' is dropped: {}", server.value,
+                  protocol::describe(why));
         const auto old = held_.find(server);
         if (!complete || old == held_.end() || addresses.contains(server)) {
             continue;
--- /dev/null
+++ b/src/protocol/buffer_pool.cpp
@@ -0,0 +1,78 @@
+#include "protocol/buffer_pool.hpp"
+
+#include <utility>
+
+namespace micaroad::protocol {
+namespace {
+
+// Copies what fits of `bytes` into the piece, and removes it from `bytes`.
+void fill(BufferChain::Piece& piece, std::string_view& bytes) {
+    char* const free_space = piece.block->data() + piece.size;
+    const std::size_t copied = bytes.copy(free_space, BufferPool::kBlock - piece.size);
+    piece.size += copied;
+    bytes.remove_prefix(copied);
+}
+
+}  // namespace
+
+BufferPool::Lease BufferPool::take() {
+    const std::lock_guard lock(mutex_);
+    if (idle_.empty()) {
+        if (made_ == max_blocks_) {
+            return Lease{nullptr, Return{this}};
+        }
+        idle_.push_back(std::make_unique<Block>());
+        ++made_;
+    }
+    Lease lease{idle_.back().release(), Return{this}};
+    idle_.pop_back();
+    return lease;
+}
+
+void BufferPool::put(Block* block) {
+    const std::lock_guard lock(mutex_);
+    idle_.emplace_back(block);
+}
+
+bool BufferChain::append(BufferPool& pool, std::string_view bytes) {
+    const std::size_t free_bytes = pieces_.empty() ? 0 : BufferPool::kBlock - pieces_.back().size;
+    std::vector<BufferPool::Lease> added;
+    for (std::size_t space = free_bytes; space < bytes.size(); space += BufferPool::kBlock) {
+        added.push_back(pool.take());
+        if (!added.back()) {
+            return false;
+        }
+    }
+    size_ += bytes.size();
+    if (free_bytes > 0) {
+        fill(pieces_.back(), bytes);
+    }
+    for (BufferPool::Lease& lease : added) {
+        pieces_.push_back(Piece{std::move(lease), 0});
+        fill(pieces_.back(), bytes);
+    }
+    return true;
+}
+
+BufferChain::Piece BufferChain::take_front() {
+    Piece piece = std::move(pieces_.front());
+    pieces_.pop_front();
+    size_ -= piece.size;
+    return piece;
+}
+
+std::string BufferChain::text() const {
+    std::string text;
+    text.reserve(size_);
+    for (const Piece& piece : pieces_) {
+        text += piece.view();
+    }
+    return text;
+}
+
+void BufferChain::clear() {
+    pieces_.clear();
+    size_ = 0;
+}
+
+}  // namespace micaroad::protocol
--- a/src/protocol/endpoint_list.cpp
+++ b/src/protocol/endpoint_list.cpp
@@ -3,276 +3,246 @@
 #include <algorithm>
 #include <cmath>
 #include <limits>
+#include <vector>
 
 #include "protocol/json_cursor.hpp"
 
 namespace micaroad::protocol {
 namespace {
 
-constexpr std::size_t kLongestId = 256, kMostDropped = 4'096;
-
-// An id that can stand in a push.
-bool usable(const std::string& id) {
-    return !id.empty() && id.size() <= kLongestId && std::all_of(id.begin(), id.end(), [](char c) {
-        return c > ' ' && c < 0x7F && c != ',' && c != ':';
-    });
-}
-
-int place_of(std::vector<std::string>& names, const std::string& name) {
-    const auto place = std::find(names.begin(), names.end(), name) - names.begin();
-    if (place == std::ssize(names) && names.size() < 4096) {
+constexpr std::size_t kMostDropped = 4'096;
+// Zones or kinds; a list that names more is given the place behind the last for all others.
+constexpr std::size_t kMostNames = 4'096;
+// Whole numbers up to this are exact as a double.
+constexpr double kLargestVersion = 9e15;
+constexpr double kDurationTicksPerMillisecond = 10;
+static_assert(std::chrono::milliseconds{1} == Duration{10});
+
+// Brackets that are open in the list's object and in the array of its entries.
+constexpr int kListDepth = 1;
+constexpr int kServersDepth = 2;
+
+// Discovery's keys of a list; those of an entry stand in endpoint_entry.cpp.
+constexpr std::string_view kVersionKey = "version";
+constexpr std::string_view kCompleteKey = "full";
+constexpr std::string_view kQuotedServersKey = "\"servers\"";
+constexpr std::string_view kServersKey = kQuotedServersKey.substr(1, kQuotedServersKey.size() - 2);
+
+// The place of `name` in `names`, to which it is added if it is new.
+int index_of(std::vector<std::string>& names, const std::string& name) {
+    const auto index = std::find(names.begin(), names.end(), name) - names.begin();
+    if (index == std::ssize(names) && names.size() < kMostNames) {
         names.push_back(name);
     }
-    return static_cast<int>(place);
+    return static_cast<int>(index);
 }
 
-std::optional<EndpointPhase> phase_of(const std::string& state) {
-    if (state == "up") {
-        return EndpointPhase::ready;
-    }
-    if (state == "draining") {
-        return EndpointPhase::draining;
-    }
-    if (state == "removed") {
-        return EndpointPhase::gone;
-    }
-    return std::nullopt;
-}
-
-struct Entry {
-    std::string id, address, zone, kind, state;
-    double cell = 0, weight = 1, started_ms = 0;
-    bool odd = false;  // a value of a type that its key can't have
-};
-
-Entry read_entry(JsonCursor& json) {
-    Entry entry;
-    const auto text = [&](std::string& into) {
-        json.peek() == '"' ? (void)(into = json.string()) : json.skip();
+// Sorts by endpoint, each once; of several entries for one the last counts.
+void keep_last_of_each(std::vector<ListedEndpoint>& endpoints) {
+    const auto before = [](const ListedEndpoint& one, const ListedEndpoint& other) {
+        return one.server < other.server;
     };
-    const auto figure = [&](double& into) {
-        const char first = json.peek();
-        if (first == '-' || (first >= '0' && first <= '9')) {
-            return (void)(into = json.number());
-        }
-        entry.odd |= first != 'n';
-        json.skip();
+    const auto same = [](const ListedEndpoint& one, const ListedEndpoint& other) {
+        return one.server == other.server;
     };
-    json.object([&](const std::string& key) {
-        if (key == "id") {
-            text(entry.id);
-        } else if (key == "addr") {
-            text(entry.address);
-        } else if (key == "zone") {
-            text(entry.zone);
-        } else if (key == "kind") {
-            text(entry.kind);
-        } else if (key == "state") {
-            text(entry.state);
-        } else if (key == "cell") {
-            figure(entry.cell);
-        } else if (key == "weight") {
-            figure(entry.weight);
-        } else if (key == "started_ms") {
-            figure(entry.started_ms);
-        } else {
-            json.skip();
-        }
-    });
-    return entry;
+    std::stable_sort(endpoints.begin(), endpoints.end(), before);
+    const auto kept = std::unique(endpoints.rbegin(), endpoints.rend(), same);
+    endpoints.erase(endpoints.begin(), kept.base());
 }
 
-const char* fault_of(const Entry& entry) {
-    if (!usable(entry.id)) {
-        return "an id that can't be used";
-    }
-    const auto phase = phase_of(entry.state);
-    if (!phase) {
-        return "an unknown state";
-    }
-    if (*phase != EndpointPhase::gone && entry.address.empty()) {
-        return "no address";
-    }
-    if (*phase != EndpointPhase::gone && entry.zone.empty()) {
-        return "no zone";
-    }
-    if (entry.odd) {
-        return "a value of the wrong type";
-    }
-    if (entry.started_ms < 0 || entry.started_ms > 1e14) {
-        return "a start that can't be";
-    }
-    if (std::abs(entry.cell) > 1e9 || entry.weight < 0) {
-        return "a figure that can't be";
+// What a list's object says besides its entries.
+struct Frame {
+    std::optional<std::int64_t> version;
+    bool complete = false;
+    bool has_servers = false;
+};
+
+void read_version(JsonCursor& json, Frame& frame) {
+    const double version = json.number();
+    if (version < 0 || version > kLargestVersion) {
+        json.fail();
+        return;
     }
-    return nullptr;
+    frame.version = static_cast<std::int64_t>(version);
 }
 
-// Sorted by server, each once; of an entry given twice the last counts.
-void keep_last_of_each(std::vector<ListedEndpoint>& servers) {
-    const auto by_id = [](const ListedEndpoint& one, const ListedEndpoint& other) {
-        return one.server < other.server;
-    };
-    std::stable_sort(servers.begin(), servers.end(), by_id);
-    const auto same = [](const ListedEndpoint& one, const ListedEndpoint& other) {
-        return one.server == other.server;
-    };
-    const auto kept = std::unique(servers.rbegin(), servers.rend(), same);
-    servers.erase(servers.begin(), kept.base());
+// The entries have been taken out: each has to be `{}`.
+void read_servers(JsonCursor& json, Frame& frame) {
+    frame.has_servers = true;
+    json.array([&json] { json.object([&json](const std::string&) { json.fail(); }); });
 }
 
-// The entries have been taken out: what stands for one is `{}`.
-void read_frame(std::string_view frame, EndpointListMessage& said) {
-    bool full = false, has_version = false, has_servers = false;
-    JsonCursor json(frame);
+// Absent if `text` is not the object of a list.
+std::optional<Frame> parse_frame(std::string_view text) {
+    Frame frame;
+    JsonCursor json(text);
     json.object([&](const std::string& key) {
-        if (key == "version") {
-            const double version = json.number();
-            if (version < 0 || version > 9e15) {
-                throw JsonFault{};
-            }
-            said.version = static_cast<std::int64_t>(version), has_version = true;
-        } else if (key == "full") {
-            full = json.boolean();
-        } else if (key == "servers") {
-            has_servers = true;
-            json.array([&json] { json.object([](const std::string&) { throw JsonFault{}; }); });
+        if (key == kVersionKey) {
+            read_version(json, frame);
+        } else if (key == kCompleteKey) {
+            frame.complete = json.boolean();
+        } else if (key == kServersKey) {
+            read_servers(json, frame);
         } else {
             json.skip();
         }
     });
-    json.end();
-    if (!has_version || !has_servers) {
-        throw JsonFault{};
+    if (!json.end() || !frame.version || !frame.has_servers) {
+        return std::nullopt;
     }
-    said.list.form = full ? event::EndpointListUpdate::Form::complete
-                          : event::EndpointListUpdate::Form::incremental;
+    return frame;
 }
 
-std::string_view without_blanks_behind(std::string_view text) {
+std::string_view without_trailing_blanks(std::string_view text) {
     const std::size_t last = text.find_last_not_of(" \t\r\n");
     return text.substr(0, last == std::string_view::npos ? 0 : last + 1);
 }
 
-constexpr int kInList = 1, kInServers = 2;  // brackets that are open there
-
 }  // namespace
 
-// Whether the `[` that comes now, in the list's object, opens the array of its servers.
+bool EndpointListParser::is_blank() const {
+    return entry_.empty() && frame_.find_first_not_of(" \t\r") == std::string::npos;
+}
+
+// Whether the `[` that comes now, in the list's object, opens the array of its entries.
 bool EndpointListParser::opens_servers() const {
-    std::string_view before = without_blanks_behind(frame_);
+    std::string_view before = without_trailing_blanks(frame_);
     if (!before.ends_with(':')) {
         return false;
     }
-    before = without_blanks_behind(before.substr(0, before.size() - 1));
-    constexpr std::string_view kKey = "\"servers\"";
-    if (!before.ends_with(kKey)) {
+    before.remove_suffix(1);
+    before = without_trailing_blanks(before);
+    if (!before.ends_with(kQuotedServersKey)) {
         return false;
     }
-    before = without_blanks_behind(before.substr(0, before.size() - kKey.size()));
+    before.remove_suffix(kQuotedServersKey.size());
+    // Behind anything but these, the first quote is an escaped one within a longer key.
+    before = without_trailing_blanks(before);
     return before.ends_with('{') || before.ends_with(',');
 }
 
-void EndpointListParser::track(char c) {
-    if (in_string_) {
-        if (c == '"' && !escaped_) {
-            in_string_ = false;
-        }
-        escaped_ = c == '\\' && !escaped_;
-        return;
-    }
-    if (c == '"') {
-        in_string_ = true;
+void EndpointListParser::track(char character) {
+    switch (place_) {
+        case Place::escape:
+            place_ = Place::string;
+            return;
+        case Place::string:
+            if (character == '"') {
+                place_ = Place::outside;
+            } else if (character == '\\') {
+                place_ = Place::escape;
+            }
+            return;
+        case Place::outside:
+            break;
     }
-    if (c == '{' || c == '[') {
+    if (character == '"') {
+        place_ = Place::string;
+    } else if (character == '{' || character == '[') {
         ++depth_;
-    }
-    if (c == '}' || c == ']') {
+    } else if (character == '}' || character == ']') {
         --depth_;
     }
 }
 
-bool EndpointListParser::add(char c) {
+bool EndpointListParser::add(char character) {
     ++size_;
-    if (c == '[' && depth_ == kInList && !in_string_) {
+    if (character == '[' && depth_ == kListDepth && place_ == Place::outside) {
         in_servers_ = opens_servers();
     }
-    const int before = depth_;
-    track(c);
-    if (in_servers_ && std::max(before, depth_) > kInServers) {
-        entry_ += c;
-        return depth_ > kInServers || take_entry();
+    const int depth_before = depth_;
+    track(character);
+    if (in_servers_ && std::max(depth_before, depth_) > kServersDepth) {
+        entry_ += character;
+        return depth_ > kServersDepth || take_entry();
     }
-    frame_ += c;
-    if (depth_ <= kInList) {
+    frame_ += character;
+    if (depth_ <= kListDepth) {
         in_servers_ = false;
     }
     return true;
 }
 
-bool EndpointListParser::take_entry() try {
+bool EndpointListParser::take_entry() {
     size_ += kLeastEntry - std::min(kLeastEntry, entry_.size());
-    JsonCursor json(entry_);
-    const Entry entry = read_entry(json);
-    json.end();
+    const std::optional<EndpointEntry> entry = parse_endpoint_entry(entry_);
+    if (!entry) {
+        return false;
+    }
     entry_.clear();
     frame_ += "{}";
-    if (const char* fault = fault_of(entry)) {
-        const ServerId dropped{entry.id.substr(0, kLongestId)};
-        if (said_.dropped.size() < kMostDropped) {
-            said_.dropped[dropped] = fault;
-        }
-        return true;
+    const tl::expected<EndpointPhase, EndpointRejection> phase = phase_of(*entry);
+    if (phase) {
+        keep(*entry, *phase);
+    } else {
+        drop(*entry, phase.error());
     }
-    ListedEndpoint& server = said_.list.servers.emplace_back();
-    server.server = {entry.id};
-    server.zone = {place_of(names_.zones, entry.zone)};
-    server.kind = {place_of(names_.kinds, entry.kind)};
-    server.cell = {static_cast<int>(entry.cell)};
-    server.phase = *phase_of(entry.state);
-    server.size = entry.weight;
+    return true;
+}
+
+void EndpointListParser::keep(const EndpointEntry& entry, EndpointPhase phase) {
+    ListedEndpoint& endpoint = message_.list.servers.emplace_back();
+    endpoint.server = {entry.id};
+    endpoint.zone = {index_of(names_.zones, entry.zone)};
+    endpoint.kind = {index_of(names_.kinds, entry.kind)};
+    endpoint.cell = {static_cast<int>(entry.cell)};
+    endpoint.phase = phase;
+    endpoint.size = entry.weight;
     if (entry.started_ms > 0) {
-        server.last_start = TimePoint{Duration{std::llround(entry.started_ms * 10)}};
+        const double ticks = entry.started_ms * kDurationTicksPerMillisecond;
+        endpoint.last_start = TimePoint{Duration{std::llround(ticks)}};
+    }
+    message_.addresses[endpoint.server] = entry.address;
+}
+
+void EndpointListParser::drop(const EndpointEntry& entry, EndpointRejection rejection) {
+    if (message_.dropped.size() < kMostDropped) {
+        message_.dropped[ServerId{entry.id.substr(0, kLongestEndpointId)}] = rejection;
     }
-    said_.addresses[server.server] = entry.address;
-    return true;
-} catch (const JsonFault&) {
-    return false;
 }
 
-std::optional<EndpointListMessage> EndpointListParser::take_list() try {
+std::optional<EndpointListMessage> EndpointListParser::take_list() {
     if (!entry_.empty()) {
         return std::nullopt;
     }
-    read_frame(frame_, said_);
-    keep_last_of_each(said_.list.servers);
-    return std::move(said_);
-} catch (const JsonFault&) {
-    return std::nullopt;
+    const std::optional<Frame> frame = parse_frame(frame_);
+    if (!frame) {
+        return std::nullopt;
+    }
+    using Form = event::EndpointListUpdate::Form;
+    message_.version = *frame->version;
+    message_.list.form = frame->complete ? Form::complete : Form::incremental;
+    keep_last_of_each(message_.list.servers);
+    return std::move(message_);
 }
 
 void EndpointListParser::start_over() {
-    frame_ = {}, entry_ = {}, said_ = {};
-    size_ = 0, depth_ = 0;
-    in_string_ = escaped_ = in_servers_ = false;
+    // Assigned, not cleared, so that a large list's memory is freed.
+    frame_ = {};
+    entry_ = {};
+    message_ = {};
+    size_ = 0;
+    depth_ = 0;
+    place_ = Place::outside;
+    in_servers_ = false;
 }
 
 std::optional<EndpointListMessage> EndpointListReader::read(std::string_view json) {
-    EndpointListParser feed(names_, EndpointListFraming::document,
-                            std::numeric_limits<std::size_t>::max());
-    std::optional<EndpointListMessage> said;
+    EndpointListParser parser(names_, EndpointListFraming::document,
+                              std::numeric_limits<std::size_t>::max());
+    std::optional<EndpointListMessage> message;
     int lists = 0;
-    const auto take = [&](std::optional<EndpointListMessage> read) {
-        if (!read) {
-            return;
+    const auto take = [&](std::optional<EndpointListMessage> parsed) {
+        if (parsed) {
+            message = std::move(parsed);
+            ++lists;
         }
-        said = std::move(read), ++lists;
     };
-    if (feed.feed(json, take) != EndpointListError::none ||
-        feed.finish(take) != EndpointListError::none) {
+    if (parser.feed(json, take) != EndpointListError::none ||
+        parser.finish(take) != EndpointListError::none) {
         return std::nullopt;
     }
-    return lists == 1 ? std::move(said) : std::nullopt;
+    return lists == 1 ? std::move(message) : std::nullopt;
 }
 
 }  // namespace micaroad::protocol
--- a/src/protocol/endpoint_list.hpp
+++ b/src/protocol/endpoint_list.hpp
@@ -1,5 +1,6 @@
-// Discovery's list: one JSON object to one list of the module, and the version that is held of it.
-// Lists are large, so none is held as text.
+/// Discovery's endpoint list (PROTOCOL.md, "Discovery"): the bytes of a response's body in, one
+/// EndpointListMessage out for each JSON object. Lists are large, so none is held as text. No
+/// sockets, threads or clocks.
 #pragma once
 
 #include <cstddef>
@@ -9,51 +10,51 @@
 #include <string>
 #include <string_view>
 #include <utility>
-#include <vector>
 
 #include "micaroad/planner.hpp"
+#include "protocol/endpoint_entry.hpp"
 #include "settings/deployment_settings.hpp"
 
 namespace micaroad::protocol {
 
+/// A list, complete or changes alone, and discovery's version of it.
 struct EndpointListMessage {
     std::int64_t version = 0;
-    event::EndpointListUpdate list;  // changes or complete; each server once, as it was given last
-    std::map<ServerId, std::string> addresses;  // for probes
-    std::map<ServerId, std::string> dropped;    // entries that can't be used: why
+    event::EndpointListUpdate list;  ///< sorted by endpoint, each once, as the last entry gives it
+    std::map<ServerId, std::string> addresses;      ///< where to check health
+    std::map<ServerId, EndpointRejection> dropped;  ///< entries that can't be used; not all of many
 };
 
-// How a body is parted into objects.
+/// How a body is split into objects.
 enum class EndpointListFraming {
-    line,      // one object a line, as on a watch
-    document,  // an object may go on over several lines, as in the answer to a fetch
+    line,      ///< one object a line, as on a watch
+    document,  ///< an object may span lines, as in the response to a fetch
 };
 
+/// Why a body can't be read any further.
 enum class EndpointListError { none, malformed, too_long };
 
-// Lists out of bytes in any pieces, an entry at a time: the text of one entry is held, never that
-// of a list. SymbolTable that the deployment did not tell are added to `names`, which outlives
-// this; instants count from the Unix epoch.
+/// Parses a body fed in any pieces, an entry at a time: the text of one entry is held, never that
+/// of a list. Zones and kinds that the deployment did not name are added to `names`, which must
+/// outlive the parser; time points count from the Unix epoch. Not synchronized: the caller guards
+/// `names` if parsers share it.
 class EndpointListParser {
  public:
-    // What an entry counts at least against the bound, in bytes: what is kept of it takes room,
-    // however short its text.
+    /// Bytes that an entry counts at least against the bound: what is kept of it takes memory,
+    /// however short its text.
     static constexpr std::size_t kLeastEntry = 128;
 
-    // An object may have `most_bytes`, counted as its text comes; short entries count kLeastEntry.
+    /// An object may have `most_bytes`, counted as its text comes; short entries count kLeastEntry.
     EndpointListParser(SymbolTable& names, EndpointListFraming framing, std::size_t most_bytes)
         : names_(names), framing_(framing), most_bytes_(most_bytes) {}
 
-    // Calls take(std::optional<EndpointListMessage>) for each object, and without a list for an
-    // empty line. After a fault the body can't be read any further.
-    template <class Take>
-    EndpointListError feed(std::string_view bytes, Take take) {
-        for (const char c : bytes) {
-            if (c == '\n' && (framing_ == EndpointListFraming::line || depth_ <= 0)) {
-                if (!end_object(take)) {
-                    return EndpointListError::malformed;
-                }
-            } else if (!add(c)) {
+    /// Calls on_list(std::optional<EndpointListMessage>) for each object, and without a list for
+    /// each empty line. After an error the body can't be read any further.
+    template <class OnList>
+    EndpointListError feed(std::string_view bytes, OnList on_list) {
+        for (const char character : bytes) {
+            const bool readable = ends_object(character) ? end_object(on_list) : add(character);
+            if (!readable) {
                 return EndpointListError::malformed;
             }
             if (size_ > most_bytes_) {
@@ -62,49 +63,72 @@
         }
         return EndpointListError::none;
     }
-    // The body has ended, and with it the object that has come last, if its line has not.
-    template <class Take>
-    EndpointListError finish(Take take) {
-        return size_ == 0 || end_object(take) ? EndpointListError::none
-                                              : EndpointListError::malformed;
+    /// The body has ended, and with it the last object, if its line has not. Calls on_list as
+    /// feed() does.
+    template <class OnList>
+    [[nodiscard]] EndpointListError finish(OnList on_list) {
+        const bool readable = size_ == 0 || end_object(on_list);
+        return readable ? EndpointListError::none : EndpointListError::malformed;
     }
-    std::size_t size() const { return size_; }  // of the object that is under way, as it counts
+    /// Bytes of the unfinished object, as they count against the bound.
+    [[nodiscard]] std::size_t size() const { return size_; }
 
  private:
-    template <class Take>
-    bool end_object(Take take) {
-        const bool blank = frame_.find_first_not_of(" \t\r") == std::string::npos && entry_.empty();
-        std::optional<EndpointListMessage> said = blank ? std::nullopt : take_list();
-        const bool readable = blank || said;
+    // Where in the JSON text the parser is:
+    //
+    //     outside --'"'--> string --'\'--> escape
+    //        ^              |  ^             |
+    //        '-----'"'------'  '--any other--'
+    enum class Place { outside, string, escape };
+
+    template <class OnList>
+    bool end_object(OnList on_list) {
+        const bool blank = is_blank();
+        std::optional<EndpointListMessage> list;
+        if (!blank) {
+            list = take_list();
+        }
+        const bool readable = blank || list;
         start_over();
         if (readable) {
-            take(std::move(said));
+            on_list(std::move(list));
         }
         return readable;
     }
-    bool add(char c);
-    void track(char c);
-    bool opens_servers() const;
-    bool take_entry();
-    std::optional<EndpointListMessage> take_list();  // absent: what has come is no list
+    [[nodiscard]] bool ends_object(char character) const {
+        return character == '\n' && (framing_ == EndpointListFraming::line || depth_ <= 0);
+    }
+    [[nodiscard]] bool is_blank() const;
+    // Returns false if an entry that ends here is not JSON.
+    [[nodiscard]] bool add(char character);
+    void track(char character);
+    [[nodiscard]] bool opens_servers() const;
+    [[nodiscard]] bool take_entry();
+    void keep(const EndpointEntry& entry, EndpointPhase phase);
+    void drop(const EndpointEntry& entry, EndpointRejection rejection);
+    // Absent if what has come is no list.
+    [[nodiscard]] std::optional<EndpointListMessage> take_list();
     void start_over();
 
     SymbolTable& names_;
     const EndpointListFraming framing_;
     const std::size_t most_bytes_;
     std::string frame_;  // the object without its entries: `{}` stands for each
-    std::string entry_;  // the one that is under way
+    std::string entry_;  // the unfinished entry
     std::size_t size_ = 0;
     int depth_ = 0;  // brackets that are open
-    bool in_string_ = false, escaped_ = false, in_servers_ = false;
-    EndpointListMessage said_;
+    Place place_ = Place::outside;
+    bool in_servers_ = false;
+    EndpointListMessage message_;
 };
 
-// A list that is held whole, as in a start file. Several share their names.
+/// Parses lists that are held as text, as in a start file. Zones and kinds that the deployment did
+/// not name keep their numbers from list to list. Not synchronized.
 class EndpointListReader {
  public:
     explicit EndpointListReader(SymbolTable names) : names_(std::move(names)) {}
-    std::optional<EndpointListMessage> read(std::string_view json);  // absent: can't be read
+    /// The one list that `json` is; absent if it is anything else.
+    [[nodiscard]] std::optional<EndpointListMessage> read(std::string_view json);
 
  private:
     SymbolTable names_;
--- a/src/protocol/json_cursor.cpp
+++ b/src/protocol/json_cursor.cpp
@@ -8,51 +8,87 @@
 namespace micaroad::protocol {
 namespace {
 
+// UTF-16 surrogates: a code point over 0xFFFF is a high one followed by a low one.
+constexpr unsigned kHighSurrogates = 0xD800;
+constexpr unsigned kLowSurrogates = 0xDC00;
+constexpr unsigned kSurrogatesEnd = 0xE000;
+constexpr unsigned kFirstOfPairs = 0x10000;
+
+constexpr unsigned char kFirstPrintable = 0x20;
+
+bool is_blank(char character) {
+    return character == ' ' || character == '\t' || character == '\r' || character == '\n';
+}
+
+bool is_high_surrogate(unsigned code) {
+    return code >= kHighSurrogates && code < kLowSurrogates;
+}
+
+bool is_low_surrogate(unsigned code) {
+    return code >= kLowSurrogates && code < kSurrogatesEnd;
+}
+
+// A byte of UTF-8 behind the first: the six bits of `code` from `shift` on.
+char continuation_byte(unsigned code, int shift) {
+    return static_cast<char>(0x80 | (code >> shift & 0x3F));
+}
+
 void append_utf8(std::string& text, unsigned code) {
     if (code < 0x80) {
         text += static_cast<char>(code);
     } else if (code < 0x800) {
         text += static_cast<char>(0xC0 | code >> 6);
-        text += static_cast<char>(0x80 | (code & 0x3F));
-    } else if (code < 0x10000) {
+        text += continuation_byte(code, 0);
+    } else if (code < kFirstOfPairs) {
         text += static_cast<char>(0xE0 | code >> 12);
-        text += static_cast<char>(0x80 | (code >> 6 & 0x3F));
-        text += static_cast<char>(0x80 | (code & 0x3F));
+        text += continuation_byte(code, 6);
+        text += continuation_byte(code, 0);
     } else {
         text += static_cast<char>(0xF0 | code >> 18);
-        text += static_cast<char>(0x80 | (code >> 12 & 0x3F));
-        text += static_cast<char>(0x80 | (code >> 6 & 0x3F));
-        text += static_cast<char>(0x80 | (code & 0x3F));
+        text += continuation_byte(code, 12);
+        text += continuation_byte(code, 6);
+        text += continuation_byte(code, 0);
     }
 }
 
 }  // namespace
 
-char JsonCursor::peek() {
-    while (at_ < text_.size() &&
-           std::string_view(" \t\r\n").find(text_[at_]) != std::string_view::npos) {
+void JsonCursor::fail() {
+    failed_ = true;
+    at_ = text_.size();
+}
+
+void JsonCursor::skip_blanks() {
+    while (at_ < text_.size() && is_blank(text_[at_])) {
         ++at_;
     }
+}
+
+char JsonCursor::peek() {
+    skip_blanks();
     return at_ < text_.size() ? text_[at_] : '\0';
 }
 
-void JsonCursor::expect(char c) {
-    if (peek() != c) {
+void JsonCursor::expect(char wanted) {
+    if (peek() != wanted) {
         fail();
+        return;
     }
     ++at_;
 }
 
 void JsonCursor::enter(char bracket) {
     expect(bracket);
-    if (++depth_ > kDeepest) {
+    ++depth_;
+    if (depth_ > kDeepest) {
         fail();
     }
 }
 
 bool JsonCursor::leave(char bracket, bool first) {
     if (peek() == bracket) {
-        ++at_, --depth_;
+        ++at_;
+        --depth_;
         return true;
     }
     if (!first) {
@@ -61,160 +97,176 @@
             fail();
         }
     }
-    return false;
+    return failed_;
 }
 
-bool JsonCursor::word(std::string_view text) {
-    peek();
-    if (!text_.substr(at_).starts_with(text)) {
+bool JsonCursor::accept(std::string_view word) {
+    skip_blanks();
+    if (!text_.substr(at_).starts_with(word)) {
         return false;
     }
-    at_ += text.size();
+    at_ += word.size();
     return true;
 }
 
-unsigned JsonCursor::hex4() {
-    unsigned code = 0;
-    const std::string_view digits = text_.substr(at_, 4);
-    if (digits.size() != 4 || !parse_integer(digits, code, 16)) {
+char JsonCursor::next() {
+    if (at_ >= text_.size()) {
         fail();
+        return '\0';
     }
-    at_ += 4;
-    return code;
+    const char character = text_[at_];
+    ++at_;
+    return character;
 }
 
 std::string JsonCursor::string() {
     expect('"');
     std::string text;
-    for (;;) {
-        if (at_ >= text_.size()) {
-            fail();
-        }
-        const char c = text_[at_++];
-        if (c == '"') {
+    while (!failed_) {
+        const char character = next();
+        if (character == '"') {
             return text;
         }
-        if (static_cast<unsigned char>(c) < 0x20) {
+        if (character == '\\') {
+            append_escape(text);
+        } else if (static_cast<unsigned char>(character) < kFirstPrintable) {
             fail();
+        } else {
+            text += character;
         }
-        if (c != '\\') {
-            text += c;
-            continue;
-        }
-        if (at_ >= text_.size()) {
+    }
+    return {};
+}
+
+void JsonCursor::append_escape(std::string& text) {
+    switch (const char escaped = next()) {
+        case '"':
+        case '\\':
+        case '/':
+            text += escaped;
+            return;
+        case 'b':
+            text += '\b';
+            return;
+        case 'f':
+            text += '\f';
+            return;
+        case 'n':
+            text += '\n';
+            return;
+        case 'r':
+            text += '\r';
+            return;
+        case 't':
+            text += '\t';
+            return;
+        case 'u':
+            append_utf8(text, code_point());
+            return;
+        default:
             fail();
-        }
-        switch (const char escaped = text_[at_++]) {
-            case '"':
-            case '\\':
-            case '/':
-                text += escaped;
-                break;
-            case 'b':
-                text += '\b';
-                break;
-            case 'f':
-                text += '\f';
-                break;
-            case 'n':
-                text += '\n';
-                break;
-            case 'r':
-                text += '\r';
-                break;
-            case 't':
-                text += '\t';
-                break;
-            case 'u': {
-                unsigned code = hex4();
-                if (code >= 0xDC00 && code < 0xE000) {
-                    fail();
-                }
-                if (code >= 0xD800 && code < 0xDC00) {
-                    if (!text_.substr(at_).starts_with("\\u")) {
-                        fail();
-                    }
-                    at_ += 2;
-                    const unsigned low = hex4();
-                    if (low < 0xDC00 || low >= 0xE000) {
-                        fail();
-                    }
-                    code = 0x10000 + ((code - 0xD800) << 10) + (low - 0xDC00);
-                }
-                append_utf8(text, code);
-                break;
-            }
-            default:
-                fail();
-        }
     }
 }
 
+unsigned JsonCursor::code_point() {
+    const unsigned code = four_hex_digits();
+    if (is_low_surrogate(code)) {
+        fail();
+        return 0;
+    }
+    if (!is_high_surrogate(code)) {
+        return code;
+    }
+    if (next() != '\\' || next() != 'u') {
+        fail();
+        return 0;
+    }
+    const unsigned low = four_hex_digits();
+    if (!is_low_surrogate(low)) {
+        fail();
+        return 0;
+    }
+    return kFirstOfPairs + ((code - kHighSurrogates) << 10) + (low - kLowSurrogates);
+}
+
+unsigned JsonCursor::four_hex_digits() {
+    constexpr std::size_t kDigits = 4;
+    unsigned code = 0;
+    const std::string_view digits = text_.substr(at_, kDigits);
+    if (digits.size() != kDigits || !parse_integer(digits, code, 16)) {
+        fail();
+        return 0;
+    }
+    at_ += kDigits;
+    return code;
+}
+
 double JsonCursor::number() {
     const char first = peek();
     if (first != '-' && (first < '0' || first > '9')) {
         fail();
+        return 0;
     }
     double value = 0;
-    const auto [end, error] =
-        std::from_chars(text_.data() + at_, text_.data() + text_.size(), value);
-    if (error != std::errc{} || !std::isfinite(value)) {
+    const char* const text_end = text_.data() + text_.size();
+    const std::from_chars_result result = std::from_chars(text_.data() + at_, text_end, value);
+    if (result.ec != std::errc{} || !std::isfinite(value)) {
         fail();
+        return 0;
     }
-    at_ = static_cast<std::size_t>(end - text_.data());
+    at_ = static_cast<std::size_t>(result.ptr - text_.data());
     return value;
 }
 
 bool JsonCursor::boolean() {
-    if (word("true")) {
+    if (accept("true")) {
         return true;
     }
-    if (!word("false")) {
+    if (!accept("false")) {
         fail();
     }
     return false;
 }
 
 bool JsonCursor::null() {
-    return word("null");
+    return accept("null");
 }
 
 void JsonCursor::skip() {
     switch (peek()) {
         case '{':
             object([this](const std::string&) { skip(); });
-            break;
+            return;
         case '[':
             array([this] { skip(); });
-            break;
+            return;
         case '"':
-            string();
-            break;
+            static_cast<void>(string());
+            return;
         case 't':
         case 'f':
-            boolean();
-            break;
+            static_cast<void>(boolean());
+            return;
         case 'n':
             if (!null()) {
                 fail();
             }
-            break;
+            return;
         default:
-            number();
+            static_cast<void>(number());
     }
 }
 
 std::string_view JsonCursor::raw() {
-    peek();
+    skip_blanks();
     const std::size_t begin = at_;
     skip();
     return text_.substr(begin, at_ - begin);
 }
 
-void JsonCursor::end() {
-    if (peek() != '\0' || at_ < text_.size()) {
-        fail();
-    }
+bool JsonCursor::end() {
+    skip_blanks();
+    return !failed_ && at_ == text_.size();
 }
 
 }  // namespace micaroad::protocol
--- /dev/null
+++ b/src/protocol/line_reader.cpp
@@ -0,0 +1,50 @@
+#include "protocol/line_reader.hpp"
+
+namespace micaroad::protocol {
+
+const char* describe(LineFault fault) {
+    switch (fault) {
+        case LineFault::none:
+            return "none";
+        case LineFault::too_long:
+            return "a line that is too long";
+        case LineFault::no_carriage_return:
+            return "a line that ends without CR";
+        case LineFault::nul_byte:
+            return "a NUL byte";
+        case LineFault::no_buffer:
+            return "no buffer left for its line";
+        case LineFault::not_taken:
+            return "a message that can't be used";
+    }
+    return "?";
+}
+
+std::string_view LineReader::cut_piece(std::string_view& bytes) {
+    const std::size_t line_feed = bytes.find('\n');
+    const std::size_t size = line_feed == std::string_view::npos ? bytes.size() : line_feed + 1;
+    const std::string_view piece = bytes.substr(0, size);
+    bytes.remove_prefix(size);
+    return piece;
+}
+
+LineFault LineReader::check(std::string_view piece) const {
+    if (held_.size() + piece.size() > longest_) {
+        return LineFault::too_long;
+    }
+    if (piece.find('\0') != std::string_view::npos) {
+        return LineFault::nul_byte;
+    }
+    return LineFault::none;
+}
+
+std::string_view LineReader::join(std::string_view piece, std::string& storage) const {
+    if (held_.empty()) {
+        return piece;
+    }
+    storage = held_.text();
+    storage.append(piece);
+    return storage;
+}
+
+}  // namespace micaroad::protocol
--- a/src/protocol/line_reader.hpp
+++ b/src/protocol/line_reader.hpp
@@ -1,5 +1,6 @@
-// Bytes in any pieces to lines. Knows no socket; what is held of an unfinished line stands in
-// buffers of a pool.
+/// Splits a byte stream into the lines of the planner's protocol (PROTOCOL.md, "At the planner's
+/// address"): a line ends in CRLF and has no NUL byte. Bytes in, lines out; no sockets, threads or
+/// clocks.
 #pragma once
 
 #include <string>
@@ -9,74 +10,75 @@
 
 namespace micaroad::protocol {
 
-enum class LineFault { none, too_long, no_carriage_return, nul_byte, no_buffer, not_taken };
-inline const char* text_of(LineFault fault) {
-    switch (fault) {
-        case LineFault::none:
-            return "none";
-        case LineFault::too_long:
-            return "a line that is too long";
-        case LineFault::no_carriage_return:
-            return "a line that ends without CR";
-        case LineFault::nul_byte:
-            return "a NUL byte";
-        case LineFault::no_buffer:
-            return "no buffer left for its line";
-        case LineFault::not_taken:
-            return "a message that can't be used";
-    }
-    return "?";
-}
+/// Why a stream can't be read any further.
+enum class LineFault {
+    none,
+    too_long,            ///< a line over the bound
+    no_carriage_return,  ///< LF without CR before it
+    nul_byte,
+    no_buffer,  ///< the pool has no block left for the start of a line
+    not_taken,  ///< the callback rejected a line
+};
+
+/// The fault in words, for a log line.
+[[nodiscard]] const char* describe(LineFault fault);
 
+/// Collects the lines of one stream. Of an unfinished line the start is held in blocks of a pool.
+/// Not synchronized.
 class LineReader {
  public:
-    static constexpr std::size_t kLongest = 1024 * 1024;  // CRLF included
+    /// The protocol's bound of a line in bytes, CRLF included.
+    static constexpr std::size_t kLongest = 1024 * 1024;
 
+    /// The pool outlives the reader. `longest` bounds a line in bytes, CRLF included.
     explicit LineReader(BufferPool& pool, std::size_t longest = kLongest)
         : pool_(pool), longest_(longest) {}
-    void allow(std::size_t longest) { longest_ = longest; }  // from the next piece on
 
-    // Calls line(std::string_view), without its CRLF, for each that is complete, until one gives
-    // false. After a fault the stream can't be read any further.
-    template <class Line>
-    LineFault feed(std::string_view bytes, Line line) {
+    /// Changes the bound of a line, from the next piece of bytes on. The callback of feed() may
+    /// call it.
+    void allow(std::size_t longest) { longest_ = longest; }
+
+    /// Calls on_line(std::string_view) with each complete line, without its CRLF, until one call
+    /// returns false. After a fault the stream can't be read any further.
+    template <class OnLine>
+    [[nodiscard]] LineFault feed(std::string_view bytes, OnLine on_line) {
         while (!bytes.empty()) {
-            const std::size_t end = bytes.find('\n');
-            const std::string_view piece =
-                bytes.substr(0, end == std::string_view::npos ? end : end + 1);
-            bytes.remove_prefix(piece.size());
-            if (held_.size() + piece.size() > longest_) {
-                return LineFault::too_long;
-            }
-            if (piece.find('\0') != std::string_view::npos) {
-                return LineFault::nul_byte;
+            const std::string_view piece = cut_piece(bytes);
+            const LineFault fault = check(piece);
+            if (fault != LineFault::none) {
+                return fault;
             }
-            if (end == std::string_view::npos) {
-                if (!held_.append(pool_, piece)) {
-                    return LineFault::no_buffer;
-                }
-                break;
+            if (!piece.ends_with('\n')) {
+                return held_.append(pool_, piece) ? LineFault::none : LineFault::no_buffer;
             }
-            std::string whole;
-            std::string_view view = piece;
-            if (!held_.empty()) {
-                whole = held_.text();
-                view = whole.append(piece);
-            }
-            if (!view.ends_with("\r\n")) {
+            std::string joined;
+            std::string_view line = join(piece, joined);
+            if (!line.ends_with(kLineEnd)) {
                 return LineFault::no_carriage_return;
             }
-            view.remove_suffix(2);
-            if (!line(view)) {
+            line.remove_suffix(kLineEnd.size());
+            if (!on_line(line)) {
                 return LineFault::not_taken;
             }
-            held_.clear();  // not before: so all copies together are no larger than the pool
+            // Cleared after the call, so that all copies together are no larger than the pool.
+            held_.clear();
         }
         return LineFault::none;
     }
-    bool in_mid_line() const { return !held_.empty(); }
+
+    /// Whether the start of an unfinished line is held.
+    [[nodiscard]] bool in_mid_line() const { return !held_.empty(); }
 
  private:
+    static constexpr std::string_view kLineEnd = "\r\n";
+
+    // Removes from `bytes` all up to and including the first LF, or everything if there is none.
+    static std::string_view cut_piece(std::string_view& bytes);
+    // The faults that show before the line has ended.
+    [[nodiscard]] LineFault check(std::string_view piece) const;
+    // The whole line that `piece` ends: `piece` itself, or a copy in `storage` with what is held.
+    [[nodiscard]] std::string_view join(std::string_view piece, std::string& storage) const;
+
     BufferPool& pool_;
     std::size_t longest_;
     BufferChain held_;
--- /dev/null
+++ b/src/protocol/line_words.hpp
@@ -0,0 +1,56 @@
+/// The `name=value` words of a protocol line, converted to the types of our messages. Text in,
+/// values out; no sockets, threads or clocks.
+#pragma once
+
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "micaroad/types.hpp"
+#include "protocol/message.hpp"
+
+namespace micaroad::protocol {
+
+/// Removes the first word of `line`, up to a blank, and returns it.
+[[nodiscard]] std::string_view cut_word(std::string_view& line);
+
+/// The words of a line, which must outlive it.
+///
+/// Errors are sticky, as with a standard stream: the first one is kept, and a value that can't be
+/// converted reads as 0 or empty. So a caller reads all values and asks for error() once, before it
+/// uses any of them.
+class LineWords {
+ public:
+    /// Splits the line at blanks.
+    explicit LineWords(std::string_view line);
+
+    /// The value of a word that must be there and not be empty.
+    [[nodiscard]] std::string_view text(std::string_view name);
+    /// A number from 0 to 1e9.
+    [[nodiscard]] double number(std::string_view name);
+    /// A whole number from 0 on, below `bound`.
+    [[nodiscard]] int integer(std::string_view name, int bound);
+    /// A time in milliseconds from 0 to `longest`.
+    [[nodiscard]] Duration milliseconds(std::string_view name, Duration longest);
+    /// The place in `names` of the value.
+    [[nodiscard]] int index_in(const std::vector<std::string>& names, std::string_view name);
+
+    /// Records an error, unless there is one.
+    void reject(MalformedReason reason, std::string_view word = {});
+    /// The first error.
+    [[nodiscard]] const std::optional<Malformed>& error() const { return error_; }
+
+ private:
+    struct Word {
+        std::string_view name;
+        std::string_view value;
+    };
+    void add(std::string_view word);
+    [[nodiscard]] const Word* find(std::string_view name) const;
+
+    std::vector<Word> words_;
+    std::optional<Malformed> error_;
+};
+
+}  // namespace micaroad::protocol
--- a/src/protocol/message.cpp
+++ b/src/protocol/message.cpp
@@ -1,167 +1,148 @@
 #include "protocol/message.hpp"
 
 #include <algorithm>
-#include <cmath>
-#include <vector>
+#include <array>
 
-#include "protocol/parse_integer.hpp"
+#include "protocol/line_words.hpp"
 
 namespace micaroad::protocol {
-
 namespace {
 
-constexpr std::size_t kMostWords = 32;
-constexpr double kLargest = 1e9;      // of a figure: sums of them stay far from any edge
-constexpr double kMostCounted = 1e6;  // RPCs of a proxy, or tries at a server, within one report
-
-std::string_view cut(std::string_view& line) {
-    const std::size_t space = std::min(line.find(' '), line.size());
-    const std::string_view word = line.substr(0, space);
-    line.remove_prefix(std::min(space + 1, line.size()));
-    return word;
-}
-
-// The words of a line, each read once. Throws Malformed.
-class Words {
- public:
-    explicit Words(std::string_view line) {
-        while (!line.empty()) {
-            const std::string_view word = cut(line);
-            if (word.empty()) {
-                continue;
-            }
-            const std::size_t equals = word.find('=');
-            if (equals == 0 || equals == std::string_view::npos) {
-                throw Malformed{"a word without name and value"};
-            }
-            const std::string_view name = word.substr(0, equals);
-            if (find(name)) {
-                throw Malformed{"doubled word " + std::string(name.substr(0, 40))};
-            }
-            if (words_.size() == kMostWords) {
-                throw Malformed{"too many words"};
-            }
-            words_.emplace_back(name, word.substr(equals + 1));
-        }
-    }
-    const std::string_view* find(std::string_view name) const {
-        const auto at = std::find_if(words_.begin(), words_.end(),
-                                     [&](const auto& w) { return w.first == name; });
-        return at == words_.end() ? nullptr : &at->second;
-    }
-    std::string_view text(const char* name) const {
-        const std::string_view* value = find(name);
-        if (!value || value->empty()) {
-            throw Malformed{std::string("missing word ") + name};
-        }
-        return *value;
-    }
-    double figure(const char* name) const {
-        double value = -1;
-        if (!parse_integer(text(name), value) || !(value >= 0 && value <= kLargest)) {
-            throw bad(name);
-        }
-        return value;
-    }
-    int whole(const char* name, int below) const {
-        int value = -1;
-        if (!parse_integer(text(name), value) || value < 0 || value >= below) {
-            throw bad(name);
-        }
-        return value;
-    }
-    Duration span(const char* name, Duration longest) const {
-        const Duration span{std::llround(figure(name) * 10)};
-        return span <= longest ? span : throw bad(name);
-    }
-    int place(const char* name, const std::vector<std::string>& among) const {
-        const auto at = std::find(among.begin(), among.end(), text(name));
-        if (at == among.end()) {
-            throw bad(name);
-        }
-        return static_cast<int>(at - among.begin());
-    }
+constexpr std::size_t kLongestQuotedKind = 40;
+// Requests of a proxy, or attempts at an endpoint, within one report.
+constexpr double kLargestCount = 1e6;
+constexpr int kNonces = 65'536;
 
- private:
-    static Malformed bad(const char* name) { return {std::string("bad value of ") + name}; }
-    std::vector<std::pair<std::string_view, std::string_view>> words_;
+struct Counts {
+    double all = 0;
+    double failures = 0;  // of requests, these may have come in an earlier window
+    Duration window{};
 };
 
-// How many there were, how many came to nothing (an RPC may do so in a later window than it came
-// in), and over which time: each can only be so large.
-void read_counts(const Words& words, const Bounds& bounds, double& all, double& bad,
-                 Duration& over) {
-    all = words.figure("n"), bad = words.figure("bad"),
-    over = words.span("window", bounds.longest_window);
-    if (std::max(all, bad) > kMostCounted) {
-        throw Malformed{"more than can have come"};
+Counts parse_counts(LineWords& words, const Bounds& bounds) {
+    Counts counts;
+    counts.all = words.number(wire::kCount);
+    counts.failures = words.number(wire::kFailures);
+    counts.window = words.milliseconds(wire::kWindow, bounds.longest_window);
+    if (std::max(counts.all, counts.failures) > kLargestCount) {
+        words.reject(MalformedReason::count_too_large);
     }
-    if (over <= Duration{}) {
-        throw Malformed{"no window"};
+    if (counts.window <= Duration{}) {
+        words.reject(MalformedReason::no_window);
     }
+    return counts;
 }
 
-Message outcomes_of(const Words& words, const SymbolTable& names, const Bounds& bounds) {
-    event::EndpointLoadReport met;
-    met.server = {std::string(words.text("host"))};
-    met.proxy_zone = {words.place("az", names.zones)};
-    read_counts(words, bounds, met.attempts, met.failures, met.window);
-    met.mean_latency = words.span("avg", bounds.longest_mean);
-    if (met.failures > met.attempts) {
-        throw Malformed{"more failures than tries"};
+Message parse_endpoint_load_report(LineWords& words, const SymbolTable& names,
+                                   const Bounds& bounds) {
+    event::EndpointLoadReport report;
+    report.server = {std::string(words.text(wire::kEndpoint))};
+    report.proxy_zone = {words.index_in(names.zones, wire::kZone)};
+    const Counts counts = parse_counts(words, bounds);
+    report.attempts = counts.all;
+    report.failures = counts.failures;
+    report.window = counts.window;
+    report.mean_latency = words.milliseconds(wire::kMeanLatency, bounds.longest_mean);
+    if (report.failures > report.attempts) {
+        words.reject(MalformedReason::more_failures_than_attempts);
     }
-    return met;
+    return report;
 }
 
-Message demand_of(const Words& words, const SymbolTable& names, const Bounds& bounds) {
-    event::DemandReport came;
-    came.proxy = {words.whole("sidecar", bounds.proxies)};
-    came.method = {words.place("kind", names.methods)};
-    read_counts(words, bounds, came.requests, came.unanswered, came.window);
-    return came;
+Message parse_demand_report(LineWords& words, const SymbolTable& names, const Bounds& bounds) {
+    event::DemandReport report;
+    report.proxy = {words.integer(wire::kProxy, bounds.proxies)};
+    report.method = {words.index_in(names.methods, wire::kMethod)};
+    const Counts counts = parse_counts(words, bounds);
+    report.requests = counts.all;
+    report.unanswered = counts.failures;
+    report.window = counts.window;
+    return report;
 }
 
-Message answer_of(const Words& words, const SymbolTable&, const Bounds& bounds) {
-    constexpr int kMarks = 65'536;
-    words.figure("lag_ms");
-    return event::Acknowledgement{{words.whole("sidecar", bounds.proxies)},
-                                  {words.whole("version", kMarks)}};
+Message parse_acknowledgement(LineWords& words, const SymbolTable&, const Bounds& bounds) {
+    // The delay is not used, but has to be there.
+    static_cast<void>(words.number(wire::kDelay));
+    event::Acknowledgement acknowledgement;
+    acknowledgement.proxy = {words.integer(wire::kProxy, bounds.proxies)};
+    acknowledgement.nonce = {words.integer(wire::kAcknowledgedNonce, kNonces)};
+    return acknowledgement;
 }
 
-Message joining_of(const Words& words, const SymbolTable& names, const Bounds& bounds) {
+Message parse_proxy_joined(LineWords& words, const SymbolTable& names, const Bounds& bounds) {
     event::ProxyJoined joined;
-    joined.proxy = {words.whole("sidecar", bounds.proxies)};
-    joined.zone = {words.place("az", names.zones)};
-    joined.rpcs_per_second = words.figure("share");
-    joined.initial_table_only = words.whole("standing", 2) == 1;
+    joined.proxy = {words.integer(wire::kProxy, bounds.proxies)};
+    joined.zone = {words.index_in(names.zones, wire::kZone)};
+    joined.rpcs_per_second = words.number(wire::kRpcsPerSecond);
+    joined.initial_table_only = words.integer(wire::kInitialTableOnly, 2) == 1;
     return joined;
 }
 
-Message collector_of(const Words& words, const SymbolTable& names, const Bounds&) {
-    return CollectorIdentified{{words.place("az", names.zones)}};
+Message parse_collector(LineWords& words, const SymbolTable& names, const Bounds&) {
+    return CollectorIdentified{{words.index_in(names.zones, wire::kZone)}};
 }
 
-Message alive_of(const Words&, const SymbolTable&, const Bounds&) {
+Message parse_liveness_query(LineWords&, const SymbolTable&, const Bounds&) {
     return LivenessQuery{};
 }
 
-constexpr std::pair<std::string_view, Message (*)(const Words&, const SymbolTable&, const Bounds&)>
-    kKinds[] = {{"outcomes", outcomes_of}, {"demand", demand_of},   {"ack", answer_of},
-                {"hello", joining_of},     {"agent", collector_of}, {"probe", alive_of}};
+struct MessageKind {
+    std::string_view word;
+    Message (*parse)(LineWords&, const SymbolTable&, const Bounds&);
+};
+
+// The most frequent first.
+constexpr std::array kMessageKinds{
+    MessageKind{wire::kEndpointLoadReport, parse_endpoint_load_report},
+    MessageKind{wire::kDemandReport, parse_demand_report},
+    MessageKind{wire::kAcknowledgement, parse_acknowledgement},
+    MessageKind{wire::kProxyJoined, parse_proxy_joined},
+    MessageKind{wire::kCollectorIdentified, parse_collector},
+    MessageKind{wire::kLivenessQuery, parse_liveness_query},
+};
 
 }  // namespace
 
-ParseResult parse_message(std::string_view line, const SymbolTable& names,
-                          const Bounds& bounds) try {
-    const std::string_view said = cut(line);
-    for (const auto& [kind, read] : kKinds) {
-        if (kind == said) {
-            return read(Words(line), names, bounds);
-        }
+ParseResult parse_message(std::string_view line, const SymbolTable& names, const Bounds& bounds) {
+    const std::string_view word = cut_word(line);
+    const auto* const kind =
+        std::find_if(kMessageKinds.begin(), kMessageKinds.end(),
+                     [word](const MessageKind& known) { return known.word == word; });
+    if (kind == kMessageKinds.end()) {
+        return Unparseable{std::string(word.substr(0, kLongestQuotedKind))};
+    }
+    LineWords words(line);
+    Message message = kind->parse(words, names, bounds);
+    if (words.error()) {
+        return *words.error();
+    }
+    return message;
+}
+
+std::string describe(const Malformed& malformed) {
+    switch (malformed.reason) {
+        case MalformedReason::no_name_or_value:
+            return "a word without name and value";
+        case MalformedReason::repeated_word:
+            return "repeated word " + malformed.word;
+        case MalformedReason::too_many_words:
+            return "too many words";
+        case MalformedReason::missing_word:
+            return "missing word " + malformed.word;
+        case MalformedReason::bad_value:
+            return "bad value of " + malformed.word;
+        case MalformedReason::count_too_large:
+            return "count too large";
+        case MalformedReason::no_window:
+            return "no window";
+        case MalformedReason::more_failures_than_attempts:
+            return "more failures than attempts";
     }
-    return Unparseable{"unknown kind " + std::string(said.substr(0, 40))};
-} catch (const Malformed& why) {
-    return why;
+    return "?";
+}
+
+std::string describe(const Unparseable& unparseable) {
+    return "unknown kind " + unparseable.kind;
 }
 
 }  // namespace micaroad::protocol
--- a/src/protocol/message.hpp
+++ b/src/protocol/message.hpp
@@ -1,44 +1,73 @@
-// What comes in at the planner's address: one line to one message, with one of three verdicts.
-// SymbolTable become numbers here, and milliseconds spans.
+/// Messages to the planner (PROTOCOL.md, "At the planner's address"): one line in, one message out.
+/// Names become the deployment's numbers here, and milliseconds become Duration. No sockets,
+/// threads or clocks.
 #pragma once
 
+#include <chrono>
 #include <string>
 #include <string_view>
 #include <variant>
 
 #include "micaroad/planner.hpp"
+#include "protocol/wire_words.hpp"
 #include "settings/deployment_settings.hpp"
 
 namespace micaroad::protocol {
 
+/// Asks whether the planner answers; kAlive is the answer.
 struct LivenessQuery {};
+
+/// The connection is the collector's of this zone.
 struct CollectorIdentified {
     ZoneId zone;
 };
+
 using Message =
     std::variant<LivenessQuery, CollectorIdentified, event::ProxyJoined, event::Acknowledgement,
                  event::EndpointLoadReport, event::DemandReport>;
 
-// A known kind that can't be meant so: the line is dropped, what comes around it is good. The text
-// says why.
+enum class MalformedReason {
+    no_name_or_value,  ///< a word that is not name=value
+    repeated_word,
+    too_many_words,
+    missing_word,
+    bad_value,  ///< not of the word's type, unknown, or over its bound
+    count_too_large,
+    no_window,
+    more_failures_than_attempts,
+};
+
+/// A line of a known kind that can't be meant so. It is dropped; the lines around it are good.
 struct Malformed {
-    std::string why;
+    MalformedReason reason = MalformedReason::bad_value;
+    std::string word;  ///< the name of the word concerned, cut to a bound; empty if none is
 };
-// Not of this protocol: nothing that follows can be trusted.
+
+/// A line that is not of this protocol: nothing that follows can be trusted.
 struct Unparseable {
-    std::string why;
+    std::string kind;  ///< its first word, cut to a bound
 };
+
+/// The error in words, for a log line.
+[[nodiscard]] std::string describe(const Malformed& malformed);
+/// The error in words, for a log line.
+[[nodiscard]] std::string describe(const Unparseable& unparseable);
+
 using ParseResult = std::variant<Message, Malformed, Unparseable>;
 
-// What a figure can be in a deployment.
+/// What values can be in a deployment.
 struct Bounds {
-    int proxies = 1;
-    Duration longest_window = std::chrono::seconds(60);  // of a report
-    Duration longest_mean = std::chrono::seconds(60);    // of a try
+    int proxies = 1;                                     ///< proxies are numbered below this
+    Duration longest_window = std::chrono::seconds(60);  ///< of a report
+    Duration longest_mean = std::chrono::seconds(60);    ///< mean latency of attempts
 };
 
-ParseResult parse_message(std::string_view line, const SymbolTable& names, const Bounds& bounds);
+/// Parses a line without its CRLF. Words that its kind does not have are passed over. Any thread
+/// may call it while no other changes `names`.
+[[nodiscard]] ParseResult parse_message(std::string_view line, const SymbolTable& names,
+                                        const Bounds& bounds);
 
-inline constexpr std::string_view kAlive = "alive\r\n", kError = "error\r\n";
+using wire::kAlive;
+using wire::kError;
 
 }  // namespace micaroad::protocol
--- a/src/protocol/push_writer.cpp
+++ b/src/protocol/push_writer.cpp
@@ -2,115 +2,168 @@
 
 #include <fmt/format.h>
 
+#include <array>
 #include <charconv>
+#include <map>
+#include <set>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "protocol/wire_words.hpp"
 
 namespace micaroad::protocol {
 namespace {
 
 constexpr std::size_t kMostParts = 64;
+constexpr std::string_view kLineEnd = "\r\n";
 
-// Shortest text that reads back alike, never with an exponent.
-std::string figure(double value) {
-    char text[400];
-    const auto end = std::to_chars(text, text + sizeof text, value, std::chars_format::fixed).ptr;
-    return {text, end};
+// The shortest text that reads back as the same number, never with an exponent.
+std::string format_number(double value) {
+    // Enough for any double: near the ends of the range the shortest text has some 330 characters.
+    std::array<char, 400> text{};
+    const std::to_chars_result result =
+        std::to_chars(text.data(), text.data() + text.size(), value, std::chars_format::fixed);
+    return {text.data(), result.ptr};
 }
 
-std::string routes_of(const std::set<MethodId>& methods, const SymbolTable& names) {
-    std::string routes;
+std::string format_methods(const std::set<MethodId>& methods, const SymbolTable& names) {
+    std::string text = fmt::format(" {}=", wire::kMethods);
+    std::string_view separator;
     for (const MethodId method : methods) {
-        routes += (routes.empty() ? "" : "+") + names.method(method);
+        text += separator;
+        text += names.method(method);
+        separator = "+";
     }
-    return routes;
+    return text;
 }
 
-// Parts of a message. A list too long for one goes on in the next, which repeats what it belongs
-// to.
-class Parts {
+// The parts of a message. A list too long for its part goes on in a further one, which repeats the
+// words that say what it belongs to.
+class MessageParts {
  public:
-    explicit Parts(std::size_t longest) : room_(longest - kTail.size() - 2) {}
+    explicit MessageParts(std::size_t longest)
+        : longest_(longest - continued_word().size() - kLineEnd.size()) {}
 
-    // `once` stands in this part alone, `lead` in those that go on with it too.
-    void open(std::string lead, std::string_view once = "") {
-        lead_ = std::move(lead);
-        (parts_.emplace_back("push") += lead_) += once;
+    // Begins a part. `context` is repeated in the parts that go on with it, `once` is not.
+    void begin(std::string context, std::string_view once = "") {
+        context_ = std::move(context);
+        std::string& part = parts_.emplace_back(wire::kUpdate);
+        part += context_;
+        part += once;
     }
-    void word(const std::string& text) {
-        if (parts_.back().size() + 1 + text.size() > room_) {
-            go_on();
+
+    // Adds words that have to stand in the same part.
+    void add_words(const std::string& words) {
+        if (parts_.back().size() + 1 + words.size() > longest_) {
+            begin_continuation();
         }
-        parts_.back() += ' ' + text;
+        parts_.back() += ' ';
+        parts_.back() += words;
     }
-    // One more member of the list `name`.
-    void member(const char* name, const std::string& text) {
-        const std::string start = fmt::format(" {}=", name);
-        std::string more = list_ == name && parts_.size() == list_part_ ? ',' + text : start + text;
-        if (parts_.back().size() + more.size() > room_) {
-            go_on(), more = start + text;
+
+    // Adds an element to the list `name`, which it begins if the part does not end with that list.
+    void add_element(std::string_view name, const std::string& element) {
+        const bool list_goes_on = list_ == name && list_part_ == parts_.size();
+        std::string text = list_goes_on ? ',' + element : first_element(name, element);
+        if (parts_.back().size() + text.size() > longest_) {
+            begin_continuation();
+            text = first_element(name, element);
         }
-        parts_.back() += more;
-        list_ = name, list_part_ = parts_.size();
+        parts_.back() += text;
+        list_ = name;
+        list_part_ = parts_.size();
     }
-    bool none() const { return parts_.empty(); }
-    std::optional<std::string> message() const {
+
+    [[nodiscard]] bool empty() const { return parts_.empty(); }
+
+    // Absent if there are too many.
+    [[nodiscard]] std::optional<std::string> join() const {
         if (parts_.size() > kMostParts) {
             return std::nullopt;
         }
-        std::string all;
-        for (std::size_t i = 0; i < parts_.size(); ++i) {
-            (all += parts_[i]) += i + 1 < parts_.size() ? kTail : "";
-            all += "\r\n";
+        const std::string continued = continued_word();
+        std::string message;
+        for (const std::string& part : parts_) {
+            message += part;
+            if (&part != &parts_.back()) {
+                message += continued;
+            }
+            message += kLineEnd;
         }
-        return all;
+        return message;
     }
 
  private:
-    static constexpr std::string_view kTail = " continued=1";
-    void go_on() { open(lead_); }
+    static std::string continued_word() { return fmt::format(" {}=1", wire::kContinued); }
+    static std::string first_element(std::string_view name, const std::string& element) {
+        return fmt::format(" {}={}", name, element);
+    }
+    void begin_continuation() { begin(context_); }
 
-    const std::size_t room_;
+    const std::size_t longest_;  // of a part, without the end that any may need
     std::vector<std::string> parts_;
-    std::string lead_, list_;
-    std::size_t list_part_ = 0;
+    std::string context_;
+    std::string list_;           // the list that an element was last added to
+    std::size_t list_part_ = 0;  // how many parts there were then
 };
 
-}  // namespace
-
-std::optional<std::string> format_update(const ProxyUpdate& update, const SymbolTable& names,
-                                         std::size_t longest) {
-    Parts parts(longest);
-    std::map<ProxyUpdate::Admission, std::set<MethodId>> levels;
-    for (const auto& [method, level] : update.admissions) {
-        levels[level].insert(method);
-    }
+void add_tables(MessageParts& parts, const ProxyUpdate& update, const SymbolTable& names) {
+    const std::string full = fmt::format(" {}=1", wire::kFullTable);
     for (const ProxyUpdate::Table& table : update.tables) {
-        parts.open(" routes=" + routes_of(table.methods, names), table.full ? " full=1" : "");
+        parts.begin(format_methods(table.methods, names), table.full ? full : "");
         for (const auto& [server, weight] : table.lines) {
-            parts.member("endpoints", fmt::format("{}:{}", server.value, figure(weight)));
+            const std::string entry = fmt::format("{}:{}", server.value, format_number(weight));
+            parts.add_element(wire::kTableEntries, entry);
         }
     }
-    for (const auto& [level, methods] : levels) {
-        // A table's own part takes the level along where it is meant for just its methods.
-        if (update.tables.size() != 1 || update.tables.front().methods != methods) {
-            parts.open(" routes=" + routes_of(methods, names));
-        }
-        parts.word(fmt::format("admit={} policy={}", figure(level.amount),
-                               static_cast<int>(level.retry_policy)));
+}
+
+// Methods of the same admission share a part.
+void add_admissions(MessageParts& parts, const ProxyUpdate& update, const SymbolTable& names) {
+    std::map<ProxyUpdate::Admission, std::set<MethodId>> methods_by_admission;
+    for (const auto& [method, admission] : update.admissions) {
+        methods_by_admission[admission].insert(method);
     }
-    if (parts.none()) {
-        parts.open("");
+    for (const auto& [admission, methods] : methods_by_admission) {
+        // The part of the one table takes the admission along if both are for the same methods.
+        const bool shares_part =
+            update.tables.size() == 1 && update.tables.front().methods == methods;
+        if (!shares_part) {
+            parts.begin(format_methods(methods, names));
+        }
+        parts.add_words(fmt::format("{}={} {}={}", wire::kAdmittedFraction,
+                                    format_number(admission.amount), wire::kRetryPolicy,
+                                    static_cast<int>(admission.retry_policy)));
     }
-    for (const bool out : {true, false}) {
-        for (const auto& [server, is_out] : update.withdrawn) {
-            if (is_out == out) {
-                parts.member(out ? "eject" : "restore", server.value);
+}
+
+void add_withdrawals(MessageParts& parts, const ProxyUpdate& update) {
+    for (const bool wanted : {true, false}) {
+        const std::string_view list = wanted ? wire::kWithdrawn : wire::kReinstated;
+        for (const auto& [server, withdrawn] : update.withdrawn) {
+            if (withdrawn == wanted) {
+                parts.add_element(list, server.value);
             }
         }
     }
+}
+
+}  // namespace
+
+std::optional<std::string> format_update(const ProxyUpdate& update, const SymbolTable& names,
+                                         std::size_t longest) {
+    MessageParts parts(longest);
+    add_tables(parts, update, names);
+    add_admissions(parts, update, names);
+    if (parts.empty()) {
+        parts.begin("");
+    }
+    add_withdrawals(parts, update);
     if (update.nonce) {
-        parts.word(fmt::format("nonce_out={}", update.nonce->value));
+        parts.add_words(fmt::format("{}={}", wire::kNonce, update.nonce->value));
     }
-    return parts.message();
+    return parts.join();
 }
 
 }  // namespace micaroad::protocol
--- a/src/protocol/push_writer.hpp
+++ b/src/protocol/push_writer.hpp
@@ -1,6 +1,8 @@
-// A update as the lines of one message on a proxy's stream.
+/// Updates to proxies as text (PROTOCOL.md, "Orders on a stream"). Values in, bytes out; no
+/// sockets, threads or clocks.
 #pragma once
 
+#include <optional>
 #include <string>
 
 #include "protocol/line_reader.hpp"
@@ -9,9 +11,10 @@
 
 namespace micaroad::protocol {
 
-// Absent if it needs more parts than a message may have. A part, CRLF included, has at most
-// `longest` bytes.
-std::optional<std::string> format_update(const ProxyUpdate& update, const SymbolTable& names,
-                                         std::size_t longest = LineReader::kLongest);
+/// The update as one message of one or more parts, each a line of at most `longest` bytes, CRLF
+/// included. Absent if it needs more parts than a message may have.
+[[nodiscard]] std::optional<std::string> format_update(const ProxyUpdate& update,
+                                                       const SymbolTable& names,
+                                                       std::size_t longest = LineReader::kLongest);
 
 }  // namespace micaroad::protocol
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -23,8 +23,10 @@
         if (fault != LineFault::none) {
             break;
         }
-        fault = reader.feed(
-            piece, [&lines](std::string_view line) { return lines.emplace_back(line), true; });
+        fault = reader.feed(piece, [&lines](std::string_view line) {
+            lines.emplace_back(line);
+            return true;
+        });
     }
     return {lines, fault};
 }
@@ -47,7 +49,11 @@
 std::string joined(std::string_view text, std::string_view by) {  // every '|' becomes `by`
     std::string all;
     for (const char c : text) {
-        c == '|' ? all += by : all += c;
+        if (c == '|') {
+            all += by;
+        } else {
+            all += c;
+        }
     }
     return all;
 }
@@ -68,8 +74,11 @@
     LineReader bytewise(pool);
     Lines lines;
     for (const char c : text) {
-        bytewise.feed({&c, 1},
-                      [&lines](std::string_view line) { return lines.emplace_back(line), true; });
+        const LineFault fault = bytewise.feed({&c, 1}, [&lines](std::string_view line) {
+            lines.emplace_back(line);
+            return true;
+        });
+        CHECK(fault == LineFault::none);
     }
     CHECK(lines.size() == 4);
 }
@@ -139,7 +148,7 @@
     read_as<LivenessQuery>("probe");
 }
 
-TEST_CASE("a known kind that can't be meant is spoilt, any other is unreadable") {
+TEST_CASE("a known kind that can't be meant is malformed, any other is unparseable") {
     const auto line = GENERATE(
         as<std::string>{}, "hello", "hello sidecar=1 az=a share=2",
         "hello sidecar=1 sidecar=2 az=a share=2 standing=0",
@@ -170,6 +179,27 @@
     CHECK(std::holds_alternative<Unparseable>(parse_message(other, test::names(), {8})));
 }
 
+TEST_CASE("a malformed line is told by its first error and the word concerned") {
+    const auto error_of = [](std::string_view line) {
+        return describe(std::get<Malformed>(parse_message(line, test::names(), {8})));
+    };
+    CHECK(error_of("agent az") == "a word without name and value");
+    CHECK(error_of("agent az=a x=1 x=2") == "repeated word x");
+    CHECK(error_of("agent") == "missing word az");
+    CHECK(error_of("hello sidecar=8 az=c share=2 standing=0") == "bad value of sidecar");
+    CHECK(error_of("outcomes az=a host=s n=2e6 bad=3e6 avg=1 window=0") == "count too large");
+    CHECK(error_of("outcomes az=a host=s n=1 bad=2 avg=x window=0") == "no window");
+    CHECK(error_of("outcomes az=a host=s n=1 bad=2 avg=1 window=1") ==
+          "more failures than attempts");
+    std::string many = "agent az=a";
+    for (int i = 0; i < 32; ++i) {
+        many += " w" + std::to_string(i) + "=1";
+    }
+    CHECK(error_of(many) == "too many words");
+    CHECK(describe(std::get<Unparseable>(parse_message("bye now", test::names(), {8}))) ==
+          "unknown kind bye");
+}
+
 TEST_CASE("an HTTP answer is read wherever its bytes are cut") {
     const auto [text, body] = GENERATE(table<std::string, std::string>({
         {"HTTP/1.1 200 OK|Transfer-Encoding: Chunked||5;x=y|hello|1| |5|world|0|T: x||",
@@ -234,19 +264,27 @@
 }
 
 TEST_CASE("an entry that can't be used is dropped, the others count") {
-    const auto entry =
-        GENERATE(as<std::string>{}, R"({"id":"x","addr":"h:1","zone":"a","state":"asleep"})",
-                 R"({"id":"x","zone":"a","state":"up"})", R"({"id":"x","addr":"h:1","state":"up"})",
-                 R"({"id":"x,y","addr":"h:1","zone":"a","state":"up"})",
-                 R"({"id":"x\r\n","addr":"h:1","zone":"a","state":"up"})",
-                 R"({"addr":"h:1","zone":"a","state":"up"})",
-                 R"({"id":"x","addr":"h:1","zone":"a","state":"up","weight":-1})",
-                 R"({"id":"x","addr":"h:1","zone":"a","state":"up","started_ms":"now"})");
+    const auto [entry, rejection] = GENERATE(table<std::string, EndpointRejection>({
+        {R"({"id":"x","addr":"h:1","zone":"a","state":"asleep"})",
+         EndpointRejection::unknown_state},
+        {R"({"id":"x","zone":"a","state":"up"})", EndpointRejection::no_address},
+        {R"({"id":"x","addr":"h:1","state":"up"})", EndpointRejection::no_zone},
+        {R"({"id":"x,y","addr":"h:1","zone":"a","state":"up"})", EndpointRejection::unusable_id},
+        {R"({"id":"x\r\n","addr":"h:1","zone":"a","state":"up"})", EndpointRejection::unusable_id},
+        {R"({"addr":"h:1","zone":"a","state":"up"})", EndpointRejection::unusable_id},
+        {R"({"id":"x","addr":"h:1","zone":"a","state":"up","weight":-1})",
+         EndpointRejection::bad_number},
+        {R"({"id":"x","addr":"h:1","zone":"a","state":"up","started_ms":"now"})",
+         EndpointRejection::wrong_type},
+        {R"({"id":"x","addr":"h:1","zone":"a","state":"up","started_ms":-1})",
+         EndpointRejection::bad_start_time},
+    }));
     EndpointListReader reader(test::names());
     const auto said =
         reader.read(R"({"version":1,"servers":[)" + entry + R"(,{"id":"y","state":"removed"}]})");
     REQUIRE(said);
-    CHECK(said->dropped.size() == 1);
+    REQUIRE(said->dropped.size() == 1);
+    CHECK(said->dropped.begin()->second == rejection);
     CHECK(said->list.servers.size() == 1);
 }
 
@@ -311,7 +349,7 @@
     CHECK(servers("{\"version\":1,\"servers\":[]}\n{\"version\":2,\"servers\":[]}") == -1);
 }
 
-TEST_CASE("a letter is written as one message") {
+TEST_CASE("an update is written as one message") {
     ProxyUpdate update;
     const auto written = [&update](std::size_t longest = 1024 * 1024) {
         return format_update(update, test::names(), longest).value_or("none");
