--- a/src/daemon/start_configuration.cpp
+++ b/src/daemon/start_configuration.cpp
@@ -178,16 +178,14 @@
 
 std::string_view find_known_list(const std::string& text) {
     std::string_view known;
-    try {
-        protocol::JsonCursor cursor(text);
-        cursor.object([&cursor, &known](const std::string& key) {
-            const std::string_view value = cursor.raw();
-            if (key == "known") {
-                known = value;
-            }
-        });
-        cursor.end();
-    } catch (const protocol::JsonFault&) {
+    protocol::JsonCursor cursor(text);
+    cursor.object([&cursor, &known](const std::string& key) {
+        const std::string_view value = cursor.raw();
+        if (key == "known") {
+            known = value;
+        }
+    });
+    if (!cursor.end()) {
         throw not_an_object();
     }
     return known;
--- a/src/planner/endpoint_registry.cpp
+++ b/src/planner/endpoint_registry.cpp
@@ -126,7 +126,8 @@
 void EndpointRegistry::keep_known_entries(protocol::EndpointListMessage& message) const {
     const bool complete = is_complete(message.list);
     for (const auto& [server, reason] : message.dropped) {
-        log_.warn("discovery: unusable entry dropped server={} reason={:?}", server.value, reason);
+        log_.warn("discovery: unusable entry dropped server={} reason={:?}", server.value,
+                  protocol::describe(reason));
         const auto known = known_.find(server);
         if (!complete || known == known_.end() || message.addresses.contains(server)) {
             continue;
