--- a/src/daemon/planner_process.cpp
+++ b/src/daemon/planner_process.cpp
@@ -35,7 +35,7 @@
 }  // namespace
 
 PlannerProcess::PlannerProcess(StartConfiguration start, Clock clock, Log& log, Observer* observer,
-                               SyncPoints* sync, net::WatchPatience patience)
+                               SyncPoints* sync, net::WatchTimeouts timeouts)
     : start_(std::move(start)),
       clock_(std::move(clock)),
       log_(log),
@@ -54,7 +54,7 @@
              start_.discovery.empty() ? net::Address{}
                                       : address_or_throw(start_.discovery, "discovery"),
              start_.names, start_.known.version, limits_.list_bytes, reading_, inbox_, log_,
-             patience, sync),
+             timeouts, sync),
       core_(start_.settings, start_.names, start_.seed, *this, log_, observer),
       sync_(sync) {}
 
@@ -98,7 +98,9 @@
         why = "no thread for discovery";
         return false;
     }
-    return acceptor_.open(listen_, why);
+    return acceptor_.open(listen_)
+        .map_error([&](const auto& error) { why = describe(error); })
+        .has_value();
 }
 
 int PlannerProcess::run() {
@@ -115,8 +117,8 @@
     reach(sync_, SyncPoint::core_heard_stop);
     enter(Stage::ending);
     // Told all at once, waited for after: what hangs in one keeps none of the others.
-    acceptor_.begin_shut(), watch_.begin_stop(), prober_.begin_stop();
-    watch_.stop(), prober_.stop(), acceptor_.shut();
+    acceptor_.begin_shutdown(), watch_.begin_stop(), prober_.begin_stop();
+    watch_.stop(), prober_.stop(), acceptor_.shutdown();
     enter(broken_ ? Stage::failed : Stage::ended);
     return broken_ ? 1 : 0;
 }
--- a/src/daemon/planner_process.hpp
+++ b/src/daemon/planner_process.hpp
@@ -21,7 +21,7 @@
 class PlannerProcess : private Transport {
  public:
     PlannerProcess(StartConfiguration start, Clock clock, Log& log, Observer* observer = nullptr,
-                   SyncPoints* sync = nullptr, net::WatchPatience patience = {});
+                   SyncPoints* sync = nullptr, net::WatchTimeouts timeouts = {});
 
     // Serves until stop() is called, by any thread. The program's exit code.
     int run();
--- a/src/net/acceptor.cpp
+++ b/src/net/acceptor.cpp
@@ -6,34 +6,62 @@
 
 namespace micaroad::net {
 
-Acceptor::Acceptor(const ConnectionContext& context, std::size_t most_connections,
-                   std::size_t most_unidentified)
+namespace {
+
+bool is_out_of_resources(int error) {
+    return error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM;
+}
+
+bool is_shut_down(int error) {
+    return error == EINVAL || error == EBADF;
+}
+
+}  // namespace
+
+std::string describe(const AcceptorError& error) {
+    switch (error.cause) {
+        case AcceptorError::Cause::not_listening:
+            return describe(error.socket);
+        case AcceptorError::Cause::no_thread:
+            return "no thread";
+    }
+    return "unknown cause";
+}
+
+Acceptor::Acceptor(const ConnectionContext& context, std::size_t max_connections,
+                   std::size_t max_unidentified)
     : context_(context),
-      most_(most_connections),
-      most_unidentified_(most_unidentified),
+      max_connections_(max_connections),
+      max_unidentified_(max_unidentified),
       loop_(context_, [this](StreamId id) {
           const std::lock_guard lock(mutex_);
-          connections_.erase(id), unidentified_.erase(id);
+          connections_.erase(id);
+          unidentified_.erase(id);
       }) {}
 
 Acceptor::~Acceptor() {
-    shut();
+    shutdown();
 }
 
-bool Acceptor::open(const Address& address, std::string& why) {
-    listener_ = Socket::listening(address, why);
-    if (!listener_.open()) {
-        return false;
+tl::expected<void, AcceptorError> Acceptor::open(const Address& address) {
+    auto listener = Socket::listen(address);
+    if (!listener) {
+        return tl::unexpected(AcceptorError{AcceptorError::Cause::not_listening, listener.error()});
+    }
+    listener_ = std::move(*listener);
+    const bool started =
+        threads_.start([this] { run(); }) && threads_.start([this] { loop_.run(); });
+    if (!started) {
+        return tl::unexpected(AcceptorError{AcceptorError::Cause::no_thread});
     }
-    why = "no thread";
-    return threads_.start([this] { accept_on(); }) && threads_.start([this] { loop_.work(); });
+    return {};
 }
 
-void Acceptor::begin_shut() {
+void Acceptor::begin_shutdown() {
     listener_.shut_down();
     {
         const std::lock_guard lock(mutex_);
-        shut_ = true;
+        shutting_down_ = true;
         for (const auto& [id, connection] : connections_) {
             connection->close();
         }
@@ -41,84 +69,93 @@
     loop_.stop();
 }
 
-void Acceptor::shut() {
-    begin_shut();
+void Acceptor::shutdown() {
+    begin_shutdown();
     threads_.wait();
     // Guards against a peer that hangs in sending: a socket that is shut down and holds bytes that
     // nobody reads tells it nothing before it is closed.
     const std::lock_guard lock(mutex_);
-    connections_.clear(), unidentified_.clear();
-    loop_.let_go_all();
+    connections_.clear();
+    unidentified_.clear();
+    loop_.release_all();
 }
 
-void Acceptor::accept_on() {
+void Acceptor::run() {
     for (;;) {
-        Address from;
-        from.length = sizeof from.storage;
-        Socket socket(::accept4(listener_.fd(), reinterpret_cast<sockaddr*>(&from.storage),
-                                &from.length, SOCK_CLOEXEC));
+        Address peer;
+        peer.length = sizeof peer.storage;
+        Socket socket(::accept4(listener_.fd(), reinterpret_cast<sockaddr*>(&peer.storage),
+                                &peer.length, SOCK_CLOEXEC));
         const int error = errno;
         {
             const std::lock_guard lock(mutex_);
-            if (shut_) {
+            if (shutting_down_) {
                 return;
             }
         }
-        if (socket.open()) {
-            take(std::move(socket), from);
-        } else if (error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM) {
+        if (socket.is_open()) {
+            add(std::move(socket), peer);
+        } else if (is_out_of_resources(error)) {
             // The connection waits in the backlog; an unidentified peer's end makes room for it.
-            context_.log.warn("no connection can be taken: {}", std::strerror(error));
+            context_.log.warn("acceptor: accept failed error=\"{}\"", std::strerror(error));
             {
                 const std::lock_guard lock(mutex_);
-                shed_unidentified();
+                (void)shed_unidentified();
             }
-            std::this_thread::sleep_for(std::chrono::milliseconds(2));
-        } else if (error == EINVAL || error == EBADF) {
+            std::this_thread::sleep_for(kAcceptBackoff);
+        } else if (is_shut_down(error)) {
             return;
         }
     }
 }
 
-void Acceptor::take(Socket socket, const Address& from) {
+void Acceptor::add(Socket socket, const Address& peer) {
     reach(context_.sync, SyncPoint::connection_accepted);
     std::unique_lock lock(mutex_);
-    if (!has_room()) {
-        return context_.log.warn("{} is turned away: {} connections", text_of(from),
-                                 connections_.size());
+    if (!make_room()) {
+        context_.log.warn("acceptor: connection rejected peer={} connections={}", text_of(peer),
+                          connections_.size());
+        return;
     }
-    const StreamId id{next_++};
+    const StreamId id{next_id_++};
     const auto connection =
-        std::make_shared<Connection>(context_, id, std::move(socket), text_of(from));
-    connections_[id] = unidentified_[id] = connection;
+        std::make_shared<Connection>(context_, id, std::move(socket), text_of(peer));
+    connections_[id] = connection;
+    unidentified_[id] = connection;
     lock.unlock();
     if (loop_.add(connection)) {
         return;
     }
-    context_.log.warn("{} is turned away: it can't be watched", text_of(from));
+    context_.log.warn("acceptor: connection rejected peer={} reason=\"no room in the poller\"",
+                      text_of(peer));
     lock.lock();
-    connections_.erase(id), unidentified_.erase(id);
+    connections_.erase(id);
+    unidentified_.erase(id);
 }
 
-// Who has joined since is no unidentified peer any more; that is looked up only where it matters.
-bool Acceptor::has_room() {
-    if (unidentified_.size() >= most_unidentified_) {
-        std::erase_if(unidentified_,
-                      [](const auto& one) { return one.second->role() != Role::unidentified; });
+// Sheds an unidentified peer where it is full; false if it stays full. Whether a peer has joined
+// since it was accepted is looked up only here, where it matters.
+bool Acceptor::make_room() {
+    if (unidentified_.size() >= max_unidentified_) {
+        std::erase_if(unidentified_, [](const Connections::value_type& entry) {
+            return entry.second->role() != Role::unidentified;
+        });
     }
-    const bool full = connections_.size() >= most_ || unidentified_.size() >= most_unidentified_;
+    const bool full =
+        connections_.size() >= max_connections_ || unidentified_.size() >= max_unidentified_;
     return !full || shed_unidentified();
 }
 
-// Who says nothing before who is in the middle of saying it: that may be a proxy on a slow
-// connection.
+// Closes the oldest idle unidentified peer; false if there is none. Silent ones go before those in
+// the middle of a line, which may be proxies on slow links.
 bool Acceptor::shed_unidentified() {
-    for (const bool in_mid_line : {false, true}) {
+    for (const bool even_mid_line : {false, true}) {
         for (auto at = unidentified_.begin(); at != unidentified_.end(); ++at) {
-            if (!at->second->close_if_idle(in_mid_line)) {
+            if (!at->second->close_if_idle(even_mid_line)) {
                 continue;
             }
-            connections_.erase(at->first), unidentified_.erase(at);
+            connections_.erase(at->first);
+            unidentified_.erase(at);
             return true;
         }
     }
@@ -132,40 +169,43 @@
 }
 
 void Acceptor::write(StreamId stream, std::string_view message) {
-    using Posted = Connection::Posted;
+    using SendResult = Connection::SendResult;
     const auto connection = find(stream);
     if (!connection) {
         return;
     }
-    Posted posted = connection->post(message);
-    while (posted == Posted::no_buffer && shed_unread()) {
-        posted = connection->post(message);
+    SendResult result = connection->send(message);
+    while (result == SendResult::no_buffer && shed_slowest_reader()) {
+        result = connection->send(message);
     }
-    if (posted == Posted::yes) {
+    if (result == SendResult::accepted) {
         return;
     }
-    context_.log.warn("stream {} is ended: {}", stream.value,
-                      posted == Posted::not_read ? "its proxy does not read"
-                                                 : "no buffer is left for its orders");
+    context_.log.warn(
+        "acceptor: stream closed stream={} peer={} reason=\"{}\"", stream.value, connection->peer(),
+        result == SendResult::peer_not_reading ? "proxy does not read" : "no write buffer left");
     connection->close();
 }
 
-// Who has left most unread goes before anyone who reads. False if nobody has left any.
-bool Acceptor::shed_unread() {
+// Closes the connection that has left most unread, before any that reads loses its messages. False
+// if none has left anything.
+bool Acceptor::shed_slowest_reader() {
     const std::lock_guard lock(mutex_);
-    std::shared_ptr<Connection> worst;
-    std::size_t most = 0;
+    std::shared_ptr<Connection> slowest;
+    std::size_t most_bytes = 0;
     for (const auto& [id, connection] : connections_) {
-        if (const std::size_t unread = connection->unread(); unread > most) {
-            most = unread, worst = connection;
+        const std::size_t bytes = connection->pending_bytes();
+        if (bytes > most_bytes) {
+            most_bytes = bytes;
+            slowest = connection;
         }
     }
-    if (!worst) {
+    if (!slowest) {
         return false;
     }
-    context_.log.warn("stream {} is ended: its proxy has left {} bytes unread", worst->id().value,
-                      most);
-    worst->close();
+    context_.log.warn("acceptor: stream shed stream={} peer={} unread_bytes={}",
+                      slowest->id().value, slowest->peer(), most_bytes);
+    slowest->close();
     return true;
 }
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -9,15 +9,19 @@
 
 namespace {
 
-constexpr const char *kSecondRole = "a role on top of another",
-                     *kShed = "its place went to another";
+constexpr std::size_t kMaxLoggedLine = 200;  // bytes
 
 std::string printable(std::string_view line) {
-    std::string text(line.substr(0, 200));
-    std::replace_if(text.begin(), text.end(), [](char c) { return c < ' ' || c > '~'; }, '?');
+    std::string text(line.substr(0, kMaxLoggedLine));
+    std::replace_if(
+        text.begin(), text.end(), [](char byte) { return byte < ' ' || byte > '~'; }, '?');
     return text;
 }
 
+tl::unexpected<MessageError> message_error(MessageFault fault, std::string detail = {}) {
+    return tl::unexpected(MessageError{fault, std::move(detail)});
+}
+
 }  // namespace
 
 Connection::Connection(ConnectionContext& context, StreamId id, Socket socket, std::string peer)
@@ -25,293 +29,315 @@
       id_(id),
       socket_(std::move(socket)),
       peer_(std::move(peer)),
-      lines_(context.lines, kUnidentifiedLine),
-      taken_(steady_clock::now()),
-      heard_(taken_) {
-    socket_.set_up(kKernelSend, kKernelReceive);
+      line_reader_(context.line_buffers, kUnidentifiedLine),
+      accepted_at_(steady_clock::now()),
+      last_message_at_(accepted_at_) {
+    socket_.set_up(kSendBuffer, kReceiveBuffer);
 }
 
-// One that was closed meanwhile needs no watching: it ends with its last owner.
 bool Connection::watch() {
     const std::lock_guard lock(mutex_);
-    return closing_ || poller_->watch(socket_, id_.value);
+    return state_ == State::closing || poller_->watch(socket_, id_.value);
 }
 
-void Connection::ended(const std::string& why) {
+void Connection::on_closed(const CloseReason& reason) {
     close();
     poller_->leave(socket_);
-    if (role_ == Role::stream) {
-        context_.inbox.put(core_event::StreamClosed{id_, why});
-    } else if (role_ == Role::collector) {
-        context_.log.info("collector {}: ended, {}", peer_, why);
-    } else {
-        context_.log.info("unidentified peer {}: ended, {}", peer_, why);
+    switch (role()) {
+        case Role::proxy:
+            context_.inbox.put(core_event::StreamClosed{id_, describe(reason)});
+            break;
+        case Role::collector:
+            context_.log.info("connection: collector closed peer={} reason=\"{}\"", peer_,
+                              describe(reason));
+            break;
+        case Role::unidentified:
+            context_.log.info("connection: unidentified peer closed peer={} reason=\"{}\"", peer_,
+                              describe(reason));
+            break;
     }
 }
 
-// What has come is read before its date is looked at.
-std::optional<std::string> Connection::handle(char* into, std::size_t most) {
+// What has come is read before the deadline is looked at.
+std::optional<CloseReason> Connection::on_readable(std::span<char> buffer) {
     {
         const std::lock_guard lock(mutex_);
-        hearing_ = true;
+        reading_ = true;
     }
     reach(context_.sync, SyncPoint::connection_ready);
-    const ssize_t got = socket_.receive_now(into, most);
+    const ssize_t received = socket_.receive_now(buffer.data(), buffer.size());
     reach(context_.sync, SyncPoint::bytes_received);
-    std::optional<std::string> why;
-    if (got == 0) {
-        why = lines_.in_mid_line() ? "its end, in mid-line" : "its end";
-    }
-    if (got == -1) {
-        why = "reset";
-    }
-    if (got > 0) {
-        why = take_bytes({into, static_cast<std::size_t>(got)});
+    std::optional<CloseReason> reason;
+    if (received == Socket::kEndOfStream) {
+        const bool mid_line = line_reader_.in_mid_line();
+        reason =
+            CloseReason{mid_line ? CloseCause::peer_closed_mid_line : CloseCause::peer_closed, {}};
+    } else if (received == Socket::kFailed) {
+        reason = CloseReason{CloseCause::reset, {}};
+    } else if (received > 0) {
+        reason = handle_bytes({buffer.data(), static_cast<std::size_t>(received)});
     }
     {
         const std::lock_guard lock(mutex_);
-        hearing_ = false, in_mid_line_ = lines_.in_mid_line();
+        reading_ = false;
+        mid_line_ = line_reader_.in_mid_line();
     }
-    if (const auto by = due(); !why && by && *by <= steady_clock::now()) {
-        why = overdue();
+    if (reason) {
+        return reason;
     }
-    return why;
+    if (const auto limit = deadline(); limit && *limit <= steady_clock::now()) {
+        return timeout_reason();
+    }
+    return std::nullopt;
 }
 
-std::optional<std::string> Connection::take_bytes(std::string_view bytes) {
-    if (refused_) {
-        refused_->read += bytes.size();
-        return refused_->read > kMostLingered ? std::optional{refused_->why} : std::nullopt;
-    }
-    std::string why;
-    const auto fault =
-        lines_.feed(bytes, [&](std::string_view line) { return (why = take(line)).empty(); });
+std::optional<CloseReason> Connection::handle_bytes(std::string_view bytes) {
+    if (linger_) {
+        linger_->bytes_read += bytes.size();
+        return linger_->bytes_read > kMaxLingerBytes ? std::optional{linger_->reason}
+                                                     : std::nullopt;
+    }
+    MessageResult result;
+    const auto fault = line_reader_.feed(bytes, [&](std::string_view line) {
+        result = handle_line(line);
+        return result.has_value();
+    });
     if (fault == protocol::LineFault::none) {
         return std::nullopt;
     }
-    if (why.empty()) {
-        why = protocol::text_of(fault);
-    }
-    context_.log.warn("{} sent what can't be used: {}", peer_, why);
-    return role_ == Role::unidentified ? refuse(why) : why;
+    const CloseReason reason{CloseCause::invalid_input,
+                             result ? protocol::text_of(fault) : describe(result.error())};
+    context_.log.warn("connection: invalid input peer={} reason=\"{}\"", peer_, describe(reason));
+    return role_ == Role::unidentified ? reject(reason) : reason;
 }
 
-// Guards against the `error` that is owed getting lost: its own half is closed, and the peer's read
-// on for a while.
-std::optional<std::string> Connection::refuse(const std::string& why) {
+// Guards against the `error` that is owed getting lost: the sending half is closed, and the peer is
+// read on for a while. Gives the reason back if `error` cannot be sent.
+std::optional<CloseReason> Connection::reject(CloseReason reason) {
     {
         const std::lock_guard lock(mutex_);
-        if (closing_ || !socket_.send_now(protocol::kError)) {
-            return why;
+        if (state_ == State::closing || !socket_.send_now(protocol::kError)) {
+            return reason;
         }
-        lingering_ = true;
+        state_ = State::lingering;
     }
     socket_.end_sending();
-    refused_ = {why, steady_clock::now()};
+    linger_ = Linger{std::move(reason), steady_clock::now()};
     return std::nullopt;
 }
 
-std::optional<steady_clock::time_point> Connection::due() const {
-    if (refused_) {
-        return refused_->since + kLinger;
+std::optional<Connection::TimePoint> Connection::deadline() const {
+    if (linger_) {
+        return linger_->since + kLingerTimeout;
     }
-    switch (role_) {
+    switch (role()) {
         case Role::unidentified:
-            return taken_ + (lines_.in_mid_line() ? kLineDue : kJoinDue);
+            return accepted_at_ + (line_reader_.in_mid_line() ? kMidLineJoinTimeout : kJoinTimeout);
         case Role::collector:
-            return heard_ + kCollectorPatience;
-        case Role::stream:
+            return last_message_at_ + kCollectorIdleTimeout;
+        case Role::proxy:
             break;
     }
     return std::nullopt;
 }
 
-std::string Connection::overdue() const {
-    if (refused_) {
-        return refused_->why;
+CloseReason Connection::timeout_reason() const {
+    if (linger_) {
+        return linger_->reason;
     }
-    return role_ == Role::unidentified ? "it did not join in time" : "it fell silent";
+    const bool unidentified = role_ == Role::unidentified;
+    return {unidentified ? CloseCause::join_timeout : CloseCause::idle_timeout, {}};
 }
 
-// What a joined peer says amiss costs it that line; an unidentified peer has nothing to lose.
-std::string Connection::take(std::string_view line) {
-    const auto verdict = protocol::parse_message(line, context_.names, context_.bounds);
-    if (const auto* unreadable = std::get_if<protocol::Unparseable>(&verdict)) {
-        return unreadable->why;
-    }
-    std::string why;
-    if (const auto* spoilt = std::get_if<protocol::Malformed>(&verdict)) {
-        why = spoilt->why;
+// An error ends the connection. A malformed message costs an identified peer that line alone; an
+// unidentified one has nothing to lose.
+Connection::MessageResult Connection::handle_line(std::string_view line) {
+    const auto parsed = protocol::parse_message(line, context_.names, context_.bounds);
+    if (const auto* unparseable = std::get_if<protocol::Unparseable>(&parsed)) {
+        return message_error(MessageFault::unparseable, unparseable->why);
+    }
+    MessageResult result;
+    if (const auto* malformed = std::get_if<protocol::Malformed>(&parsed)) {
+        result = message_error(MessageFault::malformed, malformed->why);
     } else {
-        heard_ = steady_clock::now();
-        why = std::visit([&](const auto& said) { return take(said); },
-                         std::get<protocol::Message>(verdict));
+        last_message_at_ = steady_clock::now();
+        result = std::visit([&](const auto& message) { return handle(message); },
+                            std::get<protocol::Message>(parsed));
     }
-    if (why.empty() || role_ == Role::unidentified) {
-        return why;
+    if (result || role_ == Role::unidentified) {
+        return result;
     }
-    context_.log.warn("{}: a line is dropped: {}: {}", peer_, why, printable(line));
+    context_.log.warn("connection: message dropped peer={} reason=\"{}\" line=\"{}\"", peer_,
+                      describe(result.error()), printable(line));
     return {};
 }
 
-// Not once it is to end: an unidentified peer that is shed is not taken any more.
-bool Connection::become(Role role) {
+// False once it is closing: an unidentified peer that was shed must not become a stream.
+bool Connection::identify(Role role) {
     const std::lock_guard lock(mutex_);
-    if (closing_) {
+    if (state_ == State::closing) {
         return false;
     }
     role_ = role;
-    lines_.allow(
-        protocol::LineReader::kLongest);  // at once: a long line may stand right behind its joining
+    // At once: a long line may come right behind the joining message.
+    line_reader_.allow(protocol::LineReader::kLongest);
     return true;
 }
 
-std::string Connection::take(const protocol::LivenessQuery&) {
-    const bool sent = role_ == Role::stream ? post(protocol::kAlive) == Posted::yes
-                                            : socket_.send_now(protocol::kAlive);
-    return sent ? "" : "it does not read";
+Connection::MessageResult Connection::handle(const protocol::LivenessQuery& /*query*/) {
+    const bool sent = role_ == Role::proxy ? send(protocol::kAlive) == SendResult::accepted
+                                           : socket_.send_now(protocol::kAlive);
+    if (!sent) {
+        return message_error(MessageFault::peer_not_reading);
+    }
+    return {};
 }
 
-std::string Connection::take(const protocol::CollectorIdentified& named) {
+Connection::MessageResult Connection::handle(const protocol::CollectorIdentified& collector) {
     if (role_ != Role::unidentified) {
-        return kSecondRole;
+        return message_error(MessageFault::second_role);
     }
-    if (!become(Role::collector)) {
-        return kShed;
+    if (!identify(Role::collector)) {
+        return message_error(MessageFault::shed);
     }
-    context_.log.info("collector {} speaks for {}", peer_, context_.names.zone(named.zone));
+    context_.log.info("connection: collector identified peer={} zone={}", peer_,
+                      context_.names.zone(collector.zone));
     return {};
 }
 
-std::string Connection::take(const event::ProxyJoined& joined) {
+Connection::MessageResult Connection::handle(const event::ProxyJoined& joined) {
     if (role_ != Role::unidentified) {
-        return kSecondRole;
+        return message_error(MessageFault::second_role);
     }
-    if (!become(Role::stream)) {
-        return kShed;
+    if (!identify(Role::proxy)) {
+        return message_error(MessageFault::shed);
     }
     proxy_ = joined.proxy;
     context_.inbox.put(core_event::StreamOpened{id_, joined});
     return {};
 }
 
-std::string Connection::take(const event::Acknowledgement& applied) {
-    if (role_ != Role::stream || applied.proxy != proxy_) {
-        return "an answer that is not this proxy's";
-    }
-    if (!context_.inbox.put_bounded(id_, kMostAnswers,
-                                    core_event::StreamAcknowledged{id_, applied})) {
-        count_dropped();
+Connection::MessageResult Connection::handle(const event::Acknowledgement& acknowledgement) {
+    if (role_ != Role::proxy || acknowledgement.proxy != proxy_) {
+        return message_error(MessageFault::foreign_nonce);
     }
+    put_bounded(kMaxAcknowledgements, core_event::StreamAcknowledged{id_, acknowledgement});
     return {};
 }
 
-std::string Connection::take(const event::EndpointLoadReport& met) {
+Connection::MessageResult Connection::handle(const event::EndpointLoadReport& report) {
     if (role_ != Role::collector) {
-        return "outcomes from what is no collector";
-    }
-    if (!context_.inbox.put_bounded(id_, Inbox::kMostReportsOfOne,
-                                    core_event::ReportReceived{met})) {
-        count_dropped();
+        return message_error(MessageFault::report_not_allowed);
     }
+    put_bounded(Inbox::kMostReportsOfOne, core_event::ReportReceived{report});
     return {};
 }
 
-std::string Connection::take(const event::DemandReport& came) {
-    if (role_ == Role::unidentified || (role_ == Role::stream && came.proxy != proxy_)) {
-        return "usage from what is neither a collector nor that proxy";
-    }
-    const std::size_t most = role_ == Role::stream ? kMostAnswers : Inbox::kMostReportsOfOne;
-    if (!context_.inbox.put_bounded(id_, most, core_event::ReportReceived{came})) {
+Connection::MessageResult Connection::handle(const event::DemandReport& report) {
+    const bool of_collector = role_ == Role::collector;
+    const bool of_that_proxy = role_ == Role::proxy && report.proxy == proxy_;
+    if (!of_collector && !of_that_proxy) {
+        return message_error(MessageFault::demand_not_allowed);
+    }
+    put_bounded(of_that_proxy ? kMaxAcknowledgements : Inbox::kMostReportsOfOne,
+                core_event::ReportReceived{report});
+    return {};
+}
+
+void Connection::put_bounded(std::size_t most, CoreEvent event) {
+    if (!context_.inbox.put_bounded(id_, most, std::move(event))) {
         count_dropped();
     }
-    return {};
 }
 
-// Guards against a peer that floods: what it says past its part costs it that, and the log a line
-// in a while.
+// Guards against a peer that floods: what it sends past its bound is lost, and the log gets one
+// line an interval.
 void Connection::count_dropped() {
-    ++dropped_;
+    ++dropped_messages_;
     const auto now = steady_clock::now();
-    if (now - counted_ < kDroppedSaidEvery) {
+    if (now - drops_logged_at_ < kDropLogInterval) {
         return;
     }
-    context_.log.warn("{}: {} messages dropped: more came at once than one peer may say", peer_,
-                      std::exchange(dropped_, 0));
-    counted_ = now;
+    context_.log.warn("connection: messages dropped peer={} count={} reason=\"over its bound\"",
+                      peer_, std::exchange(dropped_messages_, 0));
+    drops_logged_at_ = now;
 }
 
-Connection::Posted Connection::post(std::string_view message) {
+Connection::SendResult Connection::send(std::string_view message) {
     const std::lock_guard lock(mutex_);
-    if (closing_) {
-        return Posted::yes;  // its end is on the way
+    if (state_ == State::closing) {
+        return SendResult::accepted;
     }
-    if (unread_.size() > kMostUnread) {
-        return Posted::not_read;
+    if (pending_.size() > kMaxPendingBytes) {
+        return SendResult::peer_not_reading;
     }
-    if (!unread_.append(context_.writing, message)) {
-        return Posted::no_buffer;
+    if (!pending_.append(context_.write_buffers, message)) {
+        return SendResult::no_buffer;
     }
-    if (!waits_for_room_) {
-        send_on();
+    if (!watches_writable_) {
+        send_pending();
     }
-    return Posted::yes;
+    return SendResult::accepted;
 }
 
-std::size_t Connection::unread() {
+std::size_t Connection::pending_bytes() {
     const std::lock_guard lock(mutex_);
-    return unread_.size();
+    return pending_.size();
 }
 
-void Connection::flush() {
+void Connection::on_writable() {
     const std::lock_guard lock(mutex_);
-    if (!closing_) {
-        send_on();
+    if (state_ != State::closing) {
+        send_pending();
     }
 }
 
-// As much as the kernel takes at once. What is left waits for room, of which the event loop tells.
-void Connection::send_on() {
-    bool full = false;
-    while (!full && (first_ || !unread_.empty())) {
-        if (!first_) {
-            first_ = unread_.take_front(), sent_ = 0;
+// As much as the kernel takes at once. What is left waits until the socket is writable.
+void Connection::send_pending() {
+    bool kernel_full = false;
+    while (!kernel_full && (partly_sent_ || !pending_.empty())) {
+        if (!partly_sent_) {
+            partly_sent_ = pending_.take_front();
+            partly_sent_bytes_ = 0;
         }
-        const ssize_t sent = socket_.send_some(first_->view().substr(sent_));
+        const ssize_t sent = socket_.send_some(partly_sent_->view().substr(partly_sent_bytes_));
         if (sent < 0) {
-            return socket_.shut_down();  // the event loop hears its end
+            socket_.shut_down();  // the event loop reads its end
+            return;
         }
-        sent_ += static_cast<std::size_t>(sent);
-        full = sent_ < first_->size;
-        if (!full) {
-            first_.reset();
+        partly_sent_bytes_ += static_cast<std::size_t>(sent);
+        kernel_full = partly_sent_bytes_ < partly_sent_->size;
+        if (!kernel_full) {
+            partly_sent_.reset();
         }
     }
-    if (poller_ != nullptr && full != waits_for_room_) {
-        poller_->watch_room(socket_, id_.value, full);
+    if (poller_ != nullptr && kernel_full != watches_writable_) {
+        poller_->watch_writable(socket_, id_.value, kernel_full);
     }
-    waits_for_room_ = full;
+    watches_writable_ = kernel_full;
 }
 
 void Connection::close() {
     const std::lock_guard lock(mutex_);
-    closing_ = true;
-    unread_.clear(), first_.reset();  // at once: others may need the room
+    state_ = State::closing;
+    // At once: others may need the buffers.
+    pending_.clear();
+    partly_sent_.reset();
     socket_.shut_down();
 }
 
-bool Connection::close_if_idle(bool in_mid_line) {
+bool Connection::close_if_idle(bool even_mid_line) {
     const std::lock_guard lock(mutex_);
-    if (role_ != Role::unidentified || closing_ || hearing_) {
+    if (role_ != Role::unidentified || state_ == State::closing || reading_) {
         return false;
     }
-    if (!lingering_ && socket_.has_bytes()) {
+    if (state_ != State::lingering && socket_.has_bytes()) {
         return false;
     }
-    if (in_mid_line_ && !in_mid_line) {
+    if (mid_line_ && !even_mid_line) {
         return false;
     }
-    closing_ = true;
+    state_ = State::closing;
     socket_.shut_down();
     return true;
 }
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -1,5 +1,5 @@
-// One connection that was taken: what it says becomes arrivals, and what it is told goes out as it
-// reads. It never waits: an EventLoop calls when there is something to hear or room to write.
+/// One accepted connection: parses what its peer sends into core events, and sends it what the core
+/// orders, as fast as it reads.
 #pragma once
 
 #include <atomic>
@@ -7,10 +7,13 @@
 #include <memory>
 #include <mutex>
 #include <optional>
+#include <span>
 #include <string>
 #include <string_view>
+#include <tl/expected.hpp>
 
 #include "log/log.hpp"
+#include "net/close_reason.hpp"
 #include "net/poller.hpp"
 #include "net/socket.hpp"
 #include "planner/inbox.hpp"
@@ -20,85 +23,136 @@
 
 namespace micaroad::net {
 
-enum class Role { unidentified, collector, stream };
+/// What a peer has identified itself as. It changes once at most, and outlives the end.
+enum class Role { unidentified, collector, proxy };
 
-// What every connection shares.
+/// What all connections share. Everything it refers to outlives them.
 struct ConnectionContext {
     const SymbolTable& names;
     const protocol::Bounds& bounds;
-    // Three, so that neither lines without end nor unread orders keep others from being heard.
-    protocol::BufferPool& reading;  // one for each thread that reads
-    protocol::BufferPool& lines;    // what is held of unfinished ones
-    protocol::BufferPool& writing;
+    // Three pools, so that neither endless lines nor unsent updates keep others from being read.
+    protocol::BufferPool& read_buffers;   ///< one for each thread that reads
+    protocol::BufferPool& line_buffers;   ///< parts of unfinished lines
+    protocol::BufferPool& write_buffers;  ///< what waits to be sent
     Inbox& inbox;
     Log& log;
     SyncPoints* sync = nullptr;
 };
 
+/// One accepted connection. Owns its socket and the buffers of its unfinished line and its unsent
+/// bytes. Nothing here waits: the EventLoop calls when there is something to read or to send.
+///
+/// Threads: on_readable(), on_writable(), on_closed() and deadline() are called by the event loop's
+/// thread only. send(), pending_bytes(), close(), close_if_idle() and role() may be called by any.
+///
+/// Bounds: a line of kUnidentifiedLine or LineReader::kLongest bytes, kMaxPendingBytes of unsent
+/// bytes (and one message more), kMaxAcknowledgements messages of a proxy that the core has not
+/// taken, and as many reports of a collector as Inbox allows.
+///
+/// States, from left to right; what ends it stands on the arrows to `closing`:
+///
+///                  .-- ProxyJoined ---------> proxy ------ peer ends, invalid input, close() --.
+///                  |                                                                           v
+///     unidentified +-- CollectorIdentified -> collector -- the same, idle timeout --------->
+///     closing
+///                  |                                                                           ^
+///                  +-- invalid input -------> lingering -- the same, linger timeout or bytes --+
+///                  '-- peer ends, join timeout, close(), close_if_idle() ----------------------'
+///
+/// The first two columns but `lingering` are the Role, which stays known when the connection ends;
+/// `lingering` and `closing` are the State.
 class Connection {
  public:
-    // Counted from when it was taken. Who has not joined by then may be ended, as the platform owes
-    // a second; who is in the middle of a line may be a slow connection, and gets what the platform
-    // owes at most, three seconds, less half of one for our turn. What lies in the socket by then
-    // is heard first: that nobody had time to hear it is no fault of its peer's.
-    static constexpr std::chrono::milliseconds kJoinDue{1'500}, kLineDue{2'500};
-    // Who has got `error` is read on for so long, or so far, before its connection is closed: a
-    // close over bytes that nobody has read resets it, and the reset overtakes the `error`.
-    static constexpr std::chrono::milliseconds kLinger{500};
-    static constexpr std::size_t kMostLingered = 64 * 1024;
-    // A collector reports twice a second and dials again at no cost. A stream is never ended for
-    // its silence: its proxy would lose it by our doing.
-    static constexpr std::chrono::seconds kCollectorPatience{60};
-    // Between two turns of the core, of one stream: as many answers as it can have open marks, and
-    // as much usage. What it says beyond is a flood.
-    static constexpr std::size_t kMostAnswers = 256;
-    static constexpr std::chrono::seconds kDroppedSaidEvery{10};
-    static constexpr std::size_t kUnidentifiedLine = 1024;  // ten times a joining
-    // Orders on top of as many unread bytes: the proxy has stopped reading.
-    static constexpr std::size_t kMostUnread = 128 * 1024;
-    static constexpr int kKernelSend = 16 * 1024,
-                         kKernelReceive = 8 * 1024;  // the kernel takes twice as much
+    using TimePoint = std::chrono::steady_clock::time_point;
+
+    /// Join timeouts, from the time it was accepted. A peer that has not identified itself by then
+    /// may be closed, as the platform owes it one second; in the middle of a line it may be on a
+    /// slow link and gets what the platform owes at most, three seconds, less half of one for our
+    /// own delay. What lies in the socket by then is read first: that this process was late is no
+    /// fault of the peer's.
+    static constexpr std::chrono::milliseconds kJoinTimeout{1'500};
+    static constexpr std::chrono::milliseconds kMidLineJoinTimeout{2'500};
+    /// After `error` was sent, input is read and dropped for so long, or so many bytes, before the
+    /// close: closing a socket with unread bytes resets it, and the reset overtakes the `error`.
+    static constexpr std::chrono::milliseconds kLingerTimeout{500};
+    static constexpr std::size_t kMaxLingerBytes = 64 * 1024;
+    /// A collector reports twice a second and reconnects at no cost. A proxy has no idle timeout:
+    /// it would lose its stream by our doing.
+    static constexpr std::chrono::seconds kCollectorIdleTimeout{60};
+    /// Of one proxy between two turns of the core: as many acknowledgements as it can have
+    /// unanswered nonces, and as many demand reports. More is a flood, and dropped.
+    static constexpr std::size_t kMaxAcknowledgements = 256;
+    static constexpr std::chrono::seconds kDropLogInterval{10};
+    static constexpr std::size_t kUnidentifiedLine = 1024;  ///< ten times a joining message
+    /// With more unsent bytes than this a message is not taken: the proxy has stopped reading.
+    static constexpr std::size_t kMaxPendingBytes = 128 * 1024;
+    /// Kernel buffers that are asked for, in bytes; the kernel takes twice as much.
+    static constexpr int kSendBuffer = 16 * 1024;
+    static constexpr int kReceiveBuffer = 8 * 1024;
 
     Connection(ConnectionContext& context, StreamId id, Socket socket, std::string peer);
 
-    void watched_by(const Poller& poller) { poller_ = &poller; }  // before anyone else knows of it
-    bool watch();                                                 // false: the poller has no room
-
-    // For the event loop's thread.
-    std::optional<std::string> handle(char* into,
-                                      std::size_t most);  // what has come; why it ends now
-    void ended(const std::string& why);
-    std::optional<std::chrono::steady_clock::time_point> due()
-        const;     // by when it has to do something
-    void flush();  // what its peer has room for
-
-    enum class Posted { yes, not_read, no_buffer };
-    Posted post(std::string_view message);  // any thread, never waits
-    std::size_t unread();
-    void close();  // any thread
-    // Only an unidentified peer of whom nothing waits to be read; one that has begun a line only if
-    // said so. Any thread.
-    bool close_if_idle(bool in_mid_line);
-    Role role() const { return role_; }
-    StreamId id() const { return id_; }
+    /// The poller that tells of its socket. To be called before any other thread has it.
+    void attach(const Poller& poller) { poller_ = &poller; }
+    /// Has the poller watch the socket. False if the kernel has no room for it; true also if it was
+    /// closed meanwhile, as it then ends with its last owner.
+    [[nodiscard]] bool watch();
+
+    /// Reads once, into `buffer`, and handles what came; then looks at the deadline. Gives the
+    /// reason if the connection is to end now.
+    [[nodiscard]] std::optional<CloseReason> on_readable(std::span<char> buffer);
+    /// Sends what the kernel has room for.
+    void on_writable();
+    /// Closes it and notifies the core, or the log, of its end.
+    void on_closed(const CloseReason& reason);
+    /// When it has to be looked at although nothing came; absent: never.
+    [[nodiscard]] std::optional<TimePoint> deadline() const;
+
+    enum class SendResult {
+        accepted,          ///< sent or queued, or dropped as the connection is closing
+        peer_not_reading,  ///< over kMaxPendingBytes
+        no_buffer,         ///< the write pool is empty
+    };
+    [[nodiscard]] SendResult send(std::string_view message);
+    /// Bytes that wait to be sent.
+    [[nodiscard]] std::size_t pending_bytes();
+    /// Ends it: drops what waits to be sent, and lets the event loop read the end.
+    void close();
+    /// Closes it if it is an unidentified peer of whom nothing waits to be read; one that has begun
+    /// a line only if `even_mid_line`. False if it was left as it is.
+    [[nodiscard]] bool close_if_idle(bool even_mid_line);
+
+    [[nodiscard]] Role role() const { return role_; }
+    [[nodiscard]] StreamId id() const { return id_; }
+    [[nodiscard]] const std::string& peer() const { return peer_; }
 
  private:
-    bool become(Role role);
-    std::optional<std::string> take_bytes(std::string_view bytes);  // why that ends it, if it does
-    std::optional<std::string> refuse(
-        const std::string& why);  // with `error`; why it ends if it hears none
-    std::string overdue() const;  // why it ends when its time is over
-    // Why it ends the connection; empty: it doesn't.
-    std::string take(std::string_view line);
-    // Why it can't be used; empty: it was taken.
-    std::string take(const protocol::LivenessQuery&);
-    std::string take(const protocol::CollectorIdentified& named);
-    std::string take(const event::ProxyJoined& joined);
-    std::string take(const event::Acknowledgement& applied);
-    std::string take(const event::EndpointLoadReport& met);
-    std::string take(const event::DemandReport& came);
+    using MessageResult = tl::expected<void, MessageError>;
+
+    /// `lingering`: `error` was sent and input counts no more. `closing`: the socket is shut down.
+    enum class State { open, lingering, closing };
+
+    /// Since when and how much a lingering connection has been read.
+    struct Linger {
+        CloseReason reason;
+        TimePoint since;
+        std::size_t bytes_read = 0;
+    };
+
+    [[nodiscard]] bool identify(Role role);
+    [[nodiscard]] std::optional<CloseReason> handle_bytes(std::string_view bytes);
+    [[nodiscard]] std::optional<CloseReason> reject(CloseReason reason);
+    [[nodiscard]] CloseReason timeout_reason() const;
+    [[nodiscard]] MessageResult handle_line(std::string_view line);
+    [[nodiscard]] MessageResult handle(const protocol::LivenessQuery& query);
+    [[nodiscard]] MessageResult handle(const protocol::CollectorIdentified& collector);
+    [[nodiscard]] MessageResult handle(const event::ProxyJoined& joined);
+    [[nodiscard]] MessageResult handle(const event::Acknowledgement& acknowledgement);
+    [[nodiscard]] MessageResult handle(const event::EndpointLoadReport& report);
+    [[nodiscard]] MessageResult handle(const event::DemandReport& report);
+    void put_bounded(std::size_t most, CoreEvent event);
     void count_dropped();
-    void send_on();  // under the mutex
+    void send_pending();  // under the mutex
 
     ConnectionContext& context_;
     const Poller* poller_ = nullptr;
@@ -106,27 +160,25 @@
     const Socket socket_;
     const std::string peer_;
     std::atomic<Role> role_{Role::unidentified};
-    ProxyId proxy_{-1};  // this and what follows: the event loop's
-    protocol::LineReader lines_;
-    const std::chrono::steady_clock::time_point taken_;
-    std::chrono::steady_clock::time_point heard_, counted_{};
-    std::size_t dropped_ = 0;  // of its messages, as it floods, since counted_
-    struct Refused {
-        std::string why;
-        std::chrono::steady_clock::time_point since;
-        std::size_t read = 0;
-    };
-    std::optional<Refused> refused_;  // it got `error`: what it still says is read and dropped
 
+    // The event loop's thread alone uses these.
+    ProxyId proxy_{-1};
+    protocol::LineReader line_reader_;
+    const TimePoint accepted_at_;
+    TimePoint last_message_at_;
+    TimePoint drops_logged_at_;
+    std::size_t dropped_messages_ = 0;  // since drops_logged_at_
+    std::optional<Linger> linger_;      // set exactly while it lingers, and kept when it closes
+
+    // Guards what follows, and the change of role_: no peer is identified once it is closing.
     std::mutex mutex_;
-    protocol::BufferChain unread_;
-    std::optional<protocol::BufferChain::Piece>
-        first_;             // of what is unread, where a part of it went out
-    std::size_t sent_ = 0;  // of that
-    bool closing_ = false, waits_for_room_ = false;
-    // Bytes are out of the kernel and not taken; some wait for more; it got `error`, what it says
-    // counts no more.
-    bool hearing_ = false, in_mid_line_ = false, lingering_ = false;
+    State state_ = State::open;
+    protocol::BufferChain pending_;                            // not given to the kernel yet
+    std::optional<protocol::BufferChain::Piece> partly_sent_;  // stands before pending_
+    std::size_t partly_sent_bytes_ = 0;                        // of partly_sent_, already sent
+    bool watches_writable_ = false;
+    bool reading_ = false;   // bytes may be out of the kernel and not handled yet
+    bool mid_line_ = false;  // as line_reader_ was after the last read
 };
 
 }  // namespace micaroad::net
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -1,3 +1,4 @@
+// Sources and what is asked of them. One connection is in discovery_connection.cpp.
 #include "net/discovery_watch.hpp"
 
 #include <fmt/format.h>
@@ -5,25 +6,29 @@
 #include <algorithm>
 #include <utility>
 
-#include "protocol/http.hpp"
-
 namespace micaroad::net {
 
 using std::chrono::steady_clock;
 
+namespace {
+
+constexpr const char* kFetchTarget = "/catalog/members";
+
+}  // namespace
+
 DiscoveryWatch::DiscoveryWatch(std::string host, Address address, SymbolTable names,
                                std::int64_t version, std::size_t list_bytes,
                                protocol::BufferPool& pool, Inbox& inbox, Log& log,
-                               Patience patience, SyncPoints* sync)
-    : patience_(patience),
+                               WatchTimeouts timeouts, SyncPoints* sync)
+    : timeouts_(timeouts),
       list_bytes_(list_bytes),
       pool_(pool),
       inbox_(inbox),
       log_(log),
+      sync_(sync),
       names_(std::move(names)),
       newest_{std::move(host), address, 0},
-      version_(version),
-      sync_(sync) {}
+      version_(version) {}
 
 DiscoveryWatch::~DiscoveryWatch() {
     stop();
@@ -31,14 +36,15 @@
 
 bool DiscoveryWatch::start() {
     const std::lock_guard lock(mutex_);
-    running_ = threads_.start([this, source = newest_] { watch_on(source); }) ? 1 : 0;
-    return running_ > 0;
+    const bool started = threads_.start([this, source = newest_] { run(source); });
+    running_sources_ = started ? 1 : 0;
+    return started;
 }
 
 void DiscoveryWatch::begin_stop() {
     const std::lock_guard lock(mutex_);
     stopping_ = true;
-    leave_old();
+    interrupt_superseded();
 }
 
 void DiscoveryWatch::stop() {
@@ -48,11 +54,13 @@
 
 void DiscoveryWatch::fetch() {
     const std::lock_guard lock(mutex_);
-    if (std::exchange(fetch_, true)) {
-        return;  // it is on its way
+    if (fetch_wanted_) {
+        return;
     }
-    if (const auto live = live_.find(spoken_); live != live_.end()) {
-        live->second->shut_down();
+    fetch_wanted_ = true;
+    const auto current = sockets_.find(current_generation_);
+    if (current != sockets_.end()) {
+        current->second->shut_down();
     }
 }
 
@@ -61,247 +69,176 @@
     if (stopping_ || host == newest_.host) {
         return;
     }
-    newest_ = {std::move(host), address, newest_.turn + 1};
-    leave_old();
-    if (running_ == kMostSources) {
+    newest_ = {std::move(host), address, newest_.generation + 1};
+    interrupt_superseded();
+    if (running_sources_ == kMaxSources) {
         return;  // the first that ends takes it up
     }
-    if (threads_.start([this, source = newest_] { watch_on(source); })) {
-        ++running_, begun_ = newest_.turn;
+    const bool started = threads_.start([this, source = newest_] { run(source); });
+    started_generation_ = newest_.generation;
+    if (started) {
+        ++running_sources_;
         return;
     }
-    log_.error("discovery: no thread for {}: the old address stays", newest_.host);
-    begun_ = newest_.turn, newest_.host.clear();  // so that it can be told again
+    log_.error("discovery: address not followed server={} reason=\"no thread\"", newest_.host);
+    newest_.host.clear();  // so that it can be given again
 }
 
-bool DiscoveryWatch::over(int turn) const {
-    return stopping_ || turn < spoken_ || (turn != spoken_ && turn != newest_.turn);
+// Stopping, superseded, or never heard from and no longer the one given last.
+bool DiscoveryWatch::must_stop(int generation) const {
+    const bool current = generation == current_generation_;
+    return stopping_ || generation < current_generation_ ||
+           (!current && generation != newest_.generation);
 }
 
-void DiscoveryWatch::leave_old() {
-    for (const auto& [turn, socket] : live_) {
-        if (over(turn)) {
+// Only the current source fetches: another one sends the complete list at first anyway.
+bool DiscoveryWatch::wants_fetch(int generation) const {
+    return fetch_wanted_ && generation == current_generation_;
+}
+
+bool DiscoveryWatch::is_interrupted(const Source& source, RequestKind under_way) {
+    const std::lock_guard lock(mutex_);
+    if (must_stop(source.generation)) {
+        return true;
+    }
+    return under_way == RequestKind::watch && wants_fetch(source.generation);
+}
+
+void DiscoveryWatch::interrupt_superseded() {
+    for (const auto& [generation, socket] : sockets_) {
+        if (must_stop(generation)) {
             socket->shut_down();
         }
     }
-    wake_.notify_all();
+    interrupted_.notify_all();
 }
 
-bool DiscoveryWatch::pause(int turn, std::chrono::milliseconds time) {
+// Ends early if the source must stop.
+void DiscoveryWatch::pause(int generation, std::chrono::milliseconds time) {
     std::unique_lock lock(mutex_);
-    return !wake_.wait_for(lock, time, [this, turn] { return over(turn); });
+    (void)interrupted_.wait_for(lock, time, [this, generation] { return must_stop(generation); });
 }
 
-bool DiscoveryWatch::interrupted(const Source& source, bool whole) {
-    const std::lock_guard lock(mutex_);
-    return over(source.turn) || (!whole && source.turn == spoken_ && fetch_);
-}
-
-bool DiscoveryWatch::speaks(const Source& source) {
-    if (over(source.turn)) {
+// Of a source that has sent a line. False if it counts no more.
+bool DiscoveryWatch::make_current(const Source& source) {
+    if (must_stop(source.generation)) {
         return false;
     }
-    if (std::exchange(spoken_, source.turn) == source.turn) {
+    if (current_generation_ == source.generation) {
         return true;
     }
-    log_.info("discovery: {} has spoken, what was followed before is left", source.host);
-    leave_old();
+    current_generation_ = source.generation;
+    log_.info("discovery: source changed server={}", source.host);
+    interrupt_superseded();
     return true;
 }
 
-std::optional<DiscoveryWatch::Asked> DiscoveryWatch::next_question(Source& source, int failed) {
+// Absent: this thread has nothing left to do. A thread whose source must stop goes on with the
+// newest one, if no other has it.
+std::optional<DiscoveryWatch::Request> DiscoveryWatch::next_request(Source& source,
+                                                                    int failed_fetches) {
     const std::lock_guard lock(mutex_);
-    if (over(source.turn)) {
-        // Guards against an address that was told while every thread still had one: none would take
-        // it up.
-        if (stopping_ || begun_ == newest_.turn) {
-            return --running_, std::nullopt;
+    if (must_stop(source.generation)) {
+        // Guards against an address that was given while every thread still had one: none would
+        // take it up.
+        if (stopping_ || started_generation_ == newest_.generation) {
+            --running_sources_;
+            return std::nullopt;
         }
-        source = newest_, begun_ = newest_.turn;
+        source = newest_;
+        started_generation_ = newest_.generation;
     }
-    if (source.turn == spoken_ && fetch_ && failed >= kFetchTries) {
-        fetch_ = false, version_ = 0;
+    if (wants_fetch(source.generation) && failed_fetches >= kMaxFetches) {
+        fetch_wanted_ = false;
+        version_ = 0;
     }
-    if (source.turn == spoken_ && fetch_) {
-        return Asked{"/catalog/members", true};
+    if (wants_fetch(source.generation)) {
+        return Request{RequestKind::fetch, kFetchTarget};
     }
-    return Asked{fmt::format("/catalog/members?stream=1&index={}", version_)};
+    return Request{RequestKind::watch, fmt::format("{}?stream=1&index={}", kFetchTarget, version_)};
 }
 
-// Only the list that holds can be lost: one that was told and has never spoken takes nothing away.
-void DiscoveryWatch::lost(const Source& source, const std::string& why) {
+// Only the list of the current source can be lost: one that was given and has sent nothing takes
+// nothing away.
+void DiscoveryWatch::report_loss(const Source& source, const WatchEnd& end) {
     const std::lock_guard lock(mutex_);
-    const bool holds = source.turn == spoken_;
-    log_.warn("discovery: {}: {}; the {} stands", source.host, why, holds ? "list" : "old address");
-    if (holds) {
+    const bool current = source.generation == current_generation_;
+    log_.warn("discovery: watch lost server={} reason=\"{}\" kept={}", source.host, describe(end),
+              current ? "list" : "old_source");
+    if (current) {
         inbox_.put(core_event::WatchLost{});
     }
 }
 
-void DiscoveryWatch::watch_on(Source source) {
-    auto wait = patience_.first_wait;
+void DiscoveryWatch::run(Source source) {
+    RetryState retry = fresh_retry_state();
     auto next_fetch = steady_clock::now();
-    int failed = 0, turn = source.turn;  // fetches in a row
-    for (bool said = false; const auto asked = next_question(source, failed);) {
-        if (std::exchange(turn, source.turn) != source.turn) {
-            wait = patience_.first_wait, said = false, failed = 0;
+    int generation = source.generation;
+    while (const auto request = next_request(source, retry.failed_fetches)) {
+        if (source.generation != generation) {
+            generation = source.generation;
+            retry = fresh_retry_state();
         }
-        if (asked->whole) {
+        if (request->kind == RequestKind::fetch) {
             const auto early = next_fetch - steady_clock::now();
             if (early > early.zero()) {
-                pause(source.turn, std::chrono::ceil<std::chrono::milliseconds>(early));
+                pause(source.generation, std::chrono::ceil<std::chrono::milliseconds>(early));
             }
-            next_fetch = steady_clock::now() + patience_.between_fetches;
+            next_fetch = steady_clock::now() + timeouts_.fetch_interval;
         }
-        const Ended ended = listen_to(source, *asked);
+        const WatchEnd end = connect_and_read(source, *request);
         reach(sync_, SyncPoint::watch_answered);
-        const bool wanted = interrupted(source, false);  // the list, or the end
-        failed = asked->whole && wanted ? failed + 1 : 0;
-        // What is too long is said once, not after each empty line that came before it.
-        if (ended.heard && !ended.too_long) {
-            wait = patience_.first_wait, said = false;
-        }
-        if (asked->whole ? !wanted || interrupted(source, true) : wanted) {
-            continue;
-        }
-        if (!std::exchange(said, true)) {
-            lost(source, ended.why);
-        }
-        pause(source.turn, ended.too_long ? patience_.after_too_long : wait);
-        wait = std::min(wait * 2, patience_.longest_wait);
+        after_connection(source, request->kind, end, retry);
     }
 }
 
-DiscoveryWatch::Ended DiscoveryWatch::listen_to(const Source& source, const Asked& asked) {
-    Socket socket = Socket::unconnected(source.address);
-    if (!socket.open()) {
-        return {"no socket"};
-    }
-    struct Live {
-        DiscoveryWatch& watch;
-        const int turn;
-        Live(DiscoveryWatch& watch, int turn, const Socket& socket) : watch(watch), turn(turn) {
-            const std::lock_guard lock(watch.mutex_);
-            watch.live_[turn] = &socket;
-        }
-        ~Live() {
-            const std::lock_guard lock(watch.mutex_);
-            watch.live_.erase(turn);
-        }
-    } live{*this, source.turn, socket};
-    if (interrupted(source, asked.whole)) {
-        return {"stopped"};
+// Logs a loss once and pauses, unless the connection ended as it should: the list has come that was
+// fetched, or something else is to be done now.
+void DiscoveryWatch::after_connection(const Source& source, RequestKind kind, const WatchEnd& end,
+                                      RetryState& retry) {
+    const bool fetching = kind == RequestKind::fetch;
+    const bool too_long = end.cause == WatchEndCause::list_too_long;
+    const bool interrupted = is_interrupted(source, RequestKind::watch);
+    retry.failed_fetches = fetching && interrupted ? retry.failed_fetches + 1 : 0;
+    // A list that is too long is logged once, not after each empty line that came before it.
+    if (end.phase == WatchPhase::following && !too_long) {
+        retry.backoff = timeouts_.initial_backoff;
+        retry.loss_logged = false;
     }
-    reach(sync_, SyncPoint::watch_registered);
-    if (!socket.connect(source.address, patience_.connect)) {
-        return {"no connection"};
-    }
-    reach(sync_, SyncPoint::watch_connected);
-    // A socket that is shut down before it is connected may not hear of it: what was told in
-    // between is looked up.
-    if (interrupted(source, asked.whole)) {
-        return {"stopped"};
+    const bool fetched = fetching && !interrupted;
+    if (fetched) {
+        return;
     }
-    socket.wait_at_most(patience_.silence);
-    if (!socket.send_all(protocol::http_get(source.host, asked.target))) {
-        return {"reset"};
+    if (fetching ? is_interrupted(source, RequestKind::fetch) : interrupted) {
+        return;
     }
-    reach(sync_, SyncPoint::watch_asked);
-
-    return read_lists(source, asked, socket);
-}
-
-DiscoveryWatch::Ended DiscoveryWatch::read_lists(const Source& source, const Asked& asked,
-                                                 const Socket& socket) {
-    using protocol::EndpointListError;
-    protocol::HttpReader http;
-    const auto framing =
-        asked.whole ? protocol::EndpointListFraming::document : protocol::EndpointListFraming::line;
-    protocol::EndpointListParser lists(names_, framing, list_bytes_);
-    const protocol::BufferPool::Lease buffer = pool_.take();
-    if (!buffer) {
-        return {"no buffer left"};
+    if (!retry.loss_logged) {
+        retry.loss_logged = true;
+        report_loss(source, end);
     }
-    auto last_line = steady_clock::now();
-    bool heard = false, wanted = true, line = false;
-    // Under the mutex, so no clock is read here.
-    const auto take_one = [&](std::optional<protocol::EndpointListMessage> said) {
-        line = true;
-        wanted = wanted && take(source, std::move(said));
-        heard |= wanted;
-    };
-    for (;;) {
-        const ssize_t got = socket.receive(buffer->data(), buffer->size());
-        if (got == -2) {
-            return {"silence", heard};
-        }
-        if (got < 0) {
-            return {"reset", heard};
-        }
-        if (got == 0 && !http.end()) {
-            return {"its end", heard};
-        }
-        EndpointListError fault = EndpointListError::none;
-        const auto feed = [&](std::string_view body) {
-            if (http.status() != 200 || fault != EndpointListError::none) {
-                return;
-            }
-            // The names are shared. And held for the inbox too: a left source says nothing behind a
-            // later one.
-            const std::lock_guard lock(mutex_);
-            fault = lists.feed(body, take_one);
-        };
-        const bool sound = http.feed({buffer->data(), static_cast<std::size_t>(got)}, feed);
-        if (http.in_body() && http.status() != 200) {
-            return {fmt::format("status {}", http.status()), heard};
-        }
-        if (!sound) {
-            return {"an answer that can't be read", heard};
-        }
-        if (http.done() && fault == EndpointListError::none) {
-            const std::lock_guard lock(mutex_);
-            fault = lists.finish(take_one);
-        }
-        if (fault == EndpointListError::too_long) {
-            return {fmt::format("a list over {} bytes, which the memory limit allows", list_bytes_),
-                    heard, true};
-        }
-        if (fault == EndpointListError::malformed || !wanted) {
-            return {"a list that can't be read", heard};
-        }
-        if (http.done()) {
-            return {"the answer's end", heard};
-        }
-        const auto now = steady_clock::now();
-        if (std::exchange(line, false)) {
-            last_line = now;
-        }
-        if (now - last_line > time_for(lists.size())) {
-            return {"no whole line in time", heard};
-        }
-    }
-}
-
-std::chrono::milliseconds DiscoveryWatch::time_for(std::size_t list_size) const {
-    return patience_.whole_line +
-           std::chrono::milliseconds{1'000 * list_size / Patience::kSlowestList};
+    pause(source.generation, too_long ? timeouts_.oversized_list_backoff : retry.backoff);
+    retry.backoff = std::min(retry.backoff * 2, timeouts_.max_backoff);
 }
 
-bool DiscoveryWatch::take(const Source& source, std::optional<protocol::EndpointListMessage> said) {
-    if (!speaks(source)) {
+// What one line has brought; without a list it was empty, a sign of life as good as any. False if
+// the source counts no more.
+bool DiscoveryWatch::accept(const Source& source,
+                            std::optional<protocol::EndpointListMessage> message) {
+    if (!make_current(source)) {
         return false;
     }
-    if (!said) {
+    if (!message) {
         return true;
     }
-    const bool whole = said->list.form == event::EndpointListUpdate::Form::complete;
-    if (whole) {
-        fetch_ = false;  // not before it has come: an answer that breaks off is asked for again
+    const bool complete = message->list.form == event::EndpointListUpdate::Form::complete;
+    if (complete) {
+        // Not before it has come: a response that breaks off is asked for again.
+        fetch_wanted_ = false;
     }
-    if (whole || said->version > version_) {
-        version_ = said->version;
+    if (complete || message->version > version_) {
+        version_ = message->version;
     }
-    inbox_.put(core_event::EndpointListReceived{std::move(*said)});
+    inbox_.put(core_event::EndpointListReceived{std::move(*message)});
     return true;
 }
 
--- a/src/net/discovery_watch.hpp
+++ b/src/net/discovery_watch.hpp
@@ -1,19 +1,20 @@
-// Follows discovery's list on one connection, and opens it anew whenever it breaks or falls silent.
-// Told another address it dials that at once, and holds on to the old one until the new one has
-// spoken.
+/// The watch on discovery's endpoint list.
 #pragma once
 
 #include <chrono>
 #include <condition_variable>
 #include <cstddef>
+#include <cstdint>
 #include <map>
 #include <mutex>
 #include <optional>
 #include <string>
+#include <string_view>
 
 #include "log/log.hpp"
 #include "net/socket.hpp"
 #include "net/thread_group.hpp"
+#include "net/watch_end.hpp"
 #include "planner/inbox.hpp"
 #include "planner/sync_points.hpp"
 #include "protocol/buffer_pool.hpp"
@@ -21,96 +22,150 @@
 
 namespace micaroad::net {
 
-struct WatchPatience {
-    // Something comes every 2 s. A list may take longer to come whole than its first byte:
-    // `whole_line`, and a second more for each kSlowestList bytes of it.
-    std::chrono::milliseconds silence{2'600}, whole_line{5'000}, connect{400};
-    std::chrono::milliseconds first_wait{100}, longest_wait{500};
-    // After a list over the bound, which is likely to come again as long; below the 6 s in which
-    // news is due.
-    std::chrono::milliseconds after_too_long{5'000};
-    // Between two fetches of the whole list: a discovery whose versions never fit is asked no
-    // faster.
-    std::chrono::milliseconds between_fetches{500};
-    static constexpr std::size_t kSlowestList = 512 * 1024;  // bytes a second
+/// Times that a DiscoveryWatch goes by.
+struct WatchTimeouts {
+    /// Without a byte: discovery sends something every 2 s.
+    std::chrono::milliseconds idle{2'600};
+    /// Between two lines, and a second more for each kMinListRate bytes of a list: it may take
+    /// longer to come in full than its first byte.
+    std::chrono::milliseconds line{5'000};
+    std::chrono::milliseconds connect{400};
+    /// Between two connections; the pause doubles from the first to the second.
+    std::chrono::milliseconds initial_backoff{100};
+    std::chrono::milliseconds max_backoff{500};
+    /// After a list over the bound, which is likely to come again as long; below the 6 s in which a
+    /// change is due.
+    std::chrono::milliseconds oversized_list_backoff{5'000};
+    /// Between two fetches of the complete list, so that a discovery whose versions never fit is
+    /// asked no faster.
+    std::chrono::milliseconds fetch_interval{500};
+    static constexpr std::size_t kMinListRate = 512 * 1024;  ///< bytes a second
 };
 
+/// Follows discovery's endpoint list on one connection, reconnects with a growing pause whenever it
+/// breaks or falls silent, and puts what comes into the inbox. Fetches the complete list on demand.
+/// Given another address it connects to that at once, and keeps the old connection until the new
+/// one has sent its first line: the new source then supersedes the old one.
+///
+/// Threads: start() once; fetch(), follow(), begin_stop() and stop() by any. Each source has a
+/// thread of its own that the watch owns, as it owns the sockets.
+///
+/// Bounds: kMaxSources sources at a time, lists of `list_bytes` as protocol::EndpointListParser
+/// counts them, one read buffer a source. A list that is over the bound or malformed changes
+/// nothing: the one that is held is kept.
+///
+/// It ends with stop(): sockets are shut down, pauses are broken off, threads are waited for.
+///
+/// A source's thread goes through these phases (the Phase of a connection and the pauses around
+/// it):
+///
+///          .------------------------------- backoff <-----------------------------------.
+///          v                                                                            |
+///     connecting --connected, request sent--> requested --first line--> following ------+
+///          |                                      |                         |      end, fault,
+///          '----------------- fault, timeout -----+-------------------------'      timeout
+///
+/// From any of them it goes to the end once it is superseded or the watch stops, and from
+/// `following` at once to `connecting` when the complete list is wanted.
 class DiscoveryWatch {
  public:
-    using Patience = WatchPatience;
-    // A list over `list_bytes`, as protocol::EndpointListParser counts them, is refused, and what
-    // is held stands.
+    /// `version` is that of the list that is held already. `pool` and `inbox` outlive the watch.
     DiscoveryWatch(std::string host, Address address, SymbolTable names, std::int64_t version,
                    std::size_t list_bytes, protocol::BufferPool& pool, Inbox& inbox, Log& log,
-                   Patience patience = {}, SyncPoints* sync = nullptr);
+                   WatchTimeouts timeouts = {}, SyncPoints* sync = nullptr);
     ~DiscoveryWatch();
+    DiscoveryWatch(const DiscoveryWatch&) = delete;
+    DiscoveryWatch& operator=(const DiscoveryWatch&) = delete;
 
-    bool start();
+    /// False if there is no thread for it.
+    [[nodiscard]] bool start();
+    /// Breaks off all that is under way, without waiting.
+    void begin_stop();
+    /// begin_stop(), then waits for the threads.
     void stop();
-    void begin_stop();  // all that is under way ends; stop() waits for it
-    void fetch();       // the whole list, once more: asked for until it has come
+    /// Fetches the complete list once more; it is asked for until it has come, or kMaxFetches in a
+    /// row came to nothing.
+    void fetch();
+    /// Follows another address; nothing happens if it has the host that was given last.
     void follow(std::string host, Address address);
 
  private:
-    // An address and its turn: of those that were followed, the later one holds once it has spoken.
+    /// An address to follow. Generations count up; a source supersedes all earlier ones once it has
+    /// sent a line.
     struct Source {
         std::string host;
         Address address;
-        int turn = 0;
+        int generation = 0;
     };
-    // The one that has spoken, the one told last, and one that is being left. What is told while
-    // all have their thread is taken up by the first that ends.
-    static constexpr int kMostSources = 3;
-    // After so many fetches that came to nothing the list is watched again, from the first version
-    // on.
-    static constexpr int kFetchTries = 3;
-
-    struct Asked {
+    enum class RequestKind {
+        watch,  ///< changes from a version on, in an answer without end
+        fetch,  ///< the complete list
+    };
+    struct Request {
+        RequestKind kind;
         std::string target;
-        bool whole = false;  // the list, not the watch
     };
-    void watch_on(Source source);
-    std::optional<Asked> next_question(Source& source,
-                                       int failed);  // absent: this thread has nothing left to do
-    bool over(int turn) const;                       // under the mutex: it is to end
-    void leave_old();                                // under the mutex: wakes those that are over
-    bool interrupted(const Source& source,
-                     bool whole);  // something else is to be done than what is under way
-    void lost(const Source& source, const std::string& why);
-    // How a connection came to its end.
-    struct Ended {
-        std::string why;
-        bool heard = false;  // something came of it, an empty line at least
-        bool too_long = false;
+    /// What a source's thread remembers from one connection to the next.
+    struct RetryState {
+        std::chrono::milliseconds backoff;
+        bool loss_logged = false;  // since it last received a line
+        int failed_fetches = 0;    // in a row
     };
-    Ended listen_to(const Source& source, const Asked& asked);
-    Ended read_lists(const Source& source, const Asked& asked, const Socket& socket);
-    std::chrono::milliseconds time_for(
-        std::size_t list_size) const;  // to come whole, of as many bytes so far
-    bool speaks(const Source&
-                    source);  // under the mutex; false: a later one has, so this one counts no more
-    // Under the mutex. Without a list: an empty line, a sign of life as good as any. False: as
-    // speaks().
-    bool take(const Source& source, std::optional<protocol::EndpointListMessage> said);
-    bool pause(int turn, std::chrono::milliseconds time);  // false: it is to end
+    struct Response;
+
+    /// The current source, the one given last, and one that is being left. What is given while all
+    /// have their thread is taken up by the first that ends.
+    static constexpr int kMaxSources = 3;
+    /// After so many fetches in a row that came to nothing the watch goes on, from version 0.
+    static constexpr int kMaxFetches = 3;
+
+    void run(Source source);
+    [[nodiscard]] RetryState fresh_retry_state() const { return {timeouts_.initial_backoff}; }
+    void after_connection(const Source& source, RequestKind kind, const WatchEnd& end,
+                          RetryState& retry);
+    [[nodiscard]] std::optional<Request> next_request(Source& source, int failed_fetches);
+    [[nodiscard]] bool must_stop(int generation) const;    // under the mutex
+    [[nodiscard]] bool wants_fetch(int generation) const;  // under the mutex
+    [[nodiscard]] bool is_interrupted(const Source& source, RequestKind under_way);
+    void interrupt_superseded();  // under the mutex
+    void report_loss(const Source& source, const WatchEnd& end);
+    [[nodiscard]] WatchEnd connect_and_read(const Source& source, const Request& request);
+    [[nodiscard]] WatchEnd read_response(const Source& source, RequestKind kind,
+                                         const Socket& socket);
+    [[nodiscard]] std::optional<WatchEnd> handle_bytes(const Source& source, Response& response,
+                                                       std::string_view bytes);
+    [[nodiscard]] std::chrono::milliseconds line_timeout(std::size_t list_size) const;
+    [[nodiscard]] bool make_current(const Source& source);  // under the mutex
+    // Under the mutex.
+    [[nodiscard]] bool accept(const Source& source,
+                              std::optional<protocol::EndpointListMessage> message);
+    void pause(int generation, std::chrono::milliseconds time);
 
-    const Patience patience_;
+    const WatchTimeouts timeouts_;
     const std::size_t list_bytes_;
     protocol::BufferPool& pool_;
     Inbox& inbox_;
     Log& log_;
+    SyncPoints* const sync_;
+
+    // Guards what follows up to the threads. Held while lists are parsed, as names_ grows by them,
+    // and while they go into the inbox: so nothing of a superseded source comes behind the first
+    // list of a later one.
     std::mutex mutex_;
-    std::condition_variable wake_;
-    SymbolTable names_;  // those the deployment told, and those that lists have added
+    std::condition_variable interrupted_;
+    SymbolTable names_;  // those of the deployment, and those that lists have added
     Source newest_;
-    int spoken_ = 0;  // the latest turn that has
-    std::int64_t version_;
-    std::map<int, const Socket*> live_;  // by turn
-    bool stopping_ = false, fetch_ = false;
-    int running_ = 0,
-        begun_ = 0;  // threads that look on; the latest turn that one of them has taken up
-    SyncPoints* const sync_;
-    ThreadGroup threads_{2 * kMostSources};  // some may have said that they end, and not have ended
+    int current_generation_ = 0;  // of the latest source that has sent a line
+    int started_generation_ = 0;  // of the latest source that a thread has taken up
+    int running_sources_ = 0;     // threads that still look for a request
+    std::int64_t version_;        // of the list that is held
+    bool fetch_wanted_ = false;
+    bool stopping_ = false;
+    std::map<int, const Socket*> sockets_;  // in use, by generation
+
+    // Last: its threads use all of the above. Some may look for no request any more and not have
+    // ended yet, so there is room for twice as many.
+    ThreadGroup threads_{2 * kMaxSources};
 };
 
 }  // namespace micaroad::net
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -2,24 +2,24 @@
 
 #include <algorithm>
 #include <utility>
-#include <vector>
 
 namespace micaroad::net {
 
 using std::chrono::steady_clock;
 
-EventLoop::EventLoop(ConnectionContext& context, std::function<void(StreamId)> gone)
-    : context_(context), gone_(std::move(gone)) {}
+EventLoop::EventLoop(ConnectionContext& context, std::function<void(StreamId)> on_closed)
+    : context_(context), on_closed_(std::move(on_closed)) {}
 
+// In the maps before it is watched, so that its first event finds it.
 bool EventLoop::add(const std::shared_ptr<Connection>& connection) {
     const StreamId id = connection->id();
-    const auto due = connection->due();
-    connection->watched_by(poller_);
+    const auto deadline = connection->deadline();
+    connection->attach(poller_);
     {
         const std::lock_guard lock(mutex_);
         connections_[id] = connection;
-        if (due) {
-            due_.emplace(*due, id);
+        if (deadline) {
+            deadlines_.emplace(*deadline, id);
         }
     }
     reach(context_.sync, SyncPoint::connection_listed);
@@ -31,20 +31,22 @@
     return false;
 }
 
-void EventLoop::work() {
-    const protocol::BufferPool::Lease buffer = context_.reading.take();
-    if (!buffer) {
-        return context_.log.error("no buffer to read into: nobody is heard");
+void EventLoop::run() {
+    const protocol::BufferPool::Lease lease = context_.read_buffers.take();
+    if (!lease) {
+        context_.log.error("connection: event loop not started reason=\"no read buffer\"");
+        return;
     }
-    Poller::Ready ready[Poller::kMostAtOnce];
+    const std::span<char> buffer(*lease);
+    Poller::Ready ready[Poller::kMaxEvents];
     while (!stopping_) {
-        const int turns = poller_.wait(ready, wait_ms());
-        for (int i = 0; i < turns && !stopping_; ++i) {
+        const int count = poller_.wait(ready, wait_milliseconds());
+        for (int i = 0; i < count && !stopping_; ++i) {
             if (const auto connection = find(StreamId{ready[i].token})) {
-                serve(connection, ready[i].events, buffer->data(), buffer->size());
+                serve(connection, ready[i].events, buffer);
             }
         }
-        end_overdue(buffer->data(), buffer->size());
+        serve_overdue(buffer);
     }
 }
 
@@ -54,83 +56,87 @@
     return at == connections_.end() ? nullptr : at->second;
 }
 
-void EventLoop::serve(const std::shared_ptr<Connection>& connection, unsigned events, char* into,
-                      std::size_t most) {
+void EventLoop::serve(const std::shared_ptr<Connection>& connection, unsigned events,
+                      std::span<char> buffer) {
     if (events & Poller::kWritable) {
-        connection->flush();
+        connection->on_writable();
     }
     if (!(events & Poller::kReadable)) {
         return;
     }
-    const auto before = connection->due();
-    if (const auto why = connection->handle(into, most)) {
-        return end(connection, *why);
+    const auto before = connection->deadline();
+    if (const auto reason = connection->on_readable(buffer)) {
+        close(connection, *reason);
+        return;
     }
-    // Only who was refused just now is due sooner than before.
-    if (const auto due = connection->due(); due && before && *due < *before) {
-        await(connection->id(), *due);
+    // Only a connection that lingers since just now has an earlier deadline than before.
+    const auto after = connection->deadline();
+    if (before && after && *after < *before) {
+        schedule(connection->id(), *after);
     }
 }
 
-void EventLoop::end(const std::shared_ptr<Connection>& connection, const std::string& why) {
-    connection->ended(why);
+void EventLoop::close(const std::shared_ptr<Connection>& connection, const CloseReason& reason) {
+    connection->on_closed(reason);
     {
         const std::lock_guard lock(mutex_);
         connections_.erase(connection->id());
     }
-    gone_(connection->id());
+    on_closed_(connection->id());
 }
 
-// Who has spoken meanwhile, or has become what need not speak, gets another date or none. Who has
-// spoken and was not heard, as this process had no time, is heard now.
-void EventLoop::end_overdue(char* into, std::size_t most) {
+// A connection whose deadline has moved meanwhile gets the new one, or none. One whose bytes have
+// not been read yet, as this process had no time, is read now.
+void EventLoop::serve_overdue(std::span<char> buffer) {
     const TimePoint now = steady_clock::now();
-    for (;;) {
-        std::shared_ptr<Connection> connection;
-        {
-            const std::lock_guard lock(mutex_);
-            if (due_.empty() || due_.begin()->first > now) {
-                return;
-            }
-            const auto at = connections_.find(due_.begin()->second);
-            due_.erase(due_.begin());
-            if (at == connections_.end()) {
+    while (const auto connection = take_overdue(now)) {
+        auto deadline = connection->deadline();
+        if (deadline && *deadline <= now) {
+            if (const auto reason = connection->on_readable(buffer)) {
+                close(connection, *reason);
                 continue;
             }
-            connection = at->second;
+            deadline = connection->deadline();
         }
-        auto due = connection->due();
-        if (due && *due <= now) {
-            if (const auto why = connection->handle(into, most)) {
-                end(connection, *why);
-                continue;
-            }
-            due = connection->due();
+        if (deadline) {
+            schedule(connection->id(), *deadline);
         }
-        if (due) {
-            await(connection->id(), *due);
+    }
+}
+
+// Takes the earliest entry that is over; empty: none is. Entries of connections that have ended
+// are passed over.
+std::shared_ptr<Connection> EventLoop::take_overdue(TimePoint now) {
+    const std::lock_guard lock(mutex_);
+    while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
+        const auto at = connections_.find(deadlines_.begin()->second);
+        deadlines_.erase(deadlines_.begin());
+        if (at != connections_.end()) {
+            return at->second;
         }
     }
+    return nullptr;
 }
 
-void EventLoop::await(StreamId id, TimePoint due) {
+void EventLoop::schedule(StreamId id, TimePoint deadline) {
     const std::lock_guard lock(mutex_);
-    due_.emplace(due, id);
+    deadlines_.emplace(deadline, id);
 }
 
-void EventLoop::let_go_all() {
+void EventLoop::release_all() {
     const std::lock_guard lock(mutex_);
-    connections_.clear(), due_.clear();
+    connections_.clear();
+    deadlines_.clear();
 }
 
-int EventLoop::wait_ms() {
+int EventLoop::wait_milliseconds() {
     const std::lock_guard lock(mutex_);
-    if (due_.empty()) {
-        return static_cast<int>(kLongestWait.count());
+    if (deadlines_.empty()) {
+        return static_cast<int>(kMaxWait.count());
     }
-    const auto left =
-        std::chrono::ceil<std::chrono::milliseconds>(due_.begin()->first - steady_clock::now());
-    return static_cast<int>(std::clamp(left, std::chrono::milliseconds{0}, kLongestWait).count());
+    const auto left = std::chrono::ceil<std::chrono::milliseconds>(deadlines_.begin()->first -
+                                                                   steady_clock::now());
+    return static_cast<int>(std::clamp(left, std::chrono::milliseconds{0}, kMaxWait).count());
 }
 
 }  // namespace micaroad::net
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -1,10 +1,4 @@
-// Serves all connections from one thread: whoever has something to say or room to be told more gets
-// its turn.
-//
-// The context has a thread for each reader and writer. A planner of the whole fleet has two
-// thousand connections, and processes may not have two threads for each of these everywhere
-// (docs/architecture.md has what was seen); a planner has one core, so one thread loses nothing.
-// The sockets stay blocking: they are read and written only as far as they can be without waiting.
+/// The thread that serves all connections: whichever can be read or written gets its turn.
 #pragma once
 
 #include <atomic>
@@ -13,44 +7,63 @@
 #include <map>
 #include <memory>
 #include <mutex>
+#include <span>
 
 #include "net/connection.hpp"
 
 namespace micaroad::net {
 
+/// Serves all connections from one thread. Owns the poller and, with the Acceptor, the connections.
+///
+/// The design has a thread for each reader and writer. A planner of the whole fleet has two
+/// thousand connections, and processes may not have two threads for each of these everywhere
+/// (docs/architecture.md has what was seen); a planner has one core, so one thread loses nothing.
+/// The sockets stay blocking: they are read and written only as far as they can be without waiting.
+///
+/// Threads: add() and stop() from any; run() on a thread of its own, which alone calls the
+/// connections' handlers; release_all() once run() has returned. It ends within kMaxWait of stop().
 class EventLoop {
  public:
     using TimePoint = std::chrono::steady_clock::time_point;
-    // `gone` is told of each connection that ended, by the event loop's thread.
-    EventLoop(ConnectionContext& context, std::function<void(StreamId)> gone);
+    /// `on_closed` is called for each connection that ended, by the thread of run().
+    EventLoop(ConnectionContext& context, std::function<void(StreamId)> on_closed);
     EventLoop(const EventLoop&) = delete;
     EventLoop& operator=(const EventLoop&) = delete;
 
-    bool add(const std::shared_ptr<Connection>& connection);  // any thread; false: no room for it
-    void work();        // until stop(); on a thread of its own
-    void let_go_all();  // once work() has returned: nothing of what it served is kept
-    void stop() { stopping_ = true; }  // heard within kLongestWait
+    /// Serves the connection from now on. False if the poller has no room for it; then it is not
+    /// kept.
+    [[nodiscard]] bool add(const std::shared_ptr<Connection>& connection);
+    /// Serves until stop(). Needs one read buffer; without it, logs that and returns.
+    void run();
+    /// Makes run() return.
+    void stop() { stopping_ = true; }
+    /// Drops all connections that are left.
+    void release_all();
 
  private:
-    // How long nobody may hear that an unidentified peer came whose time is short, or that it is
-    // over.
-    static constexpr std::chrono::milliseconds kLongestWait{200};
-
-    std::shared_ptr<Connection> find(StreamId id);
-    void serve(const std::shared_ptr<Connection>& connection, unsigned events, char* into,
-               std::size_t most);
-    void end(const std::shared_ptr<Connection>& connection, const std::string& why);
-    void end_overdue(char* into, std::size_t most);
-    void await(StreamId id, TimePoint due);
-    int wait_ms();
+    /// The longest wait for events. A new connection's deadline and stop() do not wake the poller,
+    /// so they may be noticed so much late.
+    static constexpr std::chrono::milliseconds kMaxWait{200};
+
+    [[nodiscard]] std::shared_ptr<Connection> find(StreamId id);
+    void serve(const std::shared_ptr<Connection>& connection, unsigned events,
+               std::span<char> buffer);
+    void close(const std::shared_ptr<Connection>& connection, const CloseReason& reason);
+    void serve_overdue(std::span<char> buffer);
+    [[nodiscard]] std::shared_ptr<Connection> take_overdue(TimePoint now);
+    void schedule(StreamId id, TimePoint deadline);
+    [[nodiscard]] int wait_milliseconds();
 
     ConnectionContext& context_;
-    const std::function<void(StreamId)> gone_;
+    const std::function<void(StreamId)> on_closed_;
     Poller poller_;
     std::atomic<bool> stopping_{false};
+
+    // Guards both maps. No connection is called with it held.
     std::mutex mutex_;
     std::map<StreamId, std::shared_ptr<Connection>> connections_;
-    std::multimap<TimePoint, StreamId> due_;  // when to look at who may be overdue by then
+    // When to look at a connection. An entry may be out of date: the connection is asked again.
+    std::multimap<TimePoint, StreamId> deadlines_;
 };
 
 }  // namespace micaroad::net
--- a/src/net/health_prober.cpp
+++ b/src/net/health_prober.cpp
@@ -1,43 +1,51 @@
 #include "net/health_prober.hpp"
 
+#include <algorithm>
 #include <utility>
 
+#include "net/http_status.hpp"
+#include "net/socket.hpp"
 #include "protocol/http.hpp"
 
 namespace micaroad::net {
+
 namespace {
 
-constexpr Duration kLongestSleep = std::chrono::seconds(1);  // slow starts move by steps meanwhile
-constexpr std::size_t kAnswer = 2'048;  // of which the first line is all that counts
+// The longest time without a turn of the keeper, in which slow starts move by steps.
+constexpr Duration kMaxSleep = std::chrono::seconds(1);
+// Of a response only the status line counts.
+constexpr std::size_t kResponseBuffer = 2'048;
 
-std::chrono::milliseconds ms(Duration span) {
-    return std::chrono::duration_cast<std::chrono::milliseconds>(span) +
+std::chrono::milliseconds rounded_up(Duration duration) {
+    return std::chrono::duration_cast<std::chrono::milliseconds>(duration) +
            std::chrono::milliseconds(1);
 }
 
+std::chrono::milliseconds timeout_of(const routing::HealthRule& rule) {
+    return rounded_up(rule.patience > Duration{} ? rule.patience : rule.every);
+}
+
 }  // namespace
 
-HealthProber::HealthProber(routing::Plan plan, Clock clock, Tell tell, Log& log)
+HealthProber::HealthProber(routing::Plan plan, Clock clock, OnList on_list, Log& log)
     : clock_(std::move(clock)),
-      tell_(std::move(tell)),
+      on_list_(std::move(on_list)),
       log_(log),
       keeper_(std::move(plan), clock_()) {}
 
 bool HealthProber::start() {
-    return keeping_.start([this] { keep(); });
+    return keeper_thread_.start([this] { run(); });
 }
 
 void HealthProber::stop() {
     {
         const std::lock_guard lock(mutex_);
         stopping_ = true;
-        for (const Socket* socket : live_) {
-            socket->shut_down();
-        }
+        sockets_.stop();
     }
     wake_.notify_all();
-    keeping_.wait();
-    threads_.wait();
+    keeper_thread_.wait();
+    check_threads_.wait();
 }
 
 bool HealthProber::replace(routing::Plan plan) {
@@ -52,98 +60,81 @@
     return true;
 }
 
-void HealthProber::keep() {
+void HealthProber::run() {
     std::unique_lock lock(mutex_);
     while (!stopping_) {
         const TimePoint now = clock_();
-        for (const auto& [server, ok] : std::exchange(answers_, {})) {
-            const std::string what = keeper_.probed(server, ok, now);
-            if (!what.empty()) {
-                log_.info("health: {}", what);
+        for (const CheckResult& result : std::exchange(results_, {})) {
+            const std::string change = keeper_.probed(result.server, result.healthy, now);
+            if (!change.empty()) {
+                log_.info("health_check: state changed server={} detail=\"{}\"", result.server,
+                          change);
             }
         }
         replaced_ = false;
         if (auto list = keeper_.changed(now)) {
-            tell_(std::move(*list), keeper_.addresses());
+            on_list_(std::move(*list), keeper_.addresses());
         }
-        for (auto& probe : keeper_.take_due(now)) {
-            threads_.start([this, probe = std::move(probe)] { ask(probe); });
+        for (Check& check : keeper_.take_due(now)) {
+            (void)check_threads_.start([this, check = std::move(check)] { run_check(check); });
         }
-        const TimePoint due =
-            std::min(keeper_.next_due().value_or(now + kLongestSleep), now + kLongestSleep);
+        const TimePoint latest = now + kMaxSleep;
+        const TimePoint due = std::min(keeper_.next_due().value_or(latest), latest);
         wake_.wait_for(lock, std::max(due - clock_(), Duration{1}),
-                       [this] { return stopping_ || replaced_ || !answers_.empty(); });
+                       [this] { return stopping_ || replaced_ || !results_.empty(); });
     }
 }
 
-void HealthProber::ask(const routing::Keeper::Probe& probe) {
-    const bool ok = answers(probe);
+void HealthProber::run_check(const Check& check) {
+    const bool healthy = is_healthy(check);
     {
         const std::lock_guard lock(mutex_);
         if (!stopping_) {
-            answers_.emplace_back(probe.server, ok);
+            results_.push_back({check.server, healthy});
         }
     }
     wake_.notify_all();
 }
 
-bool HealthProber::answers(const routing::Keeper::Probe& probe) {
-    const auto address = address_of(probe.address);
+bool HealthProber::is_healthy(const Check& check) {
+    const auto address = address_of(check.address);
     if (!address) {
         return false;
     }
     Socket socket = Socket::unconnected(*address);
-    if (!socket.open()) {
+    if (!socket.is_open()) {
         return false;
     }
-    struct Live {
-        HealthProber& prober;
-        const Socket& socket;
-        ~Live() {
-            const std::lock_guard lock(prober.mutex_);
-            prober.live_.erase(&socket);
-        }
-    };
-    {
-        const std::lock_guard lock(mutex_);
-        if (stopping_) {
-            return false;
-        }
-        live_.insert(&socket);
+    const ActiveSockets::Registration registration(sockets_, socket);
+    if (!registration.listed()) {
+        return false;
     }
-    const Live live{*this, socket};
-    const Duration patience =
-        probe.rule.patience > Duration{} ? probe.rule.patience : probe.rule.every;
-    const auto until = std::chrono::steady_clock::now() + ms(patience);
-    if (!socket.connect(*address, ms(patience))) {
+    const auto timeout = timeout_of(check.rule);
+    const auto deadline = std::chrono::steady_clock::now() + timeout;
+    if (!socket.connect(*address, timeout)) {
         return false;
     }
-    {
-        // A socket that is shut down before it is connected may not hear of it.
-        const std::lock_guard lock(mutex_);
-        if (stopping_) {
-            return false;
-        }
+    // A socket that is shut down before it is connected may not notice.
+    if (sockets_.stopped()) {
+        return false;
     }
-    if (probe.rule.kind == routing::HealthRule::Kind::connect) {
+    if (check.rule.kind == routing::HealthRule::Kind::connect) {
         return true;
     }
-    socket.wait_at_most(ms(patience));
-    const std::string& host = probe.rule.http_host.empty() ? probe.address : probe.rule.http_host;
-    if (!socket.send_all(
-            protocol::http_request(probe.rule.http_method, host, probe.rule.http_path))) {
+    socket.set_receive_timeout(timeout);
+    return has_http_status(check, socket, deadline);
+}
+
+bool HealthProber::has_http_status(const Check& check, const Socket& socket,
+                                   std::chrono::steady_clock::time_point deadline) const {
+    const routing::HealthRule& rule = check.rule;
+    const std::string& host = rule.http_host.empty() ? check.address : rule.http_host;
+    if (!socket.send_all(protocol::http_request(rule.http_method, host, rule.http_path))) {
         return false;
     }
-    protocol::HttpReader http;
-    char bytes[kAnswer];
-    while (http.status() == 0 && std::chrono::steady_clock::now() < until) {
-        const ssize_t got = socket.receive(bytes, sizeof bytes);
-        if (got <= 0 ||
-            !http.feed({bytes, static_cast<std::size_t>(got)}, [](std::string_view) {})) {
-            return false;
-        }
-    }
-    return http.status() >= probe.rule.status_least && http.status() <= probe.rule.status_most;
+    char buffer[kResponseBuffer];
+    const auto status = receive_http_status(socket, buffer, ResponsePart::status_line, deadline);
+    return status && *status >= rule.status_least && *status <= rule.status_most;
 }
 
 }  // namespace micaroad::net
--- a/src/net/health_prober.hpp
+++ b/src/net/health_prober.hpp
@@ -1,50 +1,75 @@
-// Drives a routing::Keeper: probes servers by their pools' rules, a few at a time, and tells each
-// new list.
+/// Periodic health checks of a plan's servers, by the rules of their pools.
 #pragma once
 
 #include <chrono>
 #include <condition_variable>
 #include <functional>
+#include <map>
 #include <mutex>
-#include <set>
 #include <string>
 #include <vector>
 
 #include "log/log.hpp"
-#include "net/socket.hpp"
+#include "net/active_sockets.hpp"
 #include "net/thread_group.hpp"
 #include "planner/inbox.hpp"
 #include "routing/keeper.hpp"
 
 namespace micaroad::net {
 
+/// Drives a routing::Keeper, which decides whom to check and when: makes the checks, gives it the
+/// results, and passes on each endpoint list that comes of them.
+///
+/// Threads: start() once; replace() and stop() by any. One thread of its own drives the keeper and
+/// calls `on_list`, with the mutex held; each check runs on another. Bounds: kMaxChecks at a time;
+/// a check that finds no thread is left out and comes with its server's next turn. It ends with
+/// stop(), which breaks off checks that are under way and waits for them.
 class HealthProber {
  public:
-    static constexpr std::size_t kMost = 16;  // probes at a time; one more waits for its next turn
-    using Tell = std::function<void(event::EndpointListUpdate, std::map<ServerId, std::string>)>;
+    static constexpr std::size_t kMaxChecks = 16;
+    using OnList =
+        std::function<void(event::EndpointListUpdate, std::map<ServerId, std::string> addresses)>;
 
-    HealthProber(routing::Plan plan, Clock clock, Tell tell, Log& log);
+    HealthProber(routing::Plan plan, Clock clock, OnList on_list, Log& log);
     ~HealthProber() { stop(); }
+    HealthProber(const HealthProber&) = delete;
+    HealthProber& operator=(const HealthProber&) = delete;
 
-    bool start();
+    /// False if there is no thread for it.
+    [[nodiscard]] bool start();
     void stop();
-    bool replace(routing::Plan plan);  // false: its pools differ, nothing is changed
+    /// Goes on with another plan. False if its pools differ; then nothing is changed.
+    [[nodiscard]] bool replace(routing::Plan plan);
 
  private:
-    void keep();
-    void ask(const routing::Keeper::Probe& probe);  // on a thread of its own
-    bool answers(const routing::Keeper::Probe& probe);
+    using Check = routing::Keeper::Probe;
+    struct CheckResult {
+        std::string server;
+        bool healthy;
+    };
+
+    void run();
+    void run_check(const Check& check);
+    [[nodiscard]] bool is_healthy(const Check& check);
+    [[nodiscard]] bool has_http_status(const Check& check, const Socket& socket,
+                                       std::chrono::steady_clock::time_point deadline) const;
 
     const Clock clock_;
-    const Tell tell_;
+    const OnList on_list_;
     Log& log_;
+    ActiveSockets sockets_;
+
+    // Guards what follows up to the threads.
     std::mutex mutex_;
     std::condition_variable wake_;
-    routing::Keeper keeper_;  // under the mutex
-    std::vector<std::pair<std::string, bool>> answers_;
-    std::set<const Socket*> live_;
-    bool stopping_ = false, replaced_ = false;
-    ThreadGroup threads_{kMost}, keeping_{1, 256 * 1024};
+    routing::Keeper keeper_;
+    std::vector<CheckResult> results_;  // that the keeper has not been given
+    bool stopping_ = false;
+    bool replaced_ = false;
+
+    static constexpr std::size_t kKeeperStack = 256 * 1024;
+    ThreadGroup check_threads_{kMaxChecks};
+    ThreadGroup keeper_thread_{1, kKeeperStack};
 };
 
 }  // namespace micaroad::net
--- a/src/net/prober.cpp
+++ b/src/net/prober.cpp
@@ -1,25 +1,30 @@
 #include "net/prober.hpp"
 
+#include "net/http_status.hpp"
 #include "protocol/http.hpp"
 
 namespace micaroad::net {
 
+namespace {
+
+constexpr int kHealthyStatus = 200;
+
+}  // namespace
+
 void Prober::ask(const ServerId& server, const std::string& address) {
     const TimePoint begun = clock_();
-    const auto end = [this, server, begun](bool ok) {
-        inbox_.put(core_event::HealthCheckCompleted{{server, ok, clock_() - begun}});
+    const auto complete = [this, server, begun](bool healthy) {
+        inbox_.put(core_event::HealthCheckCompleted{{server, healthy, clock_() - begun}});
     };
-    const auto where = address_of(address);
-    if (!where || !threads_.start([this, end, where, address] { end(answers(*where, address)); })) {
-        end(false);
+    const auto parsed = address_of(address);
+    if (!parsed) {
+        complete(false);
+        return;
     }
-}
-
-void Prober::begin_stop() {
-    const std::lock_guard lock(mutex_);
-    stopping_ = true;
-    for (const Socket* socket : live_) {
-        socket->shut_down();
+    const bool started = threads_.start(
+        [this, complete, where = *parsed, host = address] { complete(is_healthy(where, host)); });
+    if (!started) {
+        complete(false);
     }
 }
 
@@ -28,58 +33,34 @@
     threads_.wait();
 }
 
-bool Prober::stopping() {
-    const std::lock_guard lock(mutex_);
-    return stopping_;
-}
-
-bool Prober::answers(const Address& address, const std::string& host) {
+bool Prober::is_healthy(const Address& address, const std::string& host) {
     Socket socket = Socket::unconnected(address);
-    if (!socket.open()) {
+    if (!socket.is_open()) {
+        return false;
+    }
+    const ActiveSockets::Registration registration(sockets_, socket);
+    if (!registration.listed()) {
+        return false;
+    }
+    reach(sync_, SyncPoint::probe_registered);
+    if (!socket.connect(address, kTimeout)) {
+        return false;
+    }
+    reach(sync_, SyncPoint::probe_connected);
+    // A socket that is shut down before it is connected may not notice.
+    if (sockets_.stopped()) {
+        return false;
+    }
+    socket.set_receive_timeout(kTimeout);
+    if (!socket.send_all(protocol::http_get(host, "/ping"))) {
         return false;
     }
-    {
-        const std::lock_guard lock(mutex_);
-        if (stopping_) {
-            return false;
-        }
-        live_.insert(&socket);
+    const auto deadline = std::chrono::steady_clock::now() + kTimeout;
+    const protocol::BufferPool::Lease buffer = pool_.take();
+    if (!buffer) {
+        return false;
     }
-    const bool ok = [&] {
-        reach(sync_, SyncPoint::probe_registered);
-        if (!socket.connect(address, kPatience)) {
-            return false;
-        }
-        reach(sync_, SyncPoint::probe_connected);
-        // A socket that is shut down before it is connected may not hear of it.
-        if (stopping()) {
-            return false;
-        }
-        socket.wait_at_most(kPatience);
-        if (!socket.send_all(protocol::http_get(host, "/ping"))) {
-            return false;
-        }
-        const auto until = std::chrono::steady_clock::now() + kPatience;
-        protocol::HttpReader http;
-        const protocol::BufferPool::Lease buffer = pool_.take();
-        if (!buffer) {
-            return false;
-        }
-        while (!http.in_body() && std::chrono::steady_clock::now() < until) {
-            const ssize_t got = socket.receive(buffer->data(), buffer->size());
-            if (got <= 0) {
-                return false;
-            }
-            if (!http.feed({buffer->data(), static_cast<std::size_t>(got)},
-                           [](std::string_view) {})) {
-                return false;
-            }
-        }
-        return http.in_body() && http.status() == 200;
-    }();
-    const std::lock_guard lock(mutex_);
-    live_.erase(&socket);
-    return ok;
+    return receive_http_status(socket, *buffer, ResponsePart::headers, deadline) == kHealthyStatus;
 }
 
 }  // namespace micaroad::net
--- a/src/net/prober.hpp
+++ b/src/net/prober.hpp
@@ -1,11 +1,10 @@
-// Asks servers whether they answer, a few at a time.
+/// Health checks that the core orders, each over a connection of its own.
 #pragma once
 
 #include <chrono>
-#include <mutex>
-#include <set>
 #include <string>
 
+#include "net/active_sockets.hpp"
 #include "net/socket.hpp"
 #include "net/thread_group.hpp"
 #include "planner/inbox.hpp"
@@ -14,32 +13,41 @@
 
 namespace micaroad::net {
 
+/// Checks endpoints with `GET /ping` when it is asked, and puts a HealthCheckCompleted into the
+/// inbox for each: healthy if the status is 200.
+///
+/// Threads: ask(), begin_stop() and stop() by any. Each check runs on a thread of its own, which
+/// the prober owns. Bounds: kMaxChecks at a time, and kTimeout to connect, and again to answer.
+/// It ends with stop(): checks that are under way are broken off, count as failed, and are waited
+/// for.
 class Prober {
  public:
-    static constexpr std::size_t kMost = 16;  // at a time; one more counts as not answered
-    static constexpr std::chrono::milliseconds kPatience{
-        1'000};  // for the connection, then for the answer
+    static constexpr std::size_t kMaxChecks = 16;
+    static constexpr std::chrono::milliseconds kTimeout{1'000};
 
     Prober(protocol::BufferPool& pool, Inbox& inbox, Clock clock, SyncPoints* sync = nullptr)
         : pool_(pool), inbox_(inbox), clock_(std::move(clock)), sync_(sync) {}
     ~Prober() { stop(); }
+    Prober(const Prober&) = delete;
+    Prober& operator=(const Prober&) = delete;
 
+    /// Starts a check. It counts as failed at once if the address cannot be parsed or kMaxChecks
+    /// are under way.
     void ask(const ServerId& server, const std::string& address);
-    void begin_stop();  // all that is under way ends; stop() waits for it
+    /// Breaks off all checks, without waiting for them.
+    void begin_stop() { sockets_.stop(); }
+    /// begin_stop(), then waits.
     void stop();
 
  private:
-    bool answers(const Address& address, const std::string& host);
-    bool stopping();
+    [[nodiscard]] bool is_healthy(const Address& address, const std::string& host);
 
     protocol::BufferPool& pool_;
     Inbox& inbox_;
     const Clock clock_;
     SyncPoints* const sync_;
-    std::mutex mutex_;
-    std::set<const Socket*> live_;
-    bool stopping_ = false;
-    ThreadGroup threads_{kMost};
+    ActiveSockets sockets_;
+    ThreadGroup threads_{kMaxChecks};  // last: its threads use all of the above
 };
 
 }  // namespace micaroad::net
--- a/src/net/thread_group.cpp
+++ b/src/net/thread_group.cpp
@@ -3,18 +3,21 @@
 #include <pthread.h>
 
 #include <memory>
+#include <utility>
 
 namespace micaroad::net {
 
 struct ThreadGroup::Task {
-    ThreadGroup& threads;
+    ThreadGroup& group;
     std::function<void()> work;
 };
 
+// Detached, with a count in place of a join: who ends leaves nothing behind that somebody has to
+// collect.
 bool ThreadGroup::start(std::function<void()> work) {
     {
         const std::lock_guard lock(mutex_);
-        if (running_ == most_) {
+        if (running_ == max_threads_) {
             return false;
         }
         ++running_;
@@ -24,30 +27,35 @@
     pthread_t thread;
     pthread_attr_init(&attributes);
     pthread_attr_setdetachstate(&attributes, PTHREAD_CREATE_DETACHED);
-    pthread_attr_setstacksize(&attributes, stack_);
+    pthread_attr_setstacksize(&attributes, stack_bytes_);
     const bool started = pthread_create(&thread, &attributes, run, task.get()) == 0;
     pthread_attr_destroy(&attributes);
-    started ? (void)task.release() : ended();
+    if (started) {
+        task.release();  // NOLINT(bugprone-unused-return-value): run() owns it now.
+    } else {
+        on_ended();
+    }
     return started;
 }
 
 void* ThreadGroup::run(void* pointer) {
     const std::unique_ptr<Task> task(static_cast<Task*>(pointer));
     task->work();
-    task->work = nullptr;  // what it holds goes before the threads may
-    task->threads.ended();
+    // What the function holds goes before the group may.
+    task->work = nullptr;
+    task->group.on_ended();
     return nullptr;
 }
 
-void ThreadGroup::ended() {
+void ThreadGroup::on_ended() {
     const std::lock_guard lock(mutex_);
     --running_;
-    gone_.notify_all();
+    ended_.notify_all();
 }
 
 void ThreadGroup::wait() {
     std::unique_lock lock(mutex_);
-    gone_.wait(lock, [this] { return running_ == 0; });
+    ended_.wait(lock, [this] { return running_ == 0; });
 }
 
 }  // namespace micaroad::net
--- a/src/net/thread_group.hpp
+++ b/src/net/thread_group.hpp
@@ -1,35 +1,42 @@
-// Threads with small stacks of a stated size, never more of them than was said, counted until they
-// are gone.
+/// Threads with small stacks of a stated size, up to a bound, that can be waited for.
 #pragma once
 
 #include <condition_variable>
+#include <cstddef>
 #include <functional>
 #include <mutex>
 
 namespace micaroad::net {
 
+/// Runs functions on threads of its own and owns these until they have ended: the destructor waits
+/// for all. Bounds their number and the stack of each, in bytes. All functions may be called by any
+/// thread; wait() by none of its own.
 class ThreadGroup {
  public:
     static constexpr std::size_t kStack = 128 * 1024;
 
-    explicit ThreadGroup(std::size_t most, std::size_t stack = kStack)
-        : most_(most), stack_(stack) {}
+    explicit ThreadGroup(std::size_t max_threads, std::size_t stack_bytes = kStack)
+        : max_threads_(max_threads), stack_bytes_(stack_bytes) {}
     ~ThreadGroup() { wait(); }
     ThreadGroup(const ThreadGroup&) = delete;
     ThreadGroup& operator=(const ThreadGroup&) = delete;
 
-    bool start(std::function<void()> work);  // false if there is no room for one more
-    void wait();                             // until all have ended
+    /// Runs `work` on a new thread. False if as many as allowed are running, or the system has no
+    /// thread left; then `work` is not run.
+    [[nodiscard]] bool start(std::function<void()> work);
+    /// Returns once no thread is running.
+    void wait();
 
  private:
     struct Task;
-    static void* run(void* task);
-    void ended();
+    static void* run(void* pointer);
+    void on_ended();
 
-    const std::size_t most_, stack_;
+    const std::size_t max_threads_;
+    const std::size_t stack_bytes_;
     std::mutex mutex_;
-    std::condition_variable gone_;
-    std::size_t running_ = 0;
+    std::condition_variable ended_;
+    std::size_t running_ = 0;  // under the mutex
 };
 
 }  // namespace micaroad::net
--- /dev/null
+++ b/src/net/watch_end.cpp
@@ -0,0 +1,40 @@
+#include "net/watch_end.hpp"
+
+#include <fmt/format.h>
+
+namespace micaroad::net {
+
+std::string describe(const WatchEnd& end) {
+    switch (end.cause) {
+        case WatchEndCause::no_socket:
+            return "no socket";
+        case WatchEndCause::no_buffer:
+            return "no read buffer left";
+        case WatchEndCause::not_connected:
+            return "no connection";
+        case WatchEndCause::interrupted:
+            return "interrupted";
+        case WatchEndCause::reset:
+            return "reset";
+        case WatchEndCause::silent:
+            return "silence";
+        case WatchEndCause::line_late:
+            return "no complete line in time";
+        case WatchEndCause::peer_closed:
+            return "closed by server";
+        case WatchEndCause::response_complete:
+            return "end of response";
+        case WatchEndCause::bad_status:
+            return fmt::format("status {}", end.http_status);
+        case WatchEndCause::malformed_response:
+            return "malformed response";
+        case WatchEndCause::malformed_list:
+            return "malformed list";
+        case WatchEndCause::list_too_long:
+            return fmt::format("list over {} bytes, the bound by the memory limit",
+                               end.list_bytes);
+    }
+    return "unknown cause";
+}
+
+}  // namespace micaroad::net
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -17,7 +17,7 @@
 // What ends an orderly connection: 0. A reset: -1.
 ssize_t last_of(const Socket& socket) {
     char bytes[4096];
-    socket.wait_at_most(10s);
+    socket.set_receive_timeout(10s);
     ssize_t got;
     while ((got = socket.receive(bytes, sizeof bytes)) > 0) {
         continue;
@@ -29,8 +29,7 @@
     Acceptor acceptor;
     explicit Entrance(std::size_t connections = 40, std::size_t unidentified = 20)
         : acceptor(context(), connections, unidentified) {
-        std::string why;
-        REQUIRE(acceptor.open(*address_of("127.0.0.1:0"), why));
+        REQUIRE(acceptor.open(*address_of("127.0.0.1:0")));
     }
     Socket enter() { return dial(acceptor.address()); }
 };
@@ -52,7 +51,7 @@
                 std::make_shared<Connection>(shared, id, Socket(ends[0]), "peer"));
             REQUIRE(loop.add(connections.back()));
         }
-        REQUIRE(threads.start([this] { loop.work(); }));
+        REQUIRE(threads.start([this] { loop.run(); }));
     }
     ~Two() { loop.stop(), threads.wait(); }
 };
@@ -69,7 +68,7 @@
     sync.await(SyncPoint::connection_ready);
     const Socket proxy = enter();
     proxy.send_all(hello(5));
-    std::this_thread::sleep_for(Connection::kJoinDue + 100ms);  // the date itself has to pass
+    std::this_thread::sleep_for(Connection::kJoinTimeout + 100ms);  // the date itself has to pass
     sync.let_go(SyncPoint::connection_ready);
     CHECK(next<core_event::StreamOpened>().joined.proxy == ProxyId{5});
     CHECK(ended(busy));  // it only asked, and its date is over
@@ -93,9 +92,9 @@
     const Socket late = enter();
     late.send_all(hello(5));
     sync.await(SyncPoint::connection_accepted);
-    acceptor.begin_shut();
+    acceptor.begin_shutdown();
     sync.let_go(SyncPoint::connection_accepted);
-    acceptor.shut();
+    acceptor.shutdown();
     CHECK(ended(before));
     CHECK(ended(late));
     inbox.put(core_event::StopRequested{});
@@ -115,10 +114,10 @@
         peers[i].send_all(usage(i) + answer(i, 1));
     }
     sync.await(SyncPoint::bytes_received);
-    acceptor.begin_shut();
+    acceptor.begin_shutdown();
     sync.let_go(SyncPoint::bytes_received);
     const auto begun = steady_clock::now();
-    acceptor.shut();
+    acceptor.shutdown();
     CHECK(steady_clock::now() - begun < 600ms);  // the event loop looks up every 200 ms
     for (const Socket& peer : peers) {
         CHECK(ended(peer));
@@ -134,9 +133,9 @@
     const std::string much(16 << 20, ' ');  // more than the kernel holds for it
     const auto sends = beside([&] { return peer.send_all(much); });
     sync.await(SyncPoint::bytes_received);
-    acceptor.begin_shut();
+    acceptor.begin_shutdown();
     sync.let_go(SyncPoint::bytes_received);
-    acceptor.shut();
+    acceptor.shutdown();
     CHECK(sends.wait_for(5s) == std::future_status::ready);
     peer.shut_down();  // else a failing test could not end
 }
@@ -190,13 +189,13 @@
     const auto begun = steady_clock::now();
     const Socket slow = enter(), never = enter();
     const std::string line = hello(5);
-    const auto step = (Connection::kJoinDue + 400ms) / line.size();
+    const auto step = (Connection::kJoinTimeout + 400ms) / line.size();
     for (const char c : line) {
         slow.send_all({&c, 1}), never.send_all("h");
         std::this_thread::sleep_for(step);
     }
     CHECK(next<core_event::StreamOpened>().joined.proxy == ProxyId{5});
-    CHECK(steady_clock::now() > begun + Connection::kJoinDue);
+    CHECK(steady_clock::now() > begun + Connection::kJoinTimeout);
     CHECK(ended(never));
     CHECK(steady_clock::now() < begun + 3s);  // the platform's date
 }
@@ -272,7 +271,7 @@
     const StreamId stream = next<core_event::StreamOpened>().stream;
     CHECK(next<core_event::StreamAcknowledged>().stream == stream);
     next<core_event::ReportReceived>();
-    CHECK(next<core_event::StreamClosed>().reason == (by_reset ? "reset" : "its end"));
+    CHECK(next<core_event::StreamClosed>().reason == (by_reset ? "reset" : "closed by peer"));
     acceptor.write(stream, "push nonce_out=1\r\n");  // behind its end: nobody minds
     CHECK(alive(enter()));
 }
@@ -304,7 +303,7 @@
                                                                                : of_other);
         }
     }
-    CHECK(of_flood == Connection::kMostAnswers);
+    CHECK(of_flood == Connection::kMaxAcknowledgements);
     CHECK(of_other == 2);
     flood.send_all(answer(5, 7));  // once the core has taken all it is heard again
     CHECK(next<core_event::StreamAcknowledged>().stream == flooding);
@@ -346,13 +345,13 @@
 }
 
 struct Watched : Base {
-    DiscoveryWatch::Patience patience;
+    WatchTimeouts timeouts;
     Watched() {
-        patience.first_wait = 1ms, patience.longest_wait = 20ms, patience.between_fetches = 5ms;
+        timeouts.initial_backoff = 1ms, timeouts.max_backoff = 20ms, timeouts.fetch_interval = 5ms;
     }
     std::unique_ptr<DiscoveryWatch> watch(Discovery& discovery) {
         return std::make_unique<DiscoveryWatch>("d", discovery.listener.local(), names, 41,
-                                                kListBytes, pool, inbox, quiet.log, patience,
+                                                kListBytes, pool, inbox, quiet.log, timeouts,
                                                 &sync);
     }
     // The next list, past whatever else is said.
@@ -418,7 +417,7 @@
 }
 
 TEST_CASE_METHOD(Watched, "a discovery whose versions never fit is asked for its list at a pace") {
-    patience.between_fetches = 50ms;
+    timeouts.fetch_interval = 50ms;
     std::vector<std::string> answers{kWatch + chunk(version(42))};
     for (int i = 0; i < 6; ++i) {
         answers.push_back(whole(50)), answers.push_back(kWatch + chunk(version(7)));
@@ -434,13 +433,13 @@
         CHECK(list().message.version == 50);
         CHECK(list().message.version == 7);
     }
-    CHECK(steady_clock::now() - begun >= 5 * patience.between_fetches);
+    CHECK(steady_clock::now() - begun >= 5 * timeouts.fetch_interval);
     watching->stop();
 }
 
 TEST_CASE_METHOD(Watched, "a fetch that is asked for between any two lines of the watch is made") {
     const SyncPoint point = GENERATE(from_range(kWatchPoints));
-    patience.silence = 100ms;  // of the second answer, which is no whole list
+    timeouts.idle = 100ms;  // of the second answer, which is no whole list
     Discovery discovery({kWatch + chunk(version(42)) + "!", kWatch + chunk(version(43)), whole(50),
                          whole(50), kWatch});
     const auto watching = watch(discovery);
@@ -492,7 +491,7 @@
     // There and back, and there again while the way back is being dialled.
     watching->follow("d", old.listener.local());
     watching->follow("moved", moved.listener.local());
-    CHECK(moved.connection(1).open());
+    CHECK(moved.connection(1).is_open());
     watching->stop();
 }
 
@@ -542,7 +541,7 @@
 TEST_CASE_METHOD(Watched,
                  "answers that drip, never end or break off anywhere are left in time, and nothing "
                  "of them is believed") {
-    patience.silence = 300ms, patience.whole_line = 150ms;
+    timeouts.idle = 300ms, timeouts.line = 150ms;
     const std::string good = kWatch + chunk(version(42));
     const std::string bad = GENERATE_COPY(
         as<std::string>{},
--- a/tests/large_list_test.cpp
+++ b/tests/large_list_test.cpp
@@ -79,12 +79,12 @@
 }
 
 struct LargeWatch : Base {
-    DiscoveryWatch::Patience patience;
+    WatchTimeouts timeouts;
     std::size_t list_bytes = bound_at(kPlannerMemoryMb);
-    LargeWatch() { patience.first_wait = 1ms, patience.longest_wait = 2ms; }
+    LargeWatch() { timeouts.initial_backoff = 1ms, timeouts.max_backoff = 2ms; }
     std::unique_ptr<DiscoveryWatch> watch(Discovery& discovery) {
         return std::make_unique<DiscoveryWatch>("d", discovery.listener.local(), names, 41,
-                                                list_bytes, pool, inbox, quiet.log, patience);
+                                                list_bytes, pool, inbox, quiet.log, timeouts);
     }
     EndpointListMessage next_list() {
         for (;;) {
@@ -223,7 +223,7 @@
 }
 
 TEST_CASE_METHOD(LargeWatch, "a whole list that comes slowly is waited for by its length") {
-    patience.whole_line = 500ms;
+    timeouts.line = 500ms;
     Discovery discovery({kWatch, kWatch});
     const auto watching = watch(discovery);
     discovery.begin();
@@ -251,13 +251,13 @@
     {
         Log log(ends[1]);
         Base base;
-        DiscoveryWatch::Patience patience;
-        patience.after_too_long = 20ms;
+        WatchTimeouts timeouts;
+        timeouts.oversized_list_backoff = 20ms;
         Discovery discovery(
             {kWatch + chunk(version(42)) + chunk("\n") + chunk(list_line(50, 40'000)), too_long,
              too_long, kWatch + chunk(version(43))});
         DiscoveryWatch watching("d", discovery.listener.local(), base.names, 41, bound_at(32),
-                                base.pool, base.inbox, log, patience);
+                                base.pool, base.inbox, log, timeouts);
         discovery.begin();
         REQUIRE(watching.start());
         CHECK(base.next<core_event::EndpointListReceived>().message.version == 42);
@@ -276,7 +276,7 @@
         written.append(bytes, static_cast<std::size_t>(got));
     }
     ::close(ends[0]);
-    const std::string said = "a list over 4194304 bytes";
+    const std::string said = "discovery: watch lost server=d reason=\"list over 4194304 bytes";
     REQUIRE(written.find(said) != std::string::npos);
     CHECK(written.find(said, written.find(said) + 1) == std::string::npos);
     CHECK(written.size() < 512);
--- a/tests/net_helpers.hpp
+++ b/tests/net_helpers.hpp
@@ -114,7 +114,7 @@
 };
 
 inline std::string read_some(const Socket& socket, std::size_t least) {
-    socket.wait_at_most(10s);
+    socket.set_receive_timeout(10s);
     std::string text(least, '\0');
     std::size_t size = 0;
     while (size < least) {
@@ -128,7 +128,7 @@
 }
 inline bool ended(const Socket& socket) {
     char bytes[64];
-    socket.wait_at_most(10s);
+    socket.set_receive_timeout(10s);
     ssize_t got;
     while ((got = socket.receive(bytes, sizeof bytes)) > 0) {
         continue;
@@ -154,7 +154,7 @@
         peer = Socket(ends[1]);
         connection = std::make_shared<Connection>(shared, StreamId{1}, Socket(ends[0]), "peer");
         REQUIRE(loop.add(connection));
-        REQUIRE(threads.start([this] { loop.work(); }));
+        REQUIRE(threads.start([this] { loop.run(); }));
     }
     ~Pair() { connection->close(), loop.stop(), threads.wait(); }
 };
@@ -171,9 +171,8 @@
     std::atomic<std::size_t> taken{0};
     std::thread thread;
     explicit Discovery(std::vector<std::string> texts) : answers(std::move(texts)) {
-        std::string why;
-        listener = Socket::listening(*address_of("127.0.0.1:0"), why);
-        REQUIRE(listener.open());
+        listener = Socket::listen(*address_of("127.0.0.1:0")).value();
+        REQUIRE(listener.is_open());
         open.reserve(answers.size());
     }
     Socket& connection(std::size_t n) {  // once it has been answered
@@ -186,7 +185,7 @@
         thread = std::thread([this] {
             for (const std::string& answer : answers) {
                 Socket socket(::accept(listener.fd(), nullptr, nullptr));
-                if (!socket.open()) {
+                if (!socket.is_open()) {
                     return;
                 }
                 std::string text;
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -35,11 +35,11 @@
     next<core_event::ReportReceived>();
     CHECK(next<core_event::StreamAcknowledged>().acknowledgement.nonce == Nonce{9});
     CHECK(read_some(peer, 7) == "alive\r\n");
-    CHECK(connection->post("push nonce_out=1\r\n") == Connection::Posted::yes);
+    CHECK(connection->send("push nonce_out=1\r\n") == Connection::SendResult::accepted);
     CHECK(read_some(peer, 18) == "push nonce_out=1\r\n");
     peer.send_all("ack sidecar=3 ver");
     peer = Socket();
-    CHECK(next<core_event::StreamClosed>().reason == "its end, in mid-line");
+    CHECK(next<core_event::StreamClosed>().reason == "closed by peer in the middle of a line");
 }
 
 TEST_CASE_METHOD(
@@ -66,7 +66,7 @@
     }
     CHECK(read_some(peer, 7) == "error\r\n");
     CHECK(ended(peer));
-    CHECK(connection->role() != Role::stream);
+    CHECK(connection->role() != Role::proxy);
     loop.stop(), threads.wait();
     inbox.put(core_event::StopRequested{});
     next<core_event::StopRequested>();  // and nothing before it
@@ -108,22 +108,21 @@
 TEST_CASE_METHOD(
     Base, "who has not joined in time is ended, whatever it sends, and costs a stream nothing") {
     Acceptor acceptor(context(), 40, 20);
-    std::string why;
-    REQUIRE(acceptor.open(*address_of("127.0.0.1:0"), why));
+    REQUIRE(acceptor.open(*address_of("127.0.0.1:0")));
     const Socket proxy = dial(acceptor.address());
     proxy.send_all(kHello);
     const StreamId stream = next<core_event::StreamOpened>().stream;
     const auto begun = std::chrono::steady_clock::now();
     const Socket silent = dial(acceptor.address()), asks = dial(acceptor.address()),
                  trickles = dial(acceptor.address());
-    while (std::chrono::steady_clock::now() < begun + Connection::kJoinDue - 200ms) {
+    while (std::chrono::steady_clock::now() < begun + Connection::kJoinTimeout - 200ms) {
         asks.send_all("probe\r\n"), trickles.send_all("h");
         std::this_thread::sleep_for(50ms);
     }
     for (const Socket* one : {&silent, &asks, &trickles}) {
         CHECK(ended(*one));
     }
-    CHECK(std::chrono::steady_clock::now() < begun + 2 * Connection::kJoinDue);
+    CHECK(std::chrono::steady_clock::now() < begun + 2 * Connection::kJoinTimeout);
     // A flood of silent ones: the oldest go, each newcomer is heard, the stream stands.
     std::vector<Socket> flood;
     for (int i = 0; i < 60; ++i) {
@@ -142,12 +141,12 @@
     peer.send_all(kHello);
     next<core_event::StreamOpened>();
     const std::string much(64 * 1024, 'x');
-    Connection::Posted posted = Connection::Posted::yes;
+    Connection::SendResult posted = Connection::SendResult::accepted;
     int number = 0;
-    for (; posted == Connection::Posted::yes && number < 1'000; ++number) {
-        posted = connection->post(much);
+    for (; posted == Connection::SendResult::accepted && number < 1'000; ++number) {
+        posted = connection->send(much);
     }
-    CHECK(posted == Connection::Posted::not_read);
+    CHECK(posted == Connection::SendResult::peer_not_reading);
     CHECK(number >= 2);
     connection->close();
     next<core_event::StreamClosed>();
@@ -155,8 +154,7 @@
 
 TEST_CASE_METHOD(Base, "the acceptor takes, sheds unidentified peers first, and ends all it took") {
     Acceptor acceptor(context(), 3, 3);
-    std::string why;
-    REQUIRE(acceptor.open(*address_of("127.0.0.1:0"), why));
+    REQUIRE(acceptor.open(*address_of("127.0.0.1:0")));
     const Socket first = dial(acceptor.address()), proxy = dial(acceptor.address());
     proxy.send_all(kHello);
     const StreamId stream = next<core_event::StreamOpened>().stream;
@@ -184,7 +182,7 @@
         const Socket gone = std::move(const_cast<Socket&>(again));
     }
     CHECK(next<core_event::StreamClosed>().reason == "reset");
-    acceptor.shut();
+    acceptor.shutdown();
     CHECK(ended(collector));
 }
 
@@ -201,8 +199,7 @@
     const Limits limits = Limits::of(192, 2'944, kProxies, 3);
     Acceptor acceptor(ConnectionContext{names, wide, pool, lines, writing, inbox, quiet.log},
                       limits.connections, limits.unidentified);
-    std::string why;
-    REQUIRE(acceptor.open(*address_of("127.0.0.1:0"), why));
+    REQUIRE(acceptor.open(*address_of("127.0.0.1:0")));
     std::vector<Socket> proxies, silent;
     for (int i = 0; i < kProxies; ++i) {
         proxies.push_back(dial(acceptor.address()));
@@ -226,7 +223,7 @@
     for (const Socket& proxy : proxies) {
         CHECK(read_some(proxy, 6) == "push\r\n");
     }
-    acceptor.shut();
+    acceptor.shutdown();
 }
 
 TEST_CASE_METHOD(Base, "the watch goes on through every kind of break, from the version it holds") {
@@ -238,10 +235,10 @@
          kWatch + chunk("{oh}\n"),
          kWatch + chunk(version(45).substr(0, 9)) + chunk(version(45).substr(9)) + "!",
          kWatch + chunk(version(46))});
-    DiscoveryWatch::Patience patience;
-    patience.silence = 150ms, patience.first_wait = 1ms, patience.longest_wait = 2ms;
+    WatchTimeouts timeouts;
+    timeouts.idle = 150ms, timeouts.initial_backoff = 1ms, timeouts.max_backoff = 2ms;
     DiscoveryWatch watch("d", discovery.listener.local(), names, 41, kListBytes, pool, inbox,
-                         quiet.log, patience);
+                         quiet.log, timeouts);
     discovery.begin();
     REQUIRE(watch.start());
     std::vector<std::int64_t> versions;
@@ -268,10 +265,10 @@
     Base, "told another discovery, the watch keeps the old one until the new one has spoken") {
     Discovery old({kWatch + chunk(version(42))}), next_one({kWatch, kWatch + chunk(version(43))}),
         third({kWatch + chunk("\n")});
-    DiscoveryWatch::Patience patience;
-    patience.silence = 300ms;
+    WatchTimeouts timeouts;
+    timeouts.idle = 300ms;
     DiscoveryWatch watch("old", old.listener.local(), names, 41, kListBytes, pool, inbox, quiet.log,
-                         patience);
+                         timeouts);
     old.begin(), next_one.begin(), third.begin();
     REQUIRE(watch.start());
     CHECK(next<core_event::EndpointListReceived>().message.version == 42);
@@ -391,8 +388,7 @@
 TEST_CASE_METHOD(Base,
                  "one that does not read loses its stream before it costs another its orders") {
     Acceptor acceptor(context(), 4, 4);
-    std::string why;
-    REQUIRE(acceptor.open(*address_of("127.0.0.1:0"), why));
+    REQUIRE(acceptor.open(*address_of("127.0.0.1:0")));
     const Socket idle = dial(acceptor.address()), reader = dial(acceptor.address());
     idle.send_all(kHello);
     const StreamId stuck = next<core_event::StreamOpened>().stream;
--- a/tests/processes_test.cpp
+++ b/tests/processes_test.cpp
@@ -21,10 +21,9 @@
 // A port that was free a moment ago, on a loopback address of the process's own, so that none takes
 // another's.
 Address free_address(int number) {
-    std::string why;
     const Socket socket =
-        Socket::listening(*address_of("127.0.1." + std::to_string(number + 1) + ":0"), why);
-    REQUIRE(socket.open());
+        Socket::listen(*address_of("127.0.1." + std::to_string(number + 1) + ":0")).value();
+    REQUIRE(socket.is_open());
     return socket.local();
 }
 
--- a/tests/program_helpers.hpp
+++ b/tests/program_helpers.hpp
@@ -78,10 +78,10 @@
     PlannerProcess program;
     std::future<int> code;
     explicit Running(const std::string& discovery = "") : Running(discovery, start_file("")) {}
-    Running(const std::string& discovery, StartConfiguration start, WatchPatience patience = {},
+    Running(const std::string& discovery, StartConfiguration start, WatchTimeouts timeouts = {},
             Clock clock = clock_now())
         : program(following(std::move(start), discovery), std::move(clock), quiet.log, &heard,
-                  &sync, patience),
+                  &sync, timeouts),
           code(beside([this] { return program.run(); })) {
         while (program.stage() != Stage::serving && program.stage() != Stage::failed) {
             std::this_thread::yield();
@@ -108,7 +108,7 @@
 // Reads orders until a mark comes that is to be answered: that mark.
 inline int read_mark(const Socket& proxy) {
     std::string text;
-    proxy.wait_at_most(10s);
+    proxy.set_receive_timeout(10s);
     for (char c; proxy.receive(&c, 1) == 1;) {
         text += c;
         if (const auto at = text.find("nonce_out="); c == '\n' && at != std::string::npos) {
--- a/tests/short_days_test.cpp
+++ b/tests/short_days_test.cpp
@@ -110,10 +110,10 @@
     Discovery discovery({kWatch + chunk(kDrain), kWatch,
                          kWatch + chunk(list_of(44, true, removed ? gone : still)) + chunk("\n")});
     discovery.begin();
-    WatchPatience patience;
-    patience.silence = 150ms, patience.first_wait = 1ms, patience.longest_wait = 20ms;
+    WatchTimeouts timeouts;
+    timeouts.idle = 150ms, timeouts.initial_backoff = 1ms, timeouts.max_backoff = 20ms;
     Running planner(text_of(discovery.listener.local()),
-                    started_with("", {{"s-1"}, {"s-2"}, {"s-3"}}), patience);
+                    started_with("", {{"s-1"}, {"s-2"}, {"s-3"}}), timeouts);
     Proxies proxies = joined(planner.program, 4);
     require_drained(proxies, "s-1");
     const auto since = steady_clock::now();
@@ -143,8 +143,7 @@
     const bool has_spoken = GENERATE(false, true);
     Base base;
     Acceptor acceptor(base.context(), 40, 20);
-    std::string why;
-    REQUIRE(acceptor.open(*address_of("127.0.0.1:0"), why));
+    REQUIRE(acceptor.open(*address_of("127.0.0.1:0")));
     const Socket good = dial(acceptor.address());
     good.send_all(hello(1));
     const StreamId stream = base.next<core_event::StreamOpened>().stream;
@@ -182,7 +181,7 @@
             good_has_left |= left != nullptr && left->stream == stream;
         }
     }
-    acceptor.shut();
+    acceptor.shutdown();
     CHECK(usages == kTimes);
     CHECK(begun <= (has_spoken ? kTimes : 0));
     CHECK(over == begun + 1);  // each that joined has left, and so has the good one
@@ -192,13 +191,12 @@
     Base,
     "a discovery that resets right after accept is dialled again, from the version that is held") {
     const SyncPoint point = GENERATE(SyncPoint::watch_connected, SyncPoint::watch_asked);
-    std::string why;
-    const Socket listener = Socket::listening(*address_of("127.0.0.1:0"), why);
-    REQUIRE(listener.open());
-    DiscoveryWatch::Patience patience;
-    patience.first_wait = 1ms, patience.longest_wait = 20ms;
+    const Socket listener = Socket::listen(*address_of("127.0.0.1:0")).value();
+    REQUIRE(listener.is_open());
+    WatchTimeouts timeouts;
+    timeouts.initial_backoff = 1ms, timeouts.max_backoff = 20ms;
     DiscoveryWatch watch("d", listener.local(), names, 41, kListBytes, pool, inbox, quiet.log,
-                         patience, &sync);
+                         timeouts, &sync);
     sync.hold(point);
     REQUIRE(watch.start());
     sync.await(point);
@@ -214,9 +212,8 @@
 }
 
 TEST_CASE_METHOD(Base, "a server that resets right after accept has not answered its probe") {
-    std::string why;
-    const Socket server = Socket::listening(*address_of("127.0.0.1:0"), why);
-    REQUIRE(server.open());
+    const Socket server = Socket::listen(*address_of("127.0.0.1:0")).value();
+    REQUIRE(server.is_open());
     Prober prober(pool, inbox, clock_now(), &sync);
     sync.hold(SyncPoint::probe_connected);
     prober.ask({"s-1"}, text_of(server.local()));
@@ -231,8 +228,7 @@
 TEST_CASE_METHOD(Base, "messages in single bytes and odd cuts count as those that come whole") {
     const std::vector<std::vector<std::size_t>> cuts{{1}, {2, 3, 1}, {7, 1, 30}, {1'000}};
     Acceptor acceptor(context(), 40, 20);
-    std::string why;
-    REQUIRE(acceptor.open(*address_of("127.0.0.1:0"), why));
+    REQUIRE(acceptor.open(*address_of("127.0.0.1:0")));
     struct Peer {
         Socket socket;
         std::string rest;
@@ -325,7 +321,7 @@
         start.settings.proxy_count = kPlanners * kProxiesOfEach;
         start.bounds.proxies = start.settings.proxy_count;
         planners.push_back(std::make_unique<Running>(text_of(discovery.listener.local()), start,
-                                                     WatchPatience{}, clock_from_now()));
+                                                     WatchTimeouts{}, clock_from_now()));
     }
     Proxies proxies;
     for (int n = 0; n < kPlanners; ++n) {
