--- a/src/daemon/planner_process.cpp
+++ b/src/daemon/planner_process.cpp
@@ -43,7 +43,7 @@
 }
 
 PlannerProcess::PlannerProcess(StartConfiguration start, Clock clock, Log& log, Observer* observer,
-                               SyncPoints* sync, net::WatchPatience patience)
+                               SyncPoints* sync, net::WatchTimeouts timeouts)
     : start_(std::move(start)),
       clock_(std::move(clock)),
       log_(log),
@@ -62,7 +62,7 @@
       watch_(start_.discovery,
              start_.discovery.empty() ? net::Address{} : parse_discovery_address(start_.discovery),
              start_.names, start_.known.version, limits_.max_list_bytes, read_buffers_, inbox_,
-             log_, patience, sync),
+             log_, timeouts, sync),
       core_(start_.settings, start_.names, start_.seed, *this, log_, observer),
       sync_(sync) {}
 
@@ -118,9 +118,8 @@
     if (!start_.discovery.empty() && !watch_.start()) {
         return tl::unexpected(StartError{start_.listen, "no thread for discovery"});
     }
-    std::string reason;
-    if (!acceptor_.open(listen_, reason)) {
-        return tl::unexpected(StartError{start_.listen, reason});
+    if (const auto opened = acceptor_.open(listen_); !opened) {
+        return tl::unexpected(StartError{start_.listen, describe(opened.error())});
     }
     return {};
 }
@@ -165,12 +164,12 @@
 
 // All are asked to stop before any is waited for, so that one that hangs does not delay the others.
 void PlannerProcess::stop_drivers() {
-    acceptor_.begin_shut();
+    acceptor_.begin_shutdown();
     watch_.begin_stop();
     prober_.begin_stop();
     watch_.stop();
     prober_.stop();
-    acceptor_.shut();
+    acceptor_.shutdown();
 }
 
 void PlannerProcess::enter(LifecycleState state) {
--- a/src/daemon/planner_process.hpp
+++ b/src/daemon/planner_process.hpp
@@ -51,7 +51,7 @@
     /// `start.listen` or `start.discovery` is no address and port; an empty `start.discovery` means
     /// that lists come by handle() instead. `sync` is for tests.
     PlannerProcess(StartConfiguration start, Clock clock, Log& log, Observer* observer = nullptr,
-                   SyncPoints* sync = nullptr, net::WatchPatience patience = {});
+                   SyncPoints* sync = nullptr, net::WatchTimeouts timeouts = {});
 
     /// Serves until stop() is called. Returns the program's exit code: 0, or 1 if it failed. May be
     /// called once.
