--- a/src/decision/endpoint_tracker.hpp
+++ b/src/decision/endpoint_tracker.hpp
@@ -14,12 +14,16 @@
 
 /// Follows one endpoint and notifies the other components of changes. Not thread-safe.
 ///
-///              listed ready                  listed draining or gone; or unlisted, unless
-///   closed  ------------------>  open        it has answered and settings.unlisted_may_serve
-///      ^                          |          holds: then silent for the warm-up duration
-///      +--------------------------+
+///              listed as ready
+///     closed -------------------> open
+///       ^                          |
+///       +--------------------------+
+///          listed as draining, or withdrawn
 ///
-/// An endpoint is forgotten once it is closed and its phase is `gone`.
+/// A list that names the endpoint as gone, or a complete one that does not name it, withdraws it at
+/// once. Only if the settings let unlisted endpoints serve and it has answered before does it stay
+/// open, until it has been silent for the warm-up duration. An endpoint that is closed and gone is
+/// forgotten (EndpointStatus::gone).
 class EndpointTracker {
  public:
     /// All arguments must outlive the tracker.
@@ -30,9 +34,12 @@
           slice_assigner_(slice_assigner),
           admission_(admission) {}
 
+    /// A new start time begins a new incarnation: all evidence of the former one is dropped.
     void on(const EndpointListed& message);
     void on(const EndpointUnlisted&);
+    /// `report` is valid (validation.hpp).
     void on(const event::EndpointLoadReport& report);
+    /// Sends the evidence to the optimizer.
     void on(const EvidenceWindowClosed&);
 
     [[nodiscard]] const EndpointStatus& status() const { return status_; }
--- a/src/decision/mailbox.hpp
+++ b/src/decision/mailbox.hpp
@@ -18,7 +18,7 @@
     /// Keeps memory for `capacity_kept` messages while the mailbox is empty.
     explicit Mailbox(std::size_t capacity_kept = kCapacityKept) : capacity_kept_(capacity_kept) {}
 
-    // Constructs the variant in place: GCC 12 takes one that is moved for uninitialized.
+    // Constructs the variant in place: where one is moved, GCC 12 warns of uninitialized members.
     template <class Posted>
     void post(Posted&& message) {
         waiting_.emplace_back(std::forward<Posted>(message));
--- a/src/decision/weight_optimizer.hpp
+++ b/src/decision/weight_optimizer.hpp
@@ -25,7 +25,11 @@
 
     void on(const EndpointStatus& status);
     void on(const DemandEstimate& demand);
+    /// Moves the weights, if there is any evidence, and publishes. The endpoints have sent their
+    /// evidence before.
     void on(const OptimizerStep&);
+    /// Publishes if an endpoint has appeared, opened, closed, restarted, or started or ended its
+    /// probation.
     void on(const Tick&);
 
     Mailbox<EndpointStatus, Tick, DemandEstimate, OptimizerStep> mailbox;
@@ -42,7 +46,7 @@
     EvidenceEstimator evidence_{context_.settings};
     SlowStart slow_start_{context_};
     DemandEstimate demand_{};
-    bool publish_due_ = false;  // some endpoint has changed since the last tick
+    bool publish_due_ = false;  // at the next tick
 };
 
 }  // namespace micaroad::decision
