--- a/src/decision/mailbox.hpp
+++ b/src/decision/mailbox.hpp
@@ -18,15 +18,16 @@
     /// Keeps memory for `capacity_kept` messages while the mailbox is empty.
     explicit Mailbox(std::size_t capacity_kept = kCapacityKept) : capacity_kept_(capacity_kept) {}
 
-    // Constructs the variant in place: where one is moved, GCC 12 warns of uninitialized members.
+    // Constructs the variant in place: GCC 12 takes one that is moved for uninitialized.
     template <class Posted>
     void post(Posted&& message) {
         waiting_.emplace_back(std::forward<Posted>(message));
     }
 
-    bool empty() const { return waiting_.empty(); }
+    [[nodiscard]] bool empty() const { return waiting_.empty(); }
 
-    /// Calls `handle(message)` for each message, also for those that are posted meanwhile.
+    /// Calls `handle(message)` for each message, also for those that are posted meanwhile, and
+    /// leaves the mailbox empty. `handle` takes each of `Messages` and may post to this mailbox.
     template <class Handle>
     void deliver(Handle handle) {
         std::vector<Message> batch;
