--- a/src/decision/proxy_subsets.cpp
+++ b/src/decision/proxy_subsets.cpp
@@ -21,12 +21,12 @@
 
 void ProxySubsets::recount(const RoutingTables::PoolSet& pools) {
     for (const std::size_t pool : pools) {
-        recount(pool);
+        recount_pool(pool);
     }
     least_pool_parts_.clear();
 }
 
-void ProxySubsets::recount(std::size_t pool) {
+void ProxySubsets::recount_pool(std::size_t pool) {
     for (Subset& subset : subsets_) {
         subset.endpoint_count[pool] = 0;
         subset.wanted_weight[pool] = 0;
--- a/src/decision/proxy_subsets.hpp
+++ b/src/decision/proxy_subsets.hpp
@@ -86,7 +86,7 @@
     };
 
     void add_endpoint(const RoutingEntry& entry, double sign);
-    void recount(std::size_t pool);
+    void recount_pool(std::size_t pool);
 
     RoutingTables& tables_;
     std::vector<Subset> subsets_;
--- a/src/decision/routing_tables.hpp
+++ b/src/decision/routing_tables.hpp
@@ -74,11 +74,11 @@
     PoolSet hold_back(RoutingEntry& entry);
     /// The endpoint should be withdrawn since `due`; not `due`: it should not, or is already.
     void set_withdrawal_due(RoutingEntry& entry, bool is_due, TimePoint due);
-    /// The endpoint's withdrawal was sent once more, or is to be.
+    /// The next plan looks again whether the endpoint's withdrawal is to be repeated.
     void set_withdrawal_repeated(RoutingEntry& entry) { withdrawal_repeated_.insert(&entry); }
 
-    /// Withdraws or reinstates the endpoint at proxies that joined up to `last_join`. A repeated
-    /// withdrawal keeps the time of the first.
+    /// Notes that the endpoint's withdrawal or reinstatement was sent, to all proxies that joined
+    /// up to `last_join`. A repeated withdrawal keeps the time of the first.
     void set_availability_sent(RoutingEntry& entry, bool repeated, int last_join, TimePoint now);
     /// Follows a change of sent weights: the endpoint and its pools are to be planned anew.
     void on_weights_sent(RoutingEntry& entry);
--- a/src/decision/update_planner.cpp
+++ b/src/decision/update_planner.cpp
@@ -88,7 +88,7 @@
 void UpdatePlanner::rescale(const RoutingTables::PoolSet& pools) {
     const bool none_in_use_before = pools_in_use_ == 0;
     for (const std::size_t pool : pools) {
-        rescale(pool);
+        rescale_pool(pool);
     }
     if (none_in_use_before != (pools_in_use_ == 0)) {
         state_.tables.queue(state_.tables.changing_availability());  // their ranks change
@@ -97,7 +97,7 @@
 
 // Weights are relative: what many withdrawals do to all other endpoints alike needs no line. So
 // wanted weights are brought to the scale of those that proxies hold.
-void UpdatePlanner::rescale(std::size_t pool_index) {
+void UpdatePlanner::rescale_pool(std::size_t pool_index) {
     TablePool& pool = state_.tables.pools()[pool_index];
     double sent = 0;  // of the endpoints that stay in use
     double wanted = 0;
--- a/src/decision/update_planner.hpp
+++ b/src/decision/update_planner.hpp
@@ -32,7 +32,7 @@
     void adopt_published_weights(const RoutingTables::PoolSet& pools);
     [[nodiscard]] RoutingTables::PoolSet hold_back_among_overloaded();
     void rescale(const RoutingTables::PoolSet& pools);
-    void rescale(std::size_t pool_index);
+    void rescale_pool(std::size_t pool_index);
     void queue_withdrawals_to_repeat();
     void plan(RoutingEntry& entry);
     void plan_weight_changes(RoutingEntry& entry);
--- /dev/null
+++ b/tests/routing_tables_test.cpp
@@ -0,0 +1,201 @@
+// What the routing tables, the subsets and the set of unbound proxies keep, each by itself.
+#include "decision/routing_tables.hpp"
+
+#include <catch2/catch.hpp>
+#include <optional>
+#include <tuple>
+#include <vector>
+
+#include "decision/proxy_subsets.hpp"
+#include "decision/unbound_proxies.hpp"
+
+using namespace micaroad;
+using namespace micaroad::decision;
+
+namespace {
+
+constexpr ZoneId kFirstZone{0};
+constexpr ZoneId kSecondZone{1};
+
+const ServerId kServer{"ub-1"};
+const ServerId kOtherServer{"ub-2"};
+
+PoolBinding pool_of(int table) {
+    return {TableId{table}, {MethodId{0}}, std::nullopt};
+}
+
+/// Publishes a weight in one pool and sends it as it is.
+RoutingEntry& send_weight(RoutingTables& tables, const ServerId& server, std::size_t pool,
+                          double weight) {
+    RoutingEntry& entry = tables.find_or_add(server);
+    tables.set_published(entry, {{pool, weight}});
+    tables.update_counted(entry, [&] {
+        for (const PoolTableEntry& place : entry.table_entries) {
+            place.table_entry->wanted = place.table_entry->published;
+            place.table_entry->sent = place.table_entry->published;
+        }
+    });
+    tables.on_weights_sent(entry);
+    return entry;
+}
+
+event::ProxyJoined joined(int proxy, double rpcs_per_second, bool initial_table_only) {
+    event::ProxyJoined event{};
+    event.proxy = ProxyId{proxy};
+    event.rpcs_per_second = rpcs_per_second;
+    event.initial_table_only = initial_table_only;
+    return event;
+}
+
+}  // namespace
+
+TEST_CASE("pending changes are ordered by rank, key, server and pool, whole endpoints first") {
+    std::vector<PendingChange> changes;
+    for (const ChangeRank rank : {ChangeRank::urgent, ChangeRank::learnt, ChangeRank::cleanup}) {
+        for (const double key : {-1e6, -0.25, 0.0, 7.5}) {
+            for (const ServerId& server : {kServer, kOtherServer}) {
+                for (const std::optional<std::uint32_t> pool :
+                     {std::optional<std::uint32_t>{}, std::optional<std::uint32_t>{0},
+                      std::optional<std::uint32_t>{3}}) {
+                    changes.push_back({rank, key, server, pool});
+                }
+            }
+        }
+    }
+    const auto expected_order = [](const PendingChange& change) {
+        return std::tuple(static_cast<int>(change.rank), change.sort_key, change.server,
+                          change.pool ? static_cast<int>(*change.pool) : -1);
+    };
+    for (const PendingChange& one : changes) {
+        for (const PendingChange& other : changes) {
+            REQUIRE((one < other) == (expected_order(one) < expected_order(other)));
+        }
+    }
+}
+
+TEST_CASE("a withdrawal takes the place of the endpoint's changes of weights") {
+    RoutingTables tables;
+    tables.add_pool(pool_of(1));
+    tables.set_subset_count(1);
+    RoutingEntry& entry = send_weight(tables, kServer, 0, 0.5);
+    const PoolTableEntry place = entry.table_entries.front();
+    tables.plan_weight_change(place, {ChangeRank::learnt, -0.3});
+    tables.plan_weight_change(place, {ChangeRank::learnt, -0.2});  // in place of the first
+    REQUIRE(tables.first_change().sort_key == -0.2);
+    tables.plan_availability_change(entry, {ChangeRank::urgent, 9});
+    REQUIRE(tables.has_pending_changes());
+    CHECK(tables.first_change() == PendingChange{ChangeRank::urgent, 9, kServer, std::nullopt});
+    CHECK(tables.changing_availability().contains(&entry));
+    tables.take_first_change();
+    CHECK(!tables.has_pending_changes());
+    CHECK(tables.changing_availability().empty());
+}
+
+TEST_CASE("a binding counts a line for an entry, and one more where it is withdrawn or may be") {
+    RoutingTables tables;
+    tables.add_pool(pool_of(1));
+    tables.set_subset_count(1);
+    const double& lines = tables.pools().front().binding_lines.front();
+    RoutingEntry& entry = send_weight(tables, kServer, 0, 0.5);
+    CHECK(lines == 1);
+    send_weight(tables, kOtherServer, 0, 0.5);
+    CHECK(lines == 2);
+    tables.update_counted(entry, [&] { entry.may_be_withdrawn_at_proxies = true; });
+    CHECK(lines == 3);
+    tables.update_counted(entry, [&] { entry.withdrawn = true; });
+    CHECK(lines == 3);
+    tables.update_counted(entry, [&] { entry.table_entries.front().table_entry->sent = 0; });
+    CHECK(lines == 1);
+}
+
+TEST_CASE("of an endpoint that is forgotten nothing is kept, and its pools are looked at") {
+    RoutingTables tables;
+    tables.add_pool(pool_of(1));
+    tables.set_subset_count(1);
+    RoutingEntry& entry = send_weight(tables, kServer, 0, 0.5);
+    tables.set_withdrawal_due(entry, true, TimePoint{Duration{5}});
+    tables.set_tracked(entry, false, TimePoint{Duration{6}});
+    tables.set_warming_up(entry, true);
+    tables.set_failing(entry, true);
+    tables.plan_availability_change(entry, {ChangeRank::urgent, 5});
+    entry.table_entries.front().table_entry->sent = 0;
+    CHECK(tables.take_touched_pools(true) == RoutingTables::PoolSet{0});
+    tables.forget(entry);
+    CHECK(tables.find(kServer) == nullptr);
+    CHECK(tables.pools().front().entries.empty());
+    CHECK(!tables.has_pending_changes());
+    CHECK(tables.withdrawals_due().empty());
+    CHECK(tables.untracked().empty());
+    CHECK(tables.warming_up().empty());
+    CHECK(tables.failing().empty());
+    CHECK(tables.take_queued().empty());
+    CHECK(tables.take_touched_pools(true) == RoutingTables::PoolSet{0});
+}
+
+TEST_CASE("an endpoint that is held back is planned anew once weights are published") {
+    RoutingTables tables;
+    tables.add_pool(pool_of(1));
+    tables.set_subset_count(1);
+    RoutingEntry& entry = send_weight(tables, kServer, 0, 0.5);
+    CHECK(tables.hold_back(entry) == RoutingTables::PoolSet{0});
+    CHECK(entry.wanted() == 0);
+    CHECK(tables.take_touched_pools(false) == RoutingTables::PoolSet{0});  // as its weight was sent
+    CHECK(tables.take_touched_pools(false).empty());
+    CHECK(tables.take_touched_pools(true) == RoutingTables::PoolSet{0});
+    CHECK(tables.take_touched_pools(true).empty());
+}
+
+TEST_CASE("proxies with their initial table alone are bound first, then the busiest") {
+    UnboundProxies unbound;
+    unbound.add(joined(1, 10, false));
+    unbound.add(joined(2, 30, false));
+    unbound.add(joined(3, 5, true));
+    unbound.add(joined(4, 30, false));
+    std::vector<int> order;
+    while (!unbound.empty()) {
+        order.push_back(unbound.first().proxy.value);
+        unbound.remove(unbound.first().proxy);
+    }
+    CHECK(order == std::vector{3, 2, 4, 1});
+    CHECK(unbound.last_join() == 4);
+}
+
+TEST_CASE("a proxy counts for the subset that it is bound to, and for no other") {
+    RoutingTables tables;
+    tables.add_pool(pool_of(1));
+    ProxySubsets subsets{tables};
+    subsets.divide(2, 2);
+    CHECK(subsets[0].zone == kFirstZone);
+    CHECK(subsets[1].is_remote_to(kFirstZone));
+    const ProxyId proxy{7};
+    subsets.bind(proxy, {kFirstZone, 40, 0, true});
+    subsets.bind(proxy, {kFirstZone, 40, 1, false});
+    CHECK(subsets[0].proxies.empty());
+    CHECK(subsets[0].rpcs_per_second == 0);
+    CHECK(subsets[1].proxies.contains(proxy));
+    CHECK(subsets[1].rpcs_per_second == 40);
+    subsets.release(proxy);
+    subsets.release(proxy);  // who is not bound costs nothing
+    CHECK(subsets[1].proxies.empty());
+    CHECK(subsets[1].rpcs_per_second == 0);
+    CHECK(subsets.bound_proxies().empty());
+}
+
+TEST_CASE("a subset's part of a pool is counted by wanted weights of endpoints that are sent") {
+    RoutingTables tables;
+    tables.add_pool(pool_of(1));
+    ProxySubsets subsets{tables};
+    subsets.divide(2, 1);
+    tables.find_or_add(kOtherServer).subset = 1;
+    send_weight(tables, kServer, 0, 0.75);
+    RoutingEntry& other = send_weight(tables, kOtherServer, 0, 0.25);
+    subsets.recount({0});
+    CHECK(subsets.least_pool_part(0, kSecondZone) == 0.75);
+    CHECK(subsets.least_pool_part(1, kSecondZone) == 0.25);
+    CHECK(subsets[1].endpoint_count[0] == 1);
+    other.table_entries.front().table_entry->sent = 0;
+    subsets.recount({0});
+    CHECK(subsets.least_pool_part(0, kSecondZone) == 1);
+    CHECK(subsets.least_pool_part(1, kSecondZone) == 0);
+    CHECK(subsets[1].endpoint_count[0] == 0);
+}
