--- a/src/decision/update_sender.cpp
+++ b/src/decision/update_sender.cpp
@@ -33,14 +33,16 @@
     return static_cast<double>(unbound_joins.end() - std::ranges::upper_bound(unbound_joins, join));
 }
 
-void UpdateSender::Round::add_lines_to_all(double lines) {
-    for (double& its : subset_lines) {
-        its += lines;
+void UpdateSender::Round::add(const Cost& cost) {
+    for (std::size_t i = 0; i < subset_lines.size(); ++i) {
+        if (!cost.subset || *cost.subset == i) {
+            subset_lines[i] += cost.lines;
+        }
     }
-}
-
-void UpdateSender::Round::set_sent(ChangeRank rank) {
-    (rank == ChangeRank::urgent ? urgent_sent : learnt_sent) = true;
+    unbound_lines += unbound_after(cost.unbound_after_join);
+    first_notified_join = std::min(first_notified_join, cost.unbound_after_join);
+    notified_joins.push_back(cost.unbound_after_join);
+    (cost.rank == ChangeRank::urgent ? urgent_sent : learnt_sent) = true;
 }
 
 void UpdateSender::send() {
@@ -90,11 +92,12 @@
     if (!admission_.is_worth_sending(setting)) {
         return;
     }
-    const double lines = state_.admission_lines();
-    const ChangeRank rank = admission_.rank_of(setting);
-    if (!fits(round, {rank, lines, std::nullopt, state_.unbound_proxies.last_join()})) {
+    const Cost cost{admission_.rank_of(setting), state_.admission_lines(), std::nullopt,
+                    state_.unbound_proxies.last_join()};
+    if (!fits(round, cost)) {
         return;
     }
+    round.add(cost);
     admission_.set_sent(setting);
     std::vector<std::size_t> table_sets(state_.subsets.size());
     std::iota(table_sets.begin(), table_sets.end(), std::size_t{0});
@@ -105,8 +108,6 @@
             admission_.order_sent({&own_tables, 1}, state_.context.orders);
         }
     }
-    round.set_sent(rank);
-    round.add_lines_to_all(lines);
 }
 
 void UpdateSender::send_transfers(Round& round) {
@@ -115,8 +116,7 @@
         const OwnershipTransfer& transfer = transfers_.front();
         state_.context.orders.push_back(
             order::SetTableEntry{transfer.slice, transfer.server, transfer.weight});
-        round.add_lines_to_all(1);
-        round.set_sent(ChangeRank::urgent);
+        round.add(cost);
         transfers_.pop_front();
     }
 }
@@ -129,14 +129,10 @@
         if (!fits(round, cost)) {
             return;
         }
-        round.set_sent(change.rank);
+        round.add(cost);
         if (change.rank == ChangeRank::urgent) {
             state_.withdrawals.count = std::max(0, state_.withdrawals.count - 1);
         }
-        round.subset_lines[entry.subset] += cost.lines;
-        round.unbound_lines += round.unbound_after(cost.unbound_after_join);
-        round.first_notified_join = std::min(round.first_notified_join, cost.unbound_after_join);
-        round.notified_joins.push_back(cost.unbound_after_join);
         state_.tables.take_first_change();
         apply(entry, change.pool);
     }
--- a/src/decision/update_sender.hpp
+++ b/src/decision/update_sender.hpp
@@ -39,15 +39,15 @@
     struct Round {
         std::vector<int> unbound_joins;    ///< join numbers of the unbound proxies, ascending
         std::vector<double> subset_lines;  ///< for each proxy of a subset, by subset
-        std::vector<int> notified_joins;   ///< Cost::unbound_after_join of each change sent
+        std::vector<int> notified_joins;   ///< Cost::unbound_after_join of each update
         double unbound_lines = 0;          ///< for all unbound proxies
         int first_notified_join = 0;       ///< the least of notified_joins; else the last join
         bool urgent_sent = false;
         bool learnt_sent = false;
 
         [[nodiscard]] double unbound_after(int join) const;
-        void add_lines_to_all(double lines);
-        void set_sent(ChangeRank rank);
+        /// Counts an update that is written.
+        void add(const Cost& cost);
     };
 
     [[nodiscard]] Round begin_round() const;
