--- a/src/decision/admission_controller.hpp
+++ b/src/decision/admission_controller.hpp
@@ -14,9 +14,9 @@
 
 /// Estimates demand, and sheds load while the fleet as a whole is late.
 ///
-/// Guards against a fleet that is late as a whole (mechanism 3 of docs/design.md, which the
-/// original design leaves open). Once the median latency heads past the latency objective, it
-/// admits less than the fleet sustains, so that queues drain; while latencies are low it admits
+/// Guards against a fleet that is late as a whole; the original design leaves this open, and
+/// docs/design.md says what was chosen. Once the median latency heads past the latency objective,
+/// it admits less than the fleet sustains, so that queues drain; while latencies are low it admits
 /// more from look to look. The least critical methods are shed first. It could harm where load is
 /// not the reason of the latency; hence a floor under the admitted fraction.
 ///
--- a/src/decision/messages.hpp
+++ b/src/decision/messages.hpp
@@ -4,7 +4,6 @@
 
 #include <cstddef>
 #include <optional>
-#include <tuple>
 #include <utility>
 #include <vector>
 
@@ -13,25 +12,26 @@
 
 namespace micaroad::decision {
 
-/// A list names the server.
+/// A list names the tracker's server.
 struct EndpointListed {
     ListedEndpoint entry;
     bool in_first_list = false;  ///< in the first list that the planner got
 };
 
-/// A complete list does not name the server.
+/// A complete list does not name the tracker's server.
 struct EndpointUnlisted {};
 
-/// The evidence for one optimizer step is complete.
+/// The evidence for one optimizer step is complete: trackers pass it on and fade what they keep.
 struct EvidenceWindowClosed {};
 
-/// Moves the weights by one step.
+/// Asks the weight optimizer to move the weights by one step.
 struct OptimizerStep {};
 
-/// All messages of this decision have been delivered; act on what waits.
+/// Time has passed. Each component but the trackers gets one in each decide(), after the trackers
+/// have run; the update scheduler handles it last of all.
 struct Tick {};
 
-/// Asks discovery for lists once more.
+/// Discovery is to be asked for lists once more.
 struct RenewSubscription {};
 
 /// What an endpoint tracker knows of its server. The sums fade from window to window.
@@ -55,20 +55,22 @@
     ZoneId server_zone;
 };
 
-/// A server whose published figures have changed.
+/// What the weight optimizer wants of one server. Sent when its shares or its state may have
+/// changed.
 struct DesiredWeights {
     ServerId server;
     ZoneId zone;
-    std::vector<std::pair<std::size_t, double>> shares;  ///< by pool; shares of 0 are left out
-    bool steady = false;                                 ///< as EndpointStatus::steady
-    bool cold = false;                                   ///< still warming up
-    bool last = false;  ///< the server is gone; no further message names it
+    std::vector<std::pair<std::size_t, double>>
+        shares;           ///< pool number, part of the pool's traffic; without shares of 0
+    bool steady = false;  ///< as EndpointStatus::steady
+    bool cold = false;    ///< still warming up
+    bool last = false;    ///< the server is gone; no further message names it
 };
 
-/// Follows the DesiredWeights of all servers whose figures have changed.
+/// Follows the DesiredWeights of all servers that one publication of the weight optimizer changes.
 struct WeightsPublished {
-    bool any_cold = false;
-    bool any_server = false;
+    bool any_cold = false;    ///< an open server is still warming up
+    bool any_server = false;  ///< the weight optimizer holds servers
 };
 
 /// A slice's weight at an owner: 0 for the former owner, 1 for the new one.
@@ -78,24 +80,25 @@
     double weight = 0;
 };
 
-/// Methods that are open to the same servers share a pool; its table; the zone of its proxies if it
-/// has one.
+/// A pool: methods that the same servers execute. Sent once at the start, in the order of the pool
+/// numbers.
 struct PoolBinding {
-    TableId table;
+    TableId table;  ///< of the pool
     std::vector<MethodId> methods;
-    std::optional<ZoneId> zone;
+    std::optional<ZoneId> zone;  ///< only proxies of this zone use the pool
 };
 
 /// The traffic of all proxies, as far as this planner can tell.
 struct DemandEstimate {
-    RealVector rates;          ///< admitted RPCs of this planner's proxies, by method
+    RealVector rates;          ///< admitted RPCs of this planner's proxies, by method: a faded
+                               ///< count, of which only the proportions matter
     double all_over_ours = 1;  ///< load of all planners' proxies over that of this planner's
-    double announced = 0;      ///< RPCs per second that all proxies announced as they joined
+    double announced = 0;      ///< RPCs per second that all proxies are taken to have announced
 };
 
 /// The fraction of its RPCs that each method is to admit.
 struct AdmissionFractions {
-    RealVector amounts;
+    RealVector amounts;  ///< by method, 0 to 1
 };
 
 }  // namespace micaroad::decision
--- a/src/decision/planner.cpp
+++ b/src/decision/planner.cpp
@@ -45,8 +45,8 @@
     static constexpr TimerId kTimer{1};
 
     // Each component handles what the ones before it sent; none sends to one before it. Trackers
-    // run first, in the order in which they got their messages, and the scheduler last: its tick
-    // comes once it has handled all other messages of this decision.
+    // run first, in the order in which they got their first message, and the scheduler last: its
+    // tick comes once it has handled all other messages of this decision.
     void deliver_messages() {
         for (EndpointTracker* tracker : std::exchange(trackers_with_messages_, {})) {
             deliver(*tracker);
--- a/src/decision/slice_assigner.hpp
+++ b/src/decision/slice_assigner.hpp
@@ -11,8 +11,7 @@
 
 namespace micaroad::decision {
 
-/// Keeps each slice that is this planner's at an owner that may get traffic (mechanism 6 of
-/// docs/design.md).
+/// Keeps each slice that is this planner's at an owner that may get traffic.
 ///
 /// A slice stays with its owner until that one drains or is gone; there is no balancing. Where the
 /// settings allow a slice one owner at a time, a successor is chosen only once no write can take
