--- a/src/updates/update_builder.cpp
+++ b/src/updates/update_builder.cpp
@@ -1,81 +1,63 @@
 #include "updates/update_builder.hpp"
 
 #include <algorithm>
-#include <utility>
+#include <iterator>
 #include <variant>
 
 namespace micaroad {
 
-void UpdateBuilder::on_endpoint_list(const event::EndpointListUpdate& list) {
-    std::set<ServerId> named;
-    for (const ListedEndpoint& server : list.servers) {
-        named.insert(server.server);
-        server.phase == EndpointPhase::gone ? (void)listed_.erase(server.server)
-                                            : (void)listed_.insert(server.server);
-        const bool steady = server.phase == EndpointPhase::ready && !server.last_start;
-        if (!steady) {
-            steady_.erase(server.server);
-        } else if (!heard_any_) {
-            steady_.insert(server.server);
-        }
-    }
-    if (list.form == event::EndpointListUpdate::Form::complete) {
-        for (auto* set : {&steady_, &listed_}) {
-            std::erase_if(*set,
-                          [&named](const ServerId& server) { return !named.contains(server); });
-        }
+void UpdateBuilder::on_proxy_joined(ProxyId proxy) {
+    proxies_[proxy].joined = true;
+    if (method_count_ > 0) {
+        partly_bound_.insert(proxy);
     }
-    heard_any_ = true;
 }
 
-void UpdateBuilder::on_proxy_joined(ProxyId number) {
-    proxies_[number].here = true;
-    if (methods_ > 0) {
-        partly_bound_.insert(number);
-    }
-}
-
-// What it may not have got is taken for shut out, so that it is let back with its next line; the
-// rest it keeps.
-void UpdateBuilder::on_proxy_left(ProxyId number) {
-    const auto at = proxies_.find(number);
-    if (at == proxies_.end()) {
+void UpdateBuilder::on_proxy_left(ProxyId proxy) {
+    const auto found = proxies_.find(proxy);
+    if (found == proxies_.end()) {
         return;
     }
-    Proxy& proxy = at->second;
-    proxy.here = false;
-    for (const auto& [table, methods] : proxy.methods) {
-        users_[table].erase(number);
-    }
-    proxy.bound.clear();
-    proxy.methods.clear();
-    partly_bound_.erase(number);
-    proxy.unanswered.clear();
-    for (auto& [server, told] : proxy.told) {
-        told.out |= !told.sure, told.here = false;
+    Proxy& state = found->second;
+    state.joined = false;
+    for (const auto& [table, methods] : state.methods_by_table) {
+        proxies_bound_to_[table].erase(proxy);
+    }
+    state.tables.clear();
+    state.methods_by_table.clear();
+    state.unacknowledged.clear();
+    partly_bound_.erase(proxy);
+    for (auto& [server, notice] : state.notices) {
+        // The proxy may not have got the last notice, and then holds the one before. A server that
+        // may be withdrawn there counts as withdrawn, so that its next entry reinstates it.
+        notice.withdrawn |= !notice.acknowledged;
+        notice.on_this_stream = false;
     }
 }
 
-// A proxy applies in order: an answer stands for all that was written before it.
-bool UpdateBuilder::on_acknowledgement(ProxyId number, Nonce mark) {
-    const auto at = proxies_.find(number);
-    if (at == proxies_.end()) {
+bool UpdateBuilder::on_acknowledgement(ProxyId proxy, Nonce nonce) {
+    const auto found = proxies_.find(proxy);
+    if (found == proxies_.end()) {
         return false;
     }
-    auto& told = at->second.told;
-    auto& unanswered = at->second.unanswered;
-    const auto is_it = [&mark](const auto& said) { return said.first == mark; };
-    if (std::none_of(unanswered.begin(), unanswered.end(), is_it)) {
+    std::deque<SentUpdate>& unacknowledged = found->second.unacknowledged;
+    const auto acknowledged =
+        std::find_if(unacknowledged.begin(), unacknowledged.end(),
+                     [nonce](const SentUpdate& update) { return update.nonce == nonce; });
+    if (acknowledged == unacknowledged.end()) {
         return false;
     }
-    for (bool last = false; !last; unanswered.pop_front()) {
-        last = is_it(unanswered.front());
-        for (const ServerId& server : unanswered.front().second) {
-            const bool again =
-                std::any_of(std::next(unanswered.begin()), unanswered.end(),
-                            [&server](const auto& later) { return later.second.contains(server); });
-            if (!again) {
-                told[server].sure = true;
+    // A proxy applies updates in order: it acknowledges all before this one, too.
+    const std::size_t count = std::distance(unacknowledged.begin(), acknowledged) + 1;
+    for (std::size_t i = 0; i < count; ++i) {
+        const SentUpdate update = std::move(unacknowledged.front());
+        unacknowledged.pop_front();
+        for (const ServerId& server : update.servers) {
+            const bool has_later_notice = std::any_of(
+                unacknowledged.begin(), unacknowledged.end(),
+                [&server](const SentUpdate& later) { return later.servers.contains(server); });
+            if (!has_later_notice) {
+                found->second.notices[server].acknowledged = true;
             }
         }
     }
@@ -83,25 +65,22 @@
 }
 
 bool UpdateBuilder::forget(const ServerId& server) {
-    if (!withdrawn_.contains(server) && in_a_table(server)) {
+    if (!withdrawn_.contains(server) && in_any_table(server)) {
         return false;
     }
-    if (const auto at = tables_with_.find(server); at != tables_with_.end()) {
-        for (const TableId table : at->second) {
-            tables_.at(table).lines.erase(server);
+    if (const auto tables = tables_with_.extract(server)) {
+        for (const TableId table : tables.mapped()) {
+            tables_.at(table).entries.erase(server);
         }
-        tables_with_.erase(at);
     }
     withdrawn_.erase(server);
-    const auto told = told_of_.extract(server);
-    if (!told) {
-        return true;
-    }
-    for (const ProxyId number : told.mapped()) {
-        Proxy& proxy = proxies_.at(number);
-        proxy.told.erase(server);
-        for (auto& [mark, shut] : proxy.unanswered) {
-            shut.erase(server);
+    if (const auto proxies = proxies_with_notice_.extract(server)) {
+        for (const ProxyId number : proxies.mapped()) {
+            Proxy& proxy = proxies_.at(number);
+            proxy.notices.erase(server);
+            for (SentUpdate& update : proxy.unacknowledged) {
+                update.servers.erase(server);
+            }
         }
     }
     return true;
@@ -109,19 +88,12 @@
 
 std::vector<ProxyUpdate> UpdateBuilder::build_updates(const std::vector<Order>& orders) {
     for (const Order& order : orders) {
-        std::visit([this](const auto& o) { apply(o); }, order);
+        std::visit([this](const auto& any) { apply(any); }, order);
     }
     std::vector<ProxyUpdate> updates;
     for (auto& [number, update] : std::exchange(drafts_, {})) {
         if (update.nonce) {
-            auto& unanswered = proxies_[number].unanswered;
-            unanswered.emplace_back(*update.nonce, std::set<ServerId>{});
-            for (const auto& [server, out] : update.withdrawn) {
-                unanswered.back().second.insert(server);
-            }
-            if (unanswered.size() > kMostUnanswered) {
-                unanswered.pop_front();
-            }
+            await_acknowledgement(update);
         }
         updates.push_back(std::move(update));
     }
@@ -132,128 +104,130 @@
     return !std::holds_alternative<order::SendPeerMessage>(order);
 }
 
-void UpdateBuilder::apply(const order::SetTableEntry& o) {
-    if (o.weight > 0 && over(o.server)) {
-        return (void)++suppressed_orders_;
+void UpdateBuilder::apply(const order::SetTableEntry& order) {
+    const bool removes = !(order.weight > 0);
+    if (removes) {
+        remove_entry(order.table, order.server);
+    } else if (is_retired(order.server)) {
+        ++suppressed_orders_;
+        return;
+    } else {
+        set_entry(order.table, order.server, order.weight);
     }
-    o.weight > 0 ? add_line(o.table, o.server, o.weight) : remove_line(o.table, o.server);
-    for (const ProxyId number : users_[o.table]) {
+    for (const ProxyId number : proxies_bound_to_[order.table]) {
         Proxy& proxy = proxies_.at(number);
-        ProxyUpdate::Table& part = table_in(update_for(number), proxy.methods.at(o.table));
-        if (o.weight > 0) {
-            part.lines[o.server] = o.weight;
-            let_back_unless_open(number, proxy, o.server);
-        } else if (part.full) {
-            part.lines.erase(o.server);
+        ProxyUpdate::Table& table =
+            table_in(update_for(number), proxy.methods_by_table.at(order.table));
+        if (!removes) {
+            table.lines[order.server] = order.weight;
+            reinstate_unless_open(number, proxy, order.server);
+        } else if (table.full) {
+            table.lines.erase(order.server);
         } else {
-            part.lines[o.server] = 0;
+            table.lines[order.server] = 0;
         }
     }
 }
 
-void UpdateBuilder::apply(const order::ClearTable& o) {
-    Table& table = tables_[o.table];
-    while (!table.lines.empty()) {
-        remove_line(o.table, ServerId(table.lines.begin()->first));
-    }
-    tables_.erase(o.table);
-    for (const ProxyId number : users_[o.table]) {
-        const std::set<MethodId>& methods = proxies_.at(number).methods.at(o.table);
+void UpdateBuilder::apply(const order::ClearTable& order) {
+    for (const auto& [server, weight] : std::exchange(tables_[order.table].entries, {})) {
+        remove_from_index(order.table, server);
+    }
+    tables_.erase(order.table);
+    for (const ProxyId number : proxies_bound_to_[order.table]) {
+        const std::set<MethodId>& methods = proxies_.at(number).methods_by_table.at(order.table);
         ProxyUpdate& update = update_for(number);
         table_in(update, methods) = {methods, true, {}};
-        begin_levels(update, tables_[o.table], methods);
+        restart_admissions(update, tables_[order.table], methods);
     }
 }
 
-void UpdateBuilder::apply(const order::BindProxy& o) {
-    const auto at = proxies_.find(o.proxy);
-    if (at == proxies_.end() || !at->second.here) {
+void UpdateBuilder::apply(const order::BindProxy& order) {
+    const auto found = proxies_.find(order.proxy);
+    if (found == proxies_.end() || !found->second.joined) {
         return;
     }
-    Proxy& proxy = at->second;
-    ProxyUpdate& update = update_for(o.proxy);
-    const std::set<MethodId> methods = all_if_none(o.methods);
-    const Table& table = tables_[o.table];
-    const auto is_bound = [&proxy](MethodId method) { return proxy.bound.contains(method); };
-    if (std::any_of(methods.begin(), methods.end(), is_bound)) {  // or no part can be about them
-        for (ProxyUpdate::Table& other : update.tables) {
-            for (const MethodId method : methods) {
-                other.methods.erase(method);
-            }
-        }
-        std::erase_if(update.tables,
-                      [](const ProxyUpdate::Table& other) { return other.methods.empty(); });
+    Proxy& proxy = found->second;
+    ProxyUpdate& update = update_for(order.proxy);
+    const std::set<MethodId> methods = methods_or_all(order.methods);
+    const Table& table = tables_[order.table];
+    const auto is_bound = [&proxy](MethodId method) { return proxy.tables.contains(method); };
+    if (std::any_of(methods.begin(), methods.end(), is_bound)) {
+        remove_methods(update, methods);
     }
-    update.tables.push_back({methods, true, table.lines});
+    update.tables.push_back({methods, true, table.entries});
     for (const MethodId method : methods) {
-        use(o.proxy, proxy, method, o.table);
+        bind_method(order.proxy, proxy, method, order.table);
     }
-    begin_levels(update, table, methods);
-    for (const auto& [server, weight] : table.lines) {
-        withdrawn_.contains(server) ? tell_shut(o.proxy, proxy, server, true)
-                                    : let_back_unless_open(o.proxy, proxy, server);
+    restart_admissions(update, table, methods);
+    for (const auto& [server, weight] : table.entries) {
+        if (withdrawn_.contains(server)) {
+            notify(order.proxy, proxy, server, true);
+        } else {
+            reinstate_unless_open(order.proxy, proxy, server);
+        }
     }
 }
 
-void UpdateBuilder::apply(const order::SetAdmission& o) {
-    const std::set<MethodId> methods = all_if_none(o.methods);
+void UpdateBuilder::apply(const order::SetAdmission& order) {
+    const std::set<MethodId> methods = methods_or_all(order.methods);
+    Admissions& admissions = order.table ? tables_[*order.table].admissions : admissions_for_all_;
     for (const MethodId method : methods) {
-        (o.table ? tables_[*o.table].levels : for_all_)[method] = {o.amount, o.retry_policy};
+        admissions[method] = {order.amount, order.retry_policy};
     }
-    const auto tell = [&](ProxyId number, const Proxy& proxy) {
-        for (const MethodId method : methods) {
-            const auto at = proxy.bound.find(method);
-            if (o.table && (at == proxy.bound.end() || at->second != *o.table)) {
+    if (!order.table) {
+        for (const auto& [number, proxy] : proxies_) {
+            if (!proxy.joined) {
                 continue;
             }
-            static const Table kNone;
-            const auto level =
-                level_of(at == proxy.bound.end() ? kNone : tables_[at->second], method);
-            update_for(number).admissions[method] = *level;
-        }
-    };
-    if (o.table) {
-        for (const ProxyId number : users_[*o.table]) {
-            tell(number, proxies_.at(number));
+            for (const MethodId method : methods) {
+                set_admission(number, proxy, method);
+            }
         }
-    } else {
-        for (const auto& [number, proxy] : proxies_) {
-            if (proxy.here) {
-                tell(number, proxy);
+        return;
+    }
+    for (const ProxyId number : proxies_bound_to_[*order.table]) {
+        const Proxy& proxy = proxies_.at(number);
+        for (const MethodId method : proxy.methods_by_table.at(*order.table)) {
+            if (methods.contains(method)) {
+                set_admission(number, proxy, method);
             }
         }
     }
 }
 
-void UpdateBuilder::apply(const order::SetWithdrawn& o) {
-    if (!o.withdrawn && over(o.server)) {
-        return (void)++suppressed_orders_;
+void UpdateBuilder::apply(const order::SetWithdrawn& order) {
+    if (order.withdrawn) {
+        withdrawn_.insert(order.server);
+    } else if (is_retired(order.server)) {
+        ++suppressed_orders_;
+        return;
+    } else {
+        withdrawn_.erase(order.server);
     }
-    o.withdrawn ? (void)withdrawn_.insert(o.server) : (void)withdrawn_.erase(o.server);
     std::set<ProxyId> holders = partly_bound_;
-    if (const auto at = tables_with_.find(o.server); at != tables_with_.end()) {
-        for (const TableId table : at->second) {
-            const auto& users = users_[table];
-            holders.insert(users.begin(), users.end());
+    if (const auto found = tables_with_.find(order.server); found != tables_with_.end()) {
+        for (const TableId table : found->second) {
+            const std::set<ProxyId>& bound = proxies_bound_to_[table];
+            holders.insert(bound.begin(), bound.end());
         }
     }
     for (const ProxyId number : holders) {
-        tell_shut(number, proxies_.at(number), o.server, o.withdrawn);
+        notify(number, proxies_.at(number), order.server, order.withdrawn);
     }
 }
 
-void UpdateBuilder::apply(const order::SendNonce& o) {
-    for (const auto& [number, proxy] : proxies_) {
-        if (!o.to_all) {
-            break;
-        }
-        if (proxy.here) {
-            update_for(number);
+void UpdateBuilder::apply(const order::SendNonce& order) {
+    if (order.to_all) {
+        for (const auto& [number, proxy] : proxies_) {
+            if (proxy.joined) {
+                update_for(number);
+            }
         }
     }
     for (auto& [number, update] : drafts_) {
-        if (proxies_.at(number).here) {
-            update.nonce = o.nonce;
+        if (proxies_.at(number).joined) {
+            update.nonce = order.nonce;
         }
     }
 }
@@ -264,102 +238,146 @@
     return update;
 }
 
+/// The first of the update's tables whose methods are all among these; a new one if there is none.
 ProxyUpdate::Table& UpdateBuilder::table_in(ProxyUpdate& update,
                                             const std::set<MethodId>& methods) {
-    for (ProxyUpdate::Table& part : update.tables) {
-        if (std::includes(methods.begin(), methods.end(), part.methods.begin(),
-                          part.methods.end())) {
-            return part;
+    for (ProxyUpdate::Table& table : update.tables) {
+        if (std::includes(methods.begin(), methods.end(), table.methods.begin(),
+                          table.methods.end())) {
+            return table;
         }
     }
     return update.tables.emplace_back(ProxyUpdate::Table{methods, false, {}});
 }
 
-void UpdateBuilder::begin_levels(ProxyUpdate& update, const Table& table,
-                                 const std::set<MethodId>& methods) const {
+/// Drops what the update has for these methods so far: a new binding replaces it.
+void UpdateBuilder::remove_methods(ProxyUpdate& update, const std::set<MethodId>& methods) {
+    for (ProxyUpdate::Table& table : update.tables) {
+        for (const MethodId method : methods) {
+            table.methods.erase(method);
+        }
+    }
+    std::erase_if(update.tables,
+                  [](const ProxyUpdate::Table& table) { return table.methods.empty(); });
+}
+
+/// A full table makes the proxy forget the admissions of its methods: sends them again.
+void UpdateBuilder::restart_admissions(ProxyUpdate& update, const Table& table,
+                                       const std::set<MethodId>& methods) const {
     for (const MethodId method : methods) {
         update.admissions.erase(method);
-        if (const auto level = level_of(table, method)) {
-            update.admissions[method] = *level;
+        if (const auto admission = admission_of(table, method)) {
+            update.admissions[method] = *admission;
         }
     }
 }
 
-std::set<MethodId> UpdateBuilder::all_if_none(const std::vector<MethodId>& methods) const {
-    std::set<MethodId> all(methods.begin(), methods.end());
-    for (std::size_t m = 0; methods.empty() && m < methods_; ++m) {
-        all.insert(MethodId{static_cast<int>(m)});
+void UpdateBuilder::set_admission(ProxyId number, const Proxy& proxy, MethodId method) {
+    static const Table kNoTable;
+    const auto found = proxy.tables.find(method);
+    const Table& table = found == proxy.tables.end() ? kNoTable : tables_[found->second];
+    if (const auto admission = admission_of(table, method)) {
+        update_for(number).admissions[method] = *admission;
+    }
+}
+
+/// Withdraws or reinstates a server at a proxy, unless the same was sent on its stream: a stream
+/// loses nothing, and the line would be one too many.
+void UpdateBuilder::notify(ProxyId number, Proxy& proxy, const ServerId& server, bool withdrawn) {
+    const auto found = proxy.notices.find(server);
+    const bool is_known = found != proxy.notices.end() && found->second.on_this_stream &&
+                          found->second.withdrawn == withdrawn;
+    if (is_known) {
+        return;
+    }
+    update_for(number).withdrawn[server] = withdrawn;
+    proxy.notices[server] = {withdrawn, false, true};
+    proxies_with_notice_[server].insert(number);
+}
+
+/// An entry whose server the proxy may hold as withdrawn would have no effect.
+void UpdateBuilder::reinstate_unless_open(ProxyId number, Proxy& proxy, const ServerId& server) {
+    const auto found = proxy.notices.find(server);
+    const bool is_open =
+        found != proxy.notices.end() ? !found->second.withdrawn : listed_servers_.is_steady(server);
+    if (!is_open && !withdrawn_.contains(server)) {
+        notify(number, proxy, server, false);
+    }
+}
+
+void UpdateBuilder::await_acknowledgement(const ProxyUpdate& update) {
+    SentUpdate sent{*update.nonce, {}};
+    for (const auto& [server, withdrawn] : update.withdrawn) {
+        sent.servers.insert(server);
+    }
+    std::deque<SentUpdate>& unacknowledged = proxies_.at(update.proxy).unacknowledged;
+    unacknowledged.push_back(std::move(sent));
+    if (unacknowledged.size() > kMostUnacknowledged) {
+        unacknowledged.pop_front();
     }
-    return all;
 }
 
-void UpdateBuilder::use(ProxyId number, Proxy& proxy, MethodId method, TableId table) {
-    if (const auto old = proxy.bound.find(method); old != proxy.bound.end()) {
-        std::set<MethodId>& others = proxy.methods.at(old->second);
-        others.erase(method);
-        if (others.empty()) {
-            proxy.methods.erase(old->second);
-            users_[old->second].erase(number);
+void UpdateBuilder::bind_method(ProxyId number, Proxy& proxy, MethodId method, TableId table) {
+    if (const auto old = proxy.tables.find(method); old != proxy.tables.end()) {
+        std::set<MethodId>& methods = proxy.methods_by_table.at(old->second);
+        methods.erase(method);
+        if (methods.empty()) {
+            proxy.methods_by_table.erase(old->second);
+            proxies_bound_to_[old->second].erase(number);
         }
     }
-    proxy.bound[method] = table;
-    proxy.methods[table].insert(method);
-    users_[table].insert(number);
-    if (proxy.bound.size() >= methods_) {
+    proxy.tables[method] = table;
+    proxy.methods_by_table[table].insert(method);
+    proxies_bound_to_[table].insert(number);
+    if (proxy.tables.size() >= method_count_) {
         partly_bound_.erase(number);
     }
 }
 
-void UpdateBuilder::add_line(TableId table, const ServerId& server, double weight) {
-    tables_[table].lines[server] = weight;
+void UpdateBuilder::set_entry(TableId table, const ServerId& server, double weight) {
+    tables_[table].entries[server] = weight;
     tables_with_[server].insert(table);
 }
 
-void UpdateBuilder::remove_line(TableId table, const ServerId& server) {
-    if (tables_[table].lines.erase(server) == 0) {
+void UpdateBuilder::remove_entry(TableId table, const ServerId& server) {
+    if (tables_[table].entries.erase(server) == 0) {
         return;
     }
-    const auto at = tables_with_.find(server);
-    at->second.erase(table);
-    if (at->second.empty()) {
-        tables_with_.erase(at);
-    }
+    remove_from_index(table, server);
 }
 
-// Where both are set the lower amount holds, and the table's own way of trying again.
-std::optional<ProxyUpdate::Admission> UpdateBuilder::level_of(const Table& table,
-                                                              MethodId method) const {
-    const auto own = table.levels.find(method), all = for_all_.find(method);
-    if (own == table.levels.end() && all == for_all_.end()) {
-        return std::nullopt;
-    }
-    if (own == table.levels.end()) {
-        return all->second;
-    }
-    if (all == for_all_.end()) {
-        return own->second;
+void UpdateBuilder::remove_from_index(TableId table, const ServerId& server) {
+    const auto found = tables_with_.find(server);
+    found->second.erase(table);
+    if (found->second.empty()) {
+        tables_with_.erase(found);
     }
-    return ProxyUpdate::Admission{std::min(own->second.amount, all->second.amount),
-                                  own->second.retry_policy};
 }
 
-// Said twice on one stream it is one line too many: a stream loses nothing.
-void UpdateBuilder::tell_shut(ProxyId number, Proxy& proxy, const ServerId& server, bool out) {
-    const auto told = proxy.told.find(server);
-    if (told != proxy.told.end() && told->second.here && told->second.out == out) {
-        return;
+std::set<MethodId> UpdateBuilder::methods_or_all(const std::vector<MethodId>& methods) const {
+    std::set<MethodId> chosen(methods.begin(), methods.end());
+    if (methods.empty()) {
+        for (std::size_t method = 0; method < method_count_; ++method) {
+            chosen.insert(MethodId{static_cast<int>(method)});
+        }
     }
-    update_for(number).withdrawn[server] = out;
-    proxy.told[server] = {out, false, true};
-    told_of_[server].insert(number);
+    return chosen;
 }
 
-void UpdateBuilder::let_back_unless_open(ProxyId number, Proxy& proxy, const ServerId& server) {
-    const auto told = proxy.told.find(server);
-    const bool open = told != proxy.told.end() ? !told->second.out : steady_.contains(server);
-    if (!open && !withdrawn_.contains(server)) {
-        tell_shut(number, proxy, server, false);
-    }
+/// Where both an admission of the table and one for all are set, the lower amount holds, and the
+/// table's retry policy.
+std::optional<ProxyUpdate::Admission> UpdateBuilder::admission_of(const Table& table,
+                                                                  MethodId method) const {
+    const auto own = table.admissions.find(method);
+    const auto for_all = admissions_for_all_.find(method);
+    if (own == table.admissions.end()) {
+        return for_all == admissions_for_all_.end() ? std::nullopt : std::optional(for_all->second);
+    }
+    ProxyUpdate::Admission admission = own->second;
+    if (for_all != admissions_for_all_.end()) {
+        admission.amount = std::min(admission.amount, for_all->second.amount);
+    }
+    return admission;
 }
 
 }  // namespace micaroad
