--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -34,10 +34,10 @@
     FakeTransport transport;
     Core core{test::terms(), test::names(), 7, transport, quiet.log};
 
-    void turn(std::vector<CoreEvent> arrivals = {}) {
+    void process(std::vector<CoreEvent> events = {}) {
         std::vector<Inbox::Item> items;
-        for (auto& arrival : arrivals) {
-            items.push_back({clock.now(), std::move(arrival)});
+        for (auto& event : events) {
+            items.push_back({clock.now(), std::move(event)});
         }
         core.process(items, clock.now());
         core.record_lag(items, clock.now());
@@ -46,22 +46,23 @@
         const TimePoint end = clock.now() + Duration{ms * 10};
         while (core.next_due() && *core.next_due() <= end) {
             clock.tenths = core.next_due()->time_since_epoch().count();
-            turn();
+            process();
         }
         clock.tenths = end.time_since_epoch().count();
     }
-    static CoreEvent told(const std::string& text) {
+    static CoreEvent list_received(const std::string& text) {
         return core_event::EndpointListReceived{
             protocol::EndpointListReader(test::names()).read(text).value()};
     }
-    static CoreEvent begun(std::uint64_t stream, int proxy, bool standing = true) {
-        return core_event::StreamOpened{{stream}, {{proxy}, {0}, 5, standing}};
+    static CoreEvent stream_opened(std::uint64_t stream, int proxy,
+                                   bool initial_table_only = true) {
+        return core_event::StreamOpened{{stream}, {{proxy}, {0}, 5, initial_table_only}};
     }
-    std::string said(std::uint64_t stream) {
+    std::string take_written(std::uint64_t stream) {
         return std::exchange(transport.written[{stream}], "");
     }
-    bool names(std::uint64_t stream, const char* text) {
-        return said(stream).find(text) != std::string::npos;
+    bool writes(std::uint64_t stream, const char* text) {
+        return take_written(stream).find(text) != std::string::npos;
     }
 };
 
@@ -75,95 +76,99 @@
 
 TEST_CASE("a joined proxy is bound; of a replaced stream nothing counts any more") {
     CoreFixture fixture;
-    fixture.turn({CoreFixture::told(test::kList)});
-    fixture.turn({CoreFixture::begun(1, 3)});
-    CHECK(fixture.names(1, "full=1 endpoints=s-1:"));
+    fixture.process({CoreFixture::list_received(test::kList)});
+    fixture.process({CoreFixture::stream_opened(1, 3)});
+    CHECK(fixture.writes(1, "full=1 endpoints=s-1:"));
     // The new stream comes before the old one's end, and both at once.
-    fixture.turn({CoreFixture::begun(5, 3, false), core_event::StreamClosed{{1}, "reset"}});
+    fixture.process(
+        {CoreFixture::stream_opened(5, 3, false), core_event::StreamClosed{{1}, "reset"}});
     CHECK(fixture.transport.closed == std::vector<StreamId>{{1}});
-    CHECK(fixture.names(5, "full=1 endpoints=s-1:"));
+    CHECK(fixture.writes(5, "full=1 endpoints=s-1:"));
     // An older connection whose first line was read late, then its end.
-    fixture.turn({CoreFixture::begun(4, 3), core_event::StreamClosed{{4}, "its end"}});
+    fixture.process({CoreFixture::stream_opened(4, 3), core_event::StreamClosed{{4}, "its end"}});
     CHECK(fixture.transport.closed.back() == StreamId{4});
     fixture.run(1'000);
-    fixture.turn({CoreFixture::told(change(42, "draining"))});
-    CHECK(fixture.names(5, "eject=s-1"));
-    CHECK((fixture.said(1).empty() && fixture.said(4).empty()));
-    fixture.turn({core_event::StreamClosed{{5}, "its end"}});
-    fixture.turn({CoreFixture::told(change(43, "up"))});
+    fixture.process({CoreFixture::list_received(change(42, "draining"))});
+    CHECK(fixture.writes(5, "eject=s-1"));
+    CHECK((fixture.take_written(1).empty() && fixture.take_written(4).empty()));
+    fixture.process({core_event::StreamClosed{{5}, "its end"}});
+    fixture.process({CoreFixture::list_received(change(43, "up"))});
     fixture.run(1'000);
-    CHECK(fixture.said(5).empty());
+    CHECK(fixture.take_written(5).empty());
 }
 
 TEST_CASE("what an earlier life shut out is let back once its proxy is taken back") {
     CoreFixture fixture;
     const auto start =
         fixture.clock.now().time_since_epoch().count() / 10 - 60'000;  // ms; warm by now
-    fixture.turn({CoreFixture::told(test::kList), CoreFixture::told(change(42, "up", start))});
-    fixture.turn({CoreFixture::begun(1, 3, false)});
-    CHECK(fixture.names(1, "restore=s-1"));
+    fixture.process({CoreFixture::list_received(test::kList),
+                     CoreFixture::list_received(change(42, "up", start))});
+    fixture.process({CoreFixture::stream_opened(1, 3, false)});
+    CHECK(fixture.writes(1, "restore=s-1"));
 }
 
 TEST_CASE(
     "changes of an older version are dropped; an entry that can't be used leaves what was known") {
     CoreFixture fixture;
-    fixture.turn({CoreFixture::told(test::kList), CoreFixture::begun(1, 0)});
-    fixture.said(1);
-    fixture.turn(
-        {CoreFixture::told(change(41, "draining")), CoreFixture::told(change(12, "removed"))});
+    fixture.process({CoreFixture::list_received(test::kList), CoreFixture::stream_opened(1, 0)});
+    fixture.take_written(1);
+    fixture.process({CoreFixture::list_received(change(41, "draining")),
+                     CoreFixture::list_received(change(12, "removed"))});
     fixture.run(500);
-    CHECK(!fixture.names(1, "eject"));
+    CHECK(!fixture.writes(1, "eject"));
     std::string odd = test::kList;
     odd.replace(odd.find("\"up\""), 4, "\"??\"");
-    fixture.turn({CoreFixture::told(odd)});
+    fixture.process({CoreFixture::list_received(odd)});
     fixture.run(500);
-    CHECK(!fixture.names(1, "eject"));
+    CHECK(!fixture.writes(1, "eject"));
     const auto without = test::kList.substr(test::kList.find("{\"id\":\"s-2"));
-    fixture.turn({CoreFixture::told(R"({"version":50,"full":true,"servers":[)" + without)});
+    fixture.process(
+        {CoreFixture::list_received(R"({"version":50,"full":true,"servers":[)" + without)});
     fixture.run(500);
-    CHECK(fixture.names(1, "eject=s-1"));
+    CHECK(fixture.writes(1, "eject=s-1"));
 }
 
 TEST_CASE("a lost watch changes nothing, and the end is heard") {
     CoreFixture fixture;
-    fixture.turn({CoreFixture::told(test::kList), CoreFixture::begun(1, 0)});
-    fixture.said(1);
-    fixture.turn({core_event::WatchLost{},
-                  core_event::HealthCheckCompleted{{{"s-9"}, true, Duration{5}}},
-                  core_event::StreamAcknowledged{{9}, {{0}, {0}}}});
+    fixture.process({CoreFixture::list_received(test::kList), CoreFixture::stream_opened(1, 0)});
+    fixture.take_written(1);
+    fixture.process({core_event::WatchLost{},
+                     core_event::HealthCheckCompleted{{{"s-9"}, true, Duration{5}}},
+                     core_event::StreamAcknowledged{{9}, {{0}, {0}}}});
     fixture.run(3'000);
-    CHECK(!fixture.names(1, "eject"));
+    CHECK(!fixture.writes(1, "eject"));
     CHECK(!fixture.core.stopping());
-    fixture.turn({core_event::StopRequested{}});
+    fixture.process({core_event::StopRequested{}});
     CHECK(fixture.core.stopping());
 }
 
 TEST_CASE(
     "a reload asks for another discovery; lists that count anew lose no server and revive none") {
     CoreFixture fixture;
-    fixture.turn({CoreFixture::told(test::kList), CoreFixture::begun(1, 0),
-                  CoreFixture::told(change(50, "removed"))});
-    CHECK(fixture.names(1, "s-2:"));
-    fixture.turn({core_event::ConfigurationReloaded{{"127.0.0.1:9", {"limits"}}}});
+    fixture.process({CoreFixture::list_received(test::kList), CoreFixture::stream_opened(1, 0),
+                     CoreFixture::list_received(change(50, "removed"))});
+    CHECK(fixture.writes(1, "s-2:"));
+    fixture.process({core_event::ConfigurationReloaded{{"127.0.0.1:9", {"limits"}}}});
     CHECK(fixture.transport.followed == "127.0.0.1:9");
     fixture.run(3'000);
-    CHECK(!fixture.names(1, "eject=s-2"));
-    fixture.turn({CoreFixture::told(change(50, "up"))});
+    CHECK(!fixture.writes(1, "eject=s-2"));
+    fixture.process({CoreFixture::list_received(change(50, "up"))});
     CHECK(fixture.transport.fetched == 0);
-    fixture.turn({CoreFixture::told(change(3, "up"))});
+    fixture.process({CoreFixture::list_received(change(3, "up"))});
     CHECK(fixture.transport.fetched == 1);
-    fixture.turn({CoreFixture::told(test::kList)});  // version 41, with the server that is gone
+    fixture.process(
+        {CoreFixture::list_received(test::kList)});  // version 41, with the server that is gone
     fixture.run(3'000);
-    CHECK(!fixture.names(1, "s-1:"));
+    CHECK(!fixture.writes(1, "s-1:"));
     const auto start = fixture.clock.now().time_since_epoch().count() / 10;
-    fixture.turn({CoreFixture::told(change(42, "up", start))});
+    fixture.process({CoreFixture::list_received(change(42, "up", start))});
     fixture.run(20'000);
-    CHECK(fixture.names(1, "s-1:"));
+    CHECK(fixture.writes(1, "s-1:"));
 }
 
 TEST_CASE("servers under ever new ids and streams that come and go leave nothing behind") {
     CoreFixture fixture;
-    fixture.turn({CoreFixture::told(test::kList)});
+    fixture.process({CoreFixture::list_received(test::kList)});
     std::uint64_t stream = 1;
     int number = 0;
     const auto entry = [](int n, const char* state) {
@@ -174,25 +179,26 @@
         for (const int end = number + seconds; number < end; ++number) {
             const std::string entries = entry(number, "up") + "," + entry(number - 4, "draining") +
                                         "," + entry(number - 8, "removed");
-            fixture.turn({CoreFixture::told(R"({"version":)" + std::to_string(100 + number) +
+            fixture.process(
+                {CoreFixture::list_received(R"({"version":)" + std::to_string(100 + number) +
                                             R"(,"full":false,"servers":[)" + entries + "]}"),
-                          CoreFixture::begun(++stream, number % 8, false),
-                          core_event::StreamAcknowledged{{stream - 1},
-                                                         {{(number + 7) % 8}, {number % 65'536}}},
-                          core_event::ReportReceived{
-                              event::EndpointLoadReport{{"n-" + std::to_string(number - 9)},
-                                                        {0},
-                                                        3,
-                                                        1,
-                                                        Duration{30},
-                                                        Duration{5'000}}},
-                          core_event::ReportReceived{
-                              event::EndpointLoadReport{{"n-" + std::to_string(number - 2)},
-                                                        {0},
-                                                        3,
-                                                        0,
-                                                        Duration{300},
-                                                        Duration{5'000}}}});
+                 CoreFixture::stream_opened(++stream, number % 8, false),
+                 core_event::StreamAcknowledged{{stream - 1},
+                                                {{(number + 7) % 8}, {number % 65'536}}},
+                 core_event::ReportReceived{
+                     event::EndpointLoadReport{{"n-" + std::to_string(number - 9)},
+                                               {0},
+                                               3,
+                                               1,
+                                               Duration{30},
+                                               Duration{5'000}}},
+                 core_event::ReportReceived{
+                     event::EndpointLoadReport{{"n-" + std::to_string(number - 2)},
+                                               {0},
+                                               3,
+                                               0,
+                                               Duration{300},
+                                               Duration{5'000}}}});
             fixture.run(1'000);
             fixture.transport.written.clear(), fixture.transport.closed.clear();
         }
@@ -201,9 +207,9 @@
     const std::size_t early = live(200), late = live(600);
     CHECK(late < early + 48 * 1024);
     // Who joins now is told of those that left lately, not of all that ever did.
-    fixture.turn({CoreFixture::begun(++stream, 5, false)});
+    fixture.process({CoreFixture::stream_opened(++stream, 5, false)});
     fixture.run(300);
-    const std::string told = fixture.said(stream);
+    const std::string told = fixture.take_written(stream);
     CHECK(told.find("n-" + std::to_string(number - 1)) != std::string::npos);
     CHECK(told.find("n-" + std::to_string(number - 30)) == std::string::npos);
 }
@@ -322,29 +328,30 @@
     "a list that belongs to another deployment is not mixed in, whole or in parts; one that has "
     "grown is") {
     CoreFixture fixture;
-    fixture.turn({CoreFixture::told(test::kList)});
-    fixture.turn({CoreFixture::begun(1, 3)});
-    fixture.said(1);
+    fixture.process({CoreFixture::list_received(test::kList)});
+    fixture.process({CoreFixture::stream_opened(1, 3)});
+    fixture.take_written(1);
     const auto entry = [](const std::string& id, const std::string& zone, const std::string& kind) {
         return R"({"id":")" + id + R"(","addr":"h:1","zone":")" + zone + R"(","kind":")" + kind +
                R"(","state":"up","weight":1,"started_ms":0})";
     };
     const auto list = [](int version, bool full, const std::string& entries) {
-        return CoreFixture::told(R"({"version":)" + std::to_string(version) + R"(,"full":)" +
-                                 (full ? "true" : "false") + R"(,"servers":[)" + entries + "]}");
+        return CoreFixture::list_received(R"({"version":)" + std::to_string(version) +
+                                          R"(,"full":)" + (full ? "true" : "false") +
+                                          R"(,"servers":[)" + entries + "]}");
     };
-    fixture.turn({list(900, false, entry("x-1", "hall-a", "m1"))});
+    fixture.process({list(900, false, entry("x-1", "hall-a", "m1"))});
     CHECK(fixture.transport.fetched == 1);
-    fixture.turn(
+    fixture.process(
         {list(900, true, entry("x-1", "hall-a", "m1") + "," + entry("x-2", "a", "type-b"))});
     fixture.run(3'000);
-    CHECK(fixture.said(1).find("x-") == std::string::npos);
-    fixture.turn(
-        {CoreFixture::told(change(42, "draining"))});  // its version has not been taken over either
-    CHECK(fixture.names(1, "eject=s-1"));
-    fixture.turn({list(43, true, entry("s-2", "b", "m2") + "," + entry("s-9", "hall-a", "m1"))});
+    CHECK(fixture.take_written(1).find("x-") == std::string::npos);
+    fixture.process({CoreFixture::list_received(
+        change(42, "draining"))});  // its version has not been taken over either
+    CHECK(fixture.writes(1, "eject=s-1"));
+    fixture.process({list(43, true, entry("s-2", "b", "m2") + "," + entry("s-9", "hall-a", "m1"))});
     fixture.run(6'000);
-    CHECK(fixture.names(1, "s-9"));
+    CHECK(fixture.writes(1, "s-9"));
 }
 
 namespace {
@@ -356,27 +363,27 @@
     test::HandClock clock;
     FakeTransport transport;
     Core core(settings, names, seed, transport, quiet.log);
-    const auto turn = [&](std::vector<CoreEvent> arrivals) {
+    const auto process = [&](std::vector<CoreEvent> events) {
         std::vector<Inbox::Item> items;
-        for (auto& arrival : arrivals) {
-            items.push_back({clock.now(), std::move(arrival)});
+        for (auto& event : events) {
+            items.push_back({clock.now(), std::move(event)});
         }
         core.process(items, clock.now());
     };
-    turn(
+    process(
         {core_event::EndpointListReceived{protocol::EndpointListReader(names).read(list).value()}});
     for (int p = 0; p < settings.proxy_count; ++p) {
-        turn({CoreFixture::begun(static_cast<std::uint64_t>(p) + 1, p, p % 2 == 0)});
+        process({CoreFixture::stream_opened(static_cast<std::uint64_t>(p) + 1, p, p % 2 == 0)});
     }
     for (int step = 0; step < 200; ++step) {
         clock.tenths += 1'000;
-        std::vector<CoreEvent> arrivals;
+        std::vector<CoreEvent> events;
         for (int m = 0; m < std::ssize(names.methods); ++m) {
-            arrivals.push_back(core_event::ReportReceived{event::DemandReport{
+            events.push_back(core_event::ReportReceived{event::DemandReport{
                 {step % settings.proxy_count}, {m}, 9.0 + m, 0, Duration{1'000}}});
         }
         for (const char* server : {"s-1", "s-2"}) {
-            arrivals.push_back(core_event::ReportReceived{
+            events.push_back(core_event::ReportReceived{
                 event::EndpointLoadReport{{server},
                                           {0},
                                           12,
@@ -384,7 +391,7 @@
                                           Duration{300 + step * 9 + server[2]},
                                           Duration{1'000}}});
         }
-        turn(std::move(arrivals));
+        process(std::move(events));
     }
     std::string all;
     for (const auto& [stream, text] : transport.written) {
