--- a/bench/scale/routing_run.cpp
+++ b/bench/scale/routing_run.cpp
@@ -122,8 +122,9 @@
         for (int k = i; k < i + kLookupsPerSample; ++k) {
             Limiter& limiter = limiters[callers[static_cast<std::size_t>(k)]];
             const RpcNumber rpc{static_cast<std::uint64_t>(k)};
-            admitted += limiter.ask(rpc, "here", TimePoint{}).verdict == Limiter::Verdict::runs;
-            (void)limiter.done(rpc, TimePoint{});
+            admitted +=
+                limiter.request(rpc, "here", TimePoint{}).outcome == Limiter::Outcome::admitted;
+            (void)limiter.finish(rpc);
         }
         ask_us.add((processor_seconds() - before) / kLookupsPerSample / kMicrosecond);
     }
--- a/src/routing/limiter.cpp
+++ b/src/routing/limiter.cpp
@@ -1,150 +1,182 @@
 #include "routing/limiter.hpp"
 
 #include <algorithm>
+#include <utility>
 
 namespace micaroad::routing {
 
-Limiter::Limiter(const Pool& pool) : most_(pool.connections_most), patience_(pool.queue_patience) {
+Limiter::Limiter(const Pool& pool)
+    : max_running_(pool.connections_most), queue_timeout_(pool.queue_patience) {
     for (const Server& server : pool.servers) {
-        limits_[server.name] = {server.connections_most, server.queue_most};
+        servers_[server.name] = {.max_running = server.connections_most,
+                                 .max_queued = server.queue_most};
     }
 }
 
-bool Limiter::has_room(const std::string& server) const {
-    const auto at = limits_.find(server);
-    if (at == limits_.end() || at->second.closed) {
+bool Limiter::is_known(RpcNumber rpc) const {
+    return running_.contains(rpc) || arrivals_.contains(rpc);
+}
+
+bool Limiter::server_has_capacity(const std::string& server) const {
+    const auto found = servers_.find(server);
+    if (found == servers_.end() || found->second.closed) {
         return false;
     }
-    return at->second.most == 0 || at->second.running < at->second.most;
+    const ServerState& state = found->second;
+    return state.max_running == 0 || state.running < state.max_running;
 }
 
-Limiter::Answer Limiter::run(RpcNumber rpc, const std::string& server) {
-    ++limits_.at(server).running;
-    runs_[rpc] = server;
-    return {rpc, Verdict::runs, server, {}};
+bool Limiter::pool_has_capacity() const {
+    return max_running_ == 0 || running() < max_running_;
 }
 
-Limiter::Answer Limiter::wait(RpcNumber rpc, Wait wait) {
-    if (wait.alone) {
-        ++limits_.at(wait.servers.front()).waiting;
-    }
-    const TimePoint until = wait.until;
-    places_[rpc] = next_;
-    waits_[next_++] = {rpc, std::move(wait)};
-    return {rpc, Verdict::waits, "", until};
+Limiter::Admission Limiter::admit(RpcNumber rpc, const std::string& server) {
+    ++servers_.at(server).running;
+    running_[rpc] = server;
+    return {.rpc = rpc, .outcome = Outcome::admitted, .server = server, .timeout_at = {}};
+}
+
+Limiter::Admission Limiter::reject(RpcNumber rpc, const std::string& server) {
+    return {.rpc = rpc, .outcome = Outcome::rejected, .server = server, .timeout_at = {}};
+}
+
+Limiter::Admission Limiter::enqueue(QueuedRpc queued) {
+    if (queued.in_server_queue) {
+        ++servers_.at(queued.servers.front()).queued;
+    }
+    const Admission admission{.rpc = queued.rpc,
+                              .outcome = Outcome::queued,
+                              .server = "",
+                              .timeout_at = queued.timeout_at};
+    arrivals_[queued.rpc] = next_arrival_;
+    queue_[next_arrival_] = std::move(queued);
+    ++next_arrival_;
+    return admission;
 }
 
-void Limiter::leave_queue(std::map<std::uint64_t, std::pair<RpcNumber, Wait>>::iterator at) {
-    const auto& [rpc, wait] = at->second;
-    if (wait.alone) {
-        --limits_.at(wait.servers.front()).waiting;
+void Limiter::dequeue(Queue::iterator position) {
+    const QueuedRpc& queued = position->second;
+    if (queued.in_server_queue) {
+        --servers_.at(queued.servers.front()).queued;
     }
-    places_.erase(rpc);
-    waits_.erase(at);
+    arrivals_.erase(queued.rpc);
+    queue_.erase(position);
 }
 
-// Nobody goes past those that wait: a newcomer runs at once only if nobody before it could have
-// taken the place.
-Limiter::Answer Limiter::ask(RpcNumber rpc, const std::string& server, TimePoint now) {
-    const auto at = limits_.find(server);
-    if (at == limits_.end() || at->second.closed || runs_.contains(rpc) || places_.contains(rpc)) {
-        return {rpc, Verdict::turned_away, server, {}};
+// Nobody overtakes those that wait: a newcomer is admitted at once only if nobody before it could
+// have taken the place.
+Limiter::Admission Limiter::request(RpcNumber rpc, const std::string& server, TimePoint now) {
+    const auto found = servers_.find(server);
+    if (found == servers_.end() || found->second.closed || is_known(rpc)) {
+        return reject(rpc, server);
     }
-    if (at->second.waiting == 0 && has_room(server) && pool_has_room()) {
-        return run(rpc, server);
+    const ServerState& state = found->second;
+    if (state.queued == 0 && server_has_capacity(server) && pool_has_capacity()) {
+        return admit(rpc, server);
     }
-    if (at->second.queue > 0 && at->second.waiting >= at->second.queue) {
-        return {rpc, Verdict::turned_away, server, {}};
+    if (state.max_queued > 0 && state.queued >= state.max_queued) {
+        return reject(rpc, server);
     }
-    return wait(rpc, {{server}, true, now + patience_});
+    return enqueue({.rpc = rpc,
+                    .servers = {server},
+                    .in_server_queue = true,
+                    .timeout_at = now + queue_timeout_});
 }
 
-Limiter::Answer Limiter::ask_any(RpcNumber rpc, const std::vector<std::string>& servers,
-                                 TimePoint now) {
-    if (servers.empty() || runs_.contains(rpc) || places_.contains(rpc)) {
-        return {rpc, Verdict::turned_away, "", {}};
+Limiter::Admission Limiter::request_any(RpcNumber rpc, const std::vector<std::string>& servers,
+                                        TimePoint now) {
+    if (servers.empty() || is_known(rpc)) {
+        return reject(rpc, "");
     }
     for (const std::string& server : servers) {
-        if (has_room(server) && pool_has_room()) {
-            return run(rpc, server);
+        if (server_has_capacity(server) && pool_has_capacity()) {
+            return admit(rpc, server);
         }
     }
-    return wait(rpc, {servers, false, now + patience_});
+    return enqueue({.rpc = rpc,
+                    .servers = servers,
+                    .in_server_queue = false,
+                    .timeout_at = now + queue_timeout_});
 }
 
-std::vector<Limiter::Answer> Limiter::done(RpcNumber rpc, TimePoint) {
-    if (const auto at = places_.find(rpc); at != places_.end()) {
-        leave_queue(waits_.find(at->second));
+std::vector<Limiter::Admission> Limiter::finish(RpcNumber rpc) {
+    if (const auto arrival = arrivals_.find(rpc); arrival != arrivals_.end()) {
+        dequeue(queue_.find(arrival->second));
         return {};  // it held no place that another waits for
     }
-    const auto at = runs_.find(rpc);
-    if (at == runs_.end()) {
+    const auto found = running_.find(rpc);
+    if (found == running_.end()) {
         return {};
     }
-    --limits_.at(at->second).running;
-    runs_.erase(at);
-    return admit();
+    --servers_.at(found->second).running;
+    running_.erase(found);
+    return admit_queued();
 }
 
-std::vector<Limiter::Answer> Limiter::admit() {
-    std::vector<Answer> answers;
-    for (auto at = waits_.begin(); at != waits_.end() && pool_has_room();) {
-        const auto here = at++;
-        const auto& [rpc, wait] = here->second;
-        const auto server = std::find_if(wait.servers.begin(), wait.servers.end(),
-                                         [this](const auto& s) { return has_room(s); });
-        if (server == wait.servers.end()) {
+// In the order of arrival, each at the first of its servers that has a place.
+std::vector<Limiter::Admission> Limiter::admit_queued() {
+    std::vector<Admission> admissions;
+    auto next = queue_.begin();
+    while (next != queue_.end() && pool_has_capacity()) {
+        const auto position = next;
+        ++next;
+        const QueuedRpc& queued = position->second;
+        const auto server = std::find_if(
+            queued.servers.begin(), queued.servers.end(),
+            [this](const std::string& candidate) { return server_has_capacity(candidate); });
+        if (server == queued.servers.end()) {
             continue;
         }
-        const RpcNumber number = rpc;
-        const std::string name = *server;
-        leave_queue(here);
-        answers.push_back(run(number, name));
+        const RpcNumber rpc = queued.rpc;
+        const std::string name = *server;  // dequeue() frees what it stands in
+        dequeue(position);
+        admissions.push_back(admit(rpc, name));
     }
-    return answers;
+    return admissions;
 }
 
-std::vector<Limiter::Answer> Limiter::close(const std::string& server,
-                                            const std::vector<std::string>& others, TimePoint) {
-    const auto limit = limits_.find(server);
-    if (limit == limits_.end() || limit->second.closed) {
+std::vector<Limiter::Admission> Limiter::close_server(const std::string& server,
+                                                      const std::vector<std::string>& others) {
+    const auto found = servers_.find(server);
+    if (found == servers_.end() || found->second.closed) {
         return {};
     }
-    limit->second.closed = true;
-    for (auto& [place, waiting] : waits_) {
-        Wait& wait = waiting.second;
-        if (!wait.alone || wait.servers.front() != server) {
+    ServerState& state = found->second;
+    state.closed = true;
+    for (auto& [arrival, queued] : queue_) {
+        if (!queued.in_server_queue || queued.servers.front() != server) {
             continue;
         }
-        --limit->second.waiting;
-        wait.alone = false, wait.servers = others;
+        --state.queued;
+        queued.in_server_queue = false;
+        queued.servers = others;
     }
-    return admit();
+    return admit_queued();
 }
 
-std::vector<Limiter::Answer> Limiter::open(const std::string& server) {
-    if (const auto at = limits_.find(server); at != limits_.end()) {
-        at->second.closed = false;
+std::vector<Limiter::Admission> Limiter::open_server(const std::string& server) {
+    if (const auto found = servers_.find(server); found != servers_.end()) {
+        found->second.closed = false;
     }
-    return admit();
+    return admit_queued();
 }
 
-std::vector<Limiter::Answer> Limiter::expire(TimePoint now) {
-    std::vector<Answer> answers;
-    while (!waits_.empty() && waits_.begin()->second.second.until <= now) {
-        answers.push_back({waits_.begin()->second.first, Verdict::turned_away, "", {}});
-        leave_queue(waits_.begin());
+std::vector<Limiter::Admission> Limiter::expire(TimePoint now) {
+    std::vector<Admission> rejections;
+    while (!queue_.empty() && queue_.begin()->second.timeout_at <= now) {
+        rejections.push_back(reject(queue_.begin()->second.rpc, ""));
+        dequeue(queue_.begin());
     }
-    return answers;
+    return rejections;
 }
 
-std::optional<TimePoint> Limiter::next_due() const {
-    return waits_.empty() ? std::nullopt : std::optional{waits_.begin()->second.second.until};
+std::optional<TimePoint> Limiter::next_timeout() const {
+    return queue_.empty() ? std::nullopt : std::optional{queue_.begin()->second.timeout_at};
 }
 
 int Limiter::running(const std::string& server) const {
-    const auto at = limits_.find(server);
-    return at == limits_.end() ? 0 : at->second.running;
+    const auto found = servers_.find(server);
+    return found == servers_.end() ? 0 : found->second.running;
 }
 
 }  // namespace micaroad::routing
--- a/src/routing/limiter.hpp
+++ b/src/routing/limiter.hpp
@@ -1,16 +1,14 @@
-// Who may run at a pool, who waits, who is turned away: connections at a server, at the pool,
-// queues and their patience. One object a pool, fed events with their instants; it keeps no clock
-// and names no RPC but by the caller's number.
-//
-// Guards against more work at a server than it bears and queues without end. It should refuse at
-// once what can't run in time: an RPC's answer is final when it is turned away. It could harm where
-// limits are under what servers bear: they are the operator's, and nothing here raises them.
+/// Concurrency limits of a pool: which RPCs may run, which wait in a queue, and which are rejected.
+///
+/// Guards against more work at a server than it can bear, and against queues without end: an RPC
+/// that can't run in time is rejected at once, and the rejection is final. The risk is a limit that
+/// is lower than what servers bear: limits are the operator's, and nothing here raises them.
 #pragma once
 
-#include <deque>
+#include <cstddef>
+#include <cstdint>
 #include <map>
 #include <optional>
-#include <set>
 #include <string>
 #include <vector>
 
@@ -18,68 +16,94 @@
 
 namespace micaroad::routing {
 
+/// The number of an RPC, which the caller chooses; unique among those that run or wait.
 using RpcNumber = Id<struct RpcNumberTag, std::uint64_t>;
 
+/// The limits of one pool: RPCs that run at once at a server and in the pool, and queues. It is
+/// given events with their time and has no clock. For one thread at a time.
+///
+///     request() --> admitted -----------finish()-------------------> forgotten
+///         |             ^                                                ^
+///         |             | a place is free: told by finish(), close_server(), open_server()
+///         |             |                                                |
+///         +-------> queued ------finish() (the client left), expire()----+
+///         |
+///         +-------> rejected (the queue is full, the server takes nothing new)
 class Limiter {
  public:
-    explicit Limiter(const Pool& pool);  // copies what it needs
+    enum class Outcome { admitted, queued, rejected };
 
-    enum class Verdict { runs, waits, turned_away };
-    struct Answer {
+    struct Admission {
         RpcNumber rpc;
-        Verdict verdict = Verdict::turned_away;
-        std::string server;
-        TimePoint until{};  // waits: then it is turned away
+        Outcome outcome = Outcome::rejected;
+        std::string server;    ///< admitted: where it runs; otherwise without meaning
+        TimePoint timeout_at;  ///< queued: when expire() rejects it
     };
 
-    // Wants to run at one server (its queue counts), or at any of the named ones in their order
-    // (the pool's queue).
-    Answer ask(RpcNumber rpc, const std::string& server, TimePoint now);
-    Answer ask_any(RpcNumber rpc, const std::vector<std::string>& servers, TimePoint now);
-    // One is done, or its client left; whoever may run now is named. Unknown numbers change
-    // nothing.
-    std::vector<Answer> done(RpcNumber rpc, TimePoint now);
-    // A server takes nothing new: those that wait for it alone may run at any of the others
-    // instead.
-    std::vector<Answer> close(const std::string& server, const std::vector<std::string>& others,
-                              TimePoint now);
-    std::vector<Answer> open(const std::string& server);
-    // Those whose patience is over, in the order of their coming.
-    std::vector<Answer> expire(TimePoint now);
-    std::optional<TimePoint> next_due() const;
-
-    int running(const std::string& server) const;
-    int running() const { return static_cast<int>(runs_.size()); }
-    std::size_t waiting() const { return waits_.size(); }
+    /// Copies what it needs of the pool.
+    explicit Limiter(const Pool& pool);
+
+    /// Asks to run at one server, with a place in that server's queue. Rejected if the server is
+    /// unknown or closed, its queue is full, or the RPC runs or waits already.
+    [[nodiscard]] Admission request(RpcNumber rpc, const std::string& server, TimePoint now);
+    /// Asks to run at any of these servers, the first that has a place, with a place in the pool's
+    /// queue. Rejected if there are none, or the RPC runs or waits already.
+    [[nodiscard]] Admission request_any(RpcNumber rpc, const std::vector<std::string>& servers,
+                                        TimePoint now);
+
+    /// An RPC has ended, or its client has left. Gives those that are admitted in its place;
+    /// nothing for an unknown number.
+    std::vector<Admission> finish(RpcNumber rpc);
+
+    /// A server takes nothing new. What waits in its queue may run at any of `others` instead;
+    /// gives those that are admitted.
+    std::vector<Admission> close_server(const std::string& server,
+                                        const std::vector<std::string>& others);
+    /// Undoes close_server(), and gives those that are admitted.
+    std::vector<Admission> open_server(const std::string& server);
+
+    /// Rejects those whose queue timeout is over, in the order of arrival.
+    [[nodiscard]] std::vector<Admission> expire(TimePoint now);
+    /// When expire() has something to reject next; absent while nobody waits.
+    [[nodiscard]] std::optional<TimePoint> next_timeout() const;
+
+    [[nodiscard]] int running(const std::string& server) const;
+    [[nodiscard]] int running() const { return static_cast<int>(running_.size()); }
+    [[nodiscard]] std::size_t waiting() const { return queue_.size(); }
 
  private:
-    struct Limit {
-        int most = 0, queue = 0;  // 0: none
-        int running = 0, waiting = 0;
+    struct ServerState {
+        int max_running = 0;  // 0: no limit
+        int max_queued = 0;   // 0: no limit
+        int running = 0;
+        int queued = 0;  // in its own queue
         bool closed = false;
     };
-    struct Wait {
-        std::vector<std::string> servers;  // in order of wish
-        bool alone = false;                // it waits in that server's own queue
-        TimePoint until{};
+    struct QueuedRpc {
+        RpcNumber rpc;
+        std::vector<std::string> servers;  // in order of preference
+        bool in_server_queue = false;      // of the first of them; otherwise in the pool's
+        TimePoint timeout_at;
     };
+    // By number of arrival, which is also the order of timeouts, as the pool has one for all.
+    using Queue = std::map<std::uint64_t, QueuedRpc>;
+
+    [[nodiscard]] bool is_known(RpcNumber rpc) const;
+    [[nodiscard]] bool server_has_capacity(const std::string& server) const;
+    [[nodiscard]] bool pool_has_capacity() const;
+    Admission admit(RpcNumber rpc, const std::string& server);
+    [[nodiscard]] static Admission reject(RpcNumber rpc, const std::string& server);
+    Admission enqueue(QueuedRpc queued);
+    void dequeue(Queue::iterator position);
+    std::vector<Admission> admit_queued();
 
-    bool has_room(const std::string& server) const;
-    bool pool_has_room() const { return most_ == 0 || running() < most_; }
-    Answer run(RpcNumber rpc, const std::string& server);
-    Answer wait(RpcNumber rpc, Wait wait);
-    void leave_queue(std::map<std::uint64_t, std::pair<RpcNumber, Wait>>::iterator at);
-    std::vector<Answer> admit();
-
-    const int most_;
-    const Duration patience_;
-    std::map<std::string, Limit> limits_;
-    std::map<RpcNumber, std::string> runs_;
-    // By order of coming, which is also the order in which patience ends, as it is one for the
-    // pool.
-    std::map<std::uint64_t, std::pair<RpcNumber, Wait>> waits_;
-    std::map<RpcNumber, std::uint64_t> places_;
-    std::uint64_t next_ = 0;
+    const int max_running_;
+    const Duration queue_timeout_;
+    std::map<std::string, ServerState> servers_;
+    std::map<RpcNumber, std::string> running_;  // where each runs
+    Queue queue_;
+    std::map<RpcNumber, std::uint64_t> arrivals_;  // of those in the queue
+    std::uint64_t next_arrival_ = 0;
 };
 
 }  // namespace micaroad::routing
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -4,6 +4,7 @@
 
 #include <catch2/catch.hpp>
 #include <random>
+#include <set>
 
 #include "micaroad/planner.hpp"
 #include "routing/health.hpp"
@@ -317,39 +318,38 @@
     web.servers[1].connections_most = 1;
     web.connections_most = 2, web.queue_patience = s(3);
     Limiter limiter(web);
-    using Verdict = Limiter::Verdict;
+    using Outcome = Limiter::Outcome;
     const std::vector<std::string> both{"a", "b"};
     const auto n = [](std::uint64_t number) { return RpcNumber{number}; };
-    CHECK(limiter.ask_any(n(1), both, kNow).server == "a");
-    CHECK(limiter.ask_any(n(2), both, kNow).server == "b");
-    CHECK(limiter.ask(n(3), "a", kNow).verdict == Verdict::waits);
-    CHECK(limiter.ask(n(4), "a", kNow).verdict == Verdict::turned_away);  // its queue is full
-    CHECK(limiter.ask_any(n(5), both, kNow + s(1)).until == kNow + s(4));
-    CHECK(limiter.ask_any(n(5), both, kNow).verdict ==
-          Verdict::turned_away);  // a number that is here already
-    auto run = limiter.done(n(1), kNow + s(1));
+    CHECK(limiter.request_any(n(1), both, kNow).server == "a");
+    CHECK(limiter.request_any(n(2), both, kNow).server == "b");
+    CHECK(limiter.request(n(3), "a", kNow).outcome == Outcome::queued);
+    CHECK(limiter.request(n(4), "a", kNow).outcome == Outcome::rejected);  // its queue is full
+    CHECK(limiter.request_any(n(5), both, kNow + s(1)).timeout_at == kNow + s(4));
+    CHECK(limiter.request_any(n(5), both, kNow).outcome ==
+          Outcome::rejected);  // a number that is here already
+    auto run = limiter.finish(n(1));
     REQUIRE(run.size() == 1);
     CHECK((run[0].rpc == n(3) && run[0].server == "a"));
     CHECK(limiter.expire(kNow + s(3.5)).empty());
-    CHECK(limiter.next_due() == kNow + s(4));
-    CHECK(limiter.done(n(3), kNow + s(2)).at(0).rpc == n(5));
+    CHECK(limiter.next_timeout() == kNow + s(4));
+    CHECK(limiter.finish(n(3)).at(0).rpc == n(5));
     // A server that takes nothing new gives its queue to the others.
-    CHECK(limiter.ask(n(6), "a", kNow + s(2)).verdict == Verdict::waits);
-    CHECK(limiter.close("a", {"b"}, kNow + s(2)).empty());
-    CHECK(limiter.ask(n(7), "a", kNow + s(2)).verdict == Verdict::turned_away);
-    CHECK(limiter.done(n(2), kNow + s(2)).at(0).server == "b");
-    CHECK(limiter.done(n(5), kNow + s(2)).empty());
-    CHECK(limiter.ask_any(n(8), both, kNow + s(2)).verdict == Verdict::waits);
-    CHECK(limiter.open("a").at(0).server == "a");
-    CHECK(limiter.done(n(99), kNow).empty());
+    CHECK(limiter.request(n(6), "a", kNow + s(2)).outcome == Outcome::queued);
+    CHECK(limiter.close_server("a", {"b"}).empty());
+    CHECK(limiter.request(n(7), "a", kNow + s(2)).outcome == Outcome::rejected);
+    CHECK(limiter.finish(n(2)).at(0).server == "b");
+    CHECK(limiter.finish(n(5)).empty());
+    CHECK(limiter.request_any(n(8), both, kNow + s(2)).outcome == Outcome::queued);
+    CHECK(limiter.open_server("a").at(0).server == "a");
+    CHECK(limiter.finish(n(99)).empty());
     // Patience, and those who leave while they wait.
-    CHECK(limiter.ask_any(n(10), both, kNow + s(5)).verdict == Verdict::waits);
-    CHECK(limiter.ask_any(n(11), both, kNow + s(6)).verdict == Verdict::waits);
-    CHECK(limiter.done(n(10), kNow + s(6)).empty());
+    CHECK(limiter.request_any(n(10), both, kNow + s(5)).outcome == Outcome::queued);
+    CHECK(limiter.request_any(n(11), both, kNow + s(6)).outcome == Outcome::queued);
+    CHECK(limiter.finish(n(10)).empty());
     const auto over = limiter.expire(kNow + s(9));
     REQUIRE(over.size() == 1);
-    CHECK((over[0].rpc == n(11) && over[0].verdict == Verdict::turned_away &&
-           limiter.waiting() == 0));
+    CHECK((over[0].rpc == n(11) && over[0].outcome == Outcome::rejected && limiter.waiting() == 0));
 }
 
 TEST_CASE("under any order of events no limit is passed, and nobody waits beside a free place") {
@@ -366,28 +366,28 @@
         std::set<RpcNumber> waits;
         TimePoint now = kNow;
         std::uint64_t next = 0;
-        const auto take = [&](const Limiter::Answer& answer) {
+        const auto take = [&](const Limiter::Admission& answer) {
             waits.erase(answer.rpc);
-            if (answer.verdict == Limiter::Verdict::runs) {
+            if (answer.outcome == Limiter::Outcome::admitted) {
                 REQUIRE(runs.emplace(answer.rpc, answer.server).second);
             }
-            if (answer.verdict == Limiter::Verdict::waits) {
+            if (answer.outcome == Limiter::Outcome::queued) {
                 waits.insert(answer.rpc);
             }
         };
         for (int i = 0; i < 400; ++i, now += s(0.05)) {
             const auto dice = chance() % 5;
             if (dice < 2) {
-                take(limiter.ask_any({++next}, {"c", "a", "b"}, now));
+                take(limiter.request_any({++next}, {"c", "a", "b"}, now));
             } else if (dice == 2) {
-                take(limiter.ask({++next}, std::string(1, static_cast<char>('a' + chance() % 3)),
-                                 now));
+                take(limiter.request({++next},
+                                     std::string(1, static_cast<char>('a' + chance() % 3)), now));
             } else if (!runs.empty() && dice == 3) {
                 const RpcNumber rpc =
                     std::next(runs.begin(), static_cast<std::ptrdiff_t>(chance() % runs.size()))
                         ->first;
                 runs.erase(rpc);
-                for (const auto& answer : limiter.done(rpc, now)) {
+                for (const auto& answer : limiter.finish(rpc)) {
                     take(answer);
                 }
             } else {
@@ -412,10 +412,10 @@
                     (web.connections_most == 0 || limiter.running() < web.connections_most);
                 if (room && server.name == "c") {
                     // Who waits for any server may run at c.
-                    const auto asked =
-                        limiter.ask_any({1'000'000 + static_cast<std::uint64_t>(i)}, {"c"}, now);
-                    REQUIRE(asked.verdict == Limiter::Verdict::runs);
-                    for (const auto& answer : limiter.done(asked.rpc, now)) {
+                    const auto asked = limiter.request_any(
+                        {1'000'000 + static_cast<std::uint64_t>(i)}, {"c"}, now);
+                    REQUIRE(asked.outcome == Limiter::Outcome::admitted);
+                    for (const auto& answer : limiter.finish(asked.rpc)) {
                         take(answer);
                     }
                 }
