--- /dev/null
+++ b/src/routing/health_tracker.cpp
@@ -0,0 +1,121 @@
+#include "routing/health_tracker.hpp"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+
+namespace micaroad::routing {
+namespace {
+
+std::string describe_reason(const ConsecutiveChecks& checks) {
+    return fmt::format("{} probes in a row were {}", checks.count, checks.healthy ? "ok" : "not");
+}
+
+std::string describe_reason(const ConsecutiveErrors& errors) {
+    return fmt::format("{} RPCs in a row failed there", errors.count);
+}
+
+}  // namespace
+
+std::string describe(const HealthChangeReason& reason) {
+    return std::visit([](const auto& concrete_reason) { return describe_reason(concrete_reason); },
+                      reason);
+}
+
+HealthTracker::HealthTracker(const Pool& pool, TimePoint now) : rule_(pool.health) {
+    std::vector<std::string> checked;
+    for (const Server& server : pool.servers) {
+        if (server.checked && server.health_of.empty()) {
+            checked.push_back(server.name);
+        }
+    }
+    const auto count = static_cast<Duration::rep>(checked.size());
+    for (std::size_t i = 0; i < checked.size(); ++i) {
+        const Duration offset = rule_.every * static_cast<Duration::rep>(i) / count;
+        servers_[checked[i]].next_check_at = now + offset;
+    }
+}
+
+Duration HealthTracker::check_interval(const ServerHealth& health) const {
+    if (health.contrary_checks > 0 && rule_.every_in_doubt > Duration{}) {
+        return rule_.every_in_doubt;
+    }
+    if (!health.up && rule_.every_while_down > Duration{}) {
+        return rule_.every_while_down;
+    }
+    return rule_.every;
+}
+
+std::vector<std::string> HealthTracker::take_due(TimePoint now) {
+    std::vector<std::string> due;
+    for (auto& [name, health] : servers_) {
+        if (health.next_check_at > now) {
+            continue;
+        }
+        due.push_back(name);
+        health.next_check_at = now + std::max(check_interval(health), rule_.patience);
+    }
+    return due;
+}
+
+std::optional<TimePoint> HealthTracker::next_due() const {
+    std::optional<TimePoint> first;
+    for (const auto& [name, health] : servers_) {
+        first = first ? std::min(*first, health.next_check_at) : health.next_check_at;
+    }
+    return first;
+}
+
+HealthChange HealthTracker::change(const std::string& server, ServerHealth& health, bool up,
+                                   TimePoint now, HealthChangeReason reason) {
+    health.up = up;
+    health.contrary_checks = 0;
+    health.consecutive_errors = 0;
+    return {.server = server, .up = up, .at = now, .reason = reason};
+}
+
+std::optional<HealthChange> HealthTracker::on_check_result(const std::string& server, bool healthy,
+                                                           TimePoint now) {
+    const auto found = servers_.find(server);
+    if (found == servers_.end()) {
+        return std::nullopt;
+    }
+    ServerHealth& health = found->second;
+    health.contrary_checks = healthy == health.up ? 0 : health.contrary_checks + 1;
+    const int required = health.up ? rule_.fall : rule_.rise;
+    std::optional<HealthChange> changed;
+    if (health.contrary_checks >= std::max(required, 1)) {
+        changed = change(server, health, healthy, now,
+                         ConsecutiveChecks{.count = required, .healthy = healthy});
+    }
+    health.next_check_at = now + check_interval(health);
+    return changed;
+}
+
+std::optional<HealthChange> HealthTracker::on_rpc_result(const std::string& server, bool succeeded,
+                                                         TimePoint now) {
+    const auto found = servers_.find(server);
+    if (found == servers_.end() || rule_.errors_most == 0 || !found->second.up) {
+        return std::nullopt;
+    }
+    ServerHealth& health = found->second;
+    health.consecutive_errors = succeeded ? 0 : health.consecutive_errors + 1;
+    if (health.consecutive_errors < rule_.errors_most) {
+        return std::nullopt;
+    }
+    health.next_check_at = std::min(health.next_check_at, now + check_interval(health));
+    return change(server, health, false, now, ConsecutiveErrors{.count = rule_.errors_most});
+}
+
+void HealthTracker::set_down(const std::string& server) {
+    if (const auto found = servers_.find(server); found != servers_.end()) {
+        found->second.up = false;
+    }
+}
+
+bool HealthTracker::is_up(const std::string& server) const {
+    const auto found = servers_.find(server);
+    return found == servers_.end() || found->second.up;
+}
+
+}  // namespace micaroad::routing
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -7,7 +7,7 @@
 #include <set>
 
 #include "micaroad/planner.hpp"
-#include "routing/health.hpp"
+#include "routing/health_tracker.hpp"
 #include "routing/limiter.hpp"
 #include "routing/roster.hpp"
 #include "routing/router.hpp"
@@ -456,27 +456,29 @@
     }
     web.health.every = s(2), web.health.every_in_doubt = s(1), web.health.every_while_down = s(5),
     web.health.fall = 3, web.health.rise = 2;
-    HealthBook book(web, kNow);
-    CHECK(book.take_due(kNow) == std::vector<std::string>{"a"});
-    CHECK(book.take_due(kNow).empty());
-    CHECK(book.take_due(kNow + s(1)) == std::vector<std::string>{"b"});  // spread over the interval
+    HealthTracker tracker(web, kNow);
+    CHECK(tracker.take_due(kNow) == std::vector<std::string>{"a"});
+    CHECK(tracker.take_due(kNow).empty());
+    CHECK(tracker.take_due(kNow + s(1)) ==
+          std::vector<std::string>{"b"});  // spread over the interval
     TimePoint now = kNow + s(2);
-    CHECK(!book.probed("a", false, now));
-    CHECK(book.next_due() == kNow + s(3));
-    CHECK(!book.probed("a", false, now));
-    const auto down = book.probed("a", false, now);
+    CHECK(!tracker.on_check_result("a", false, now));
+    CHECK(tracker.next_due() == kNow + s(3));
+    CHECK(!tracker.on_check_result("a", false, now));
+    const auto down = tracker.on_check_result("a", false, now);
     REQUIRE(down);
-    CHECK((!down->up && down->server == "a" && !book.up("a") && book.up("b")));
-    CHECK(!book.probed("a", true, now));
-    CHECK(!book.probed("a", false, now));  // two in a row are needed
-    CHECK(!book.probed("a", true, now));
-    CHECK(book.probed("a", true, now)->up);
-    CHECK((!book.probed("none", false, now) && !book.met("a", false, now)));
+    CHECK((!down->up && down->server == "a" && !tracker.is_up("a") && tracker.is_up("b")));
+    CHECK(!tracker.on_check_result("a", true, now));
+    CHECK(!tracker.on_check_result("a", false, now));  // two in a row are needed
+    CHECK(!tracker.on_check_result("a", true, now));
+    CHECK(tracker.on_check_result("a", true, now)->up);
+    CHECK(
+        (!tracker.on_check_result("none", false, now) && !tracker.on_rpc_result("a", false, now)));
     web.health.errors_most = 2;
-    HealthBook strict(web, kNow);
-    CHECK((!strict.met("a", false, now) && !strict.met("a", true, now) &&
-           !strict.met("a", false, now)));
-    CHECK(!strict.met("a", false, now)->up);
+    HealthTracker strict(web, kNow);
+    CHECK((!strict.on_rpc_result("a", false, now) && !strict.on_rpc_result("a", true, now) &&
+           !strict.on_rpc_result("a", false, now)));
+    CHECK(!strict.on_rpc_result("a", false, now)->up);
 }
 
 TEST_CASE("a pool becomes a method, a list and tables: the module decides, and its rules bind") {
