--- a/fuzz/import_fuzz.cpp
+++ b/fuzz/import_fuzz.cpp
@@ -9,7 +9,7 @@
 #include "haproxy/report.hpp"
 #include "haproxy/translate.hpp"
 #include "operators/file.hpp"
-#include "routing/roster.hpp"
+#include "routing/endpoint_registry.hpp"
 #include "routing/router.hpp"
 
 using namespace micaroad;
@@ -30,13 +30,13 @@
     for (const auto& listener : plan.listeners) {
         const auto decision = router.decide(listener.name, rpc, {});
         double sum = 0;
-        for (const auto& part : decision.parts.parts) {
+        for (const auto& part : decision.split.shares) {
             sum += part.share;
         }
-        must(decision.parts.parts.empty() || (sum > 0.999999 && sum < 1.000001));
-        must(!decision.why.empty());
+        must(decision.split.shares.empty() || (sum > 0.999999 && sum < 1.000001));
+        must(!decision.explanation.empty());
     }
-    (void)routing::Roster(plan).list({});
+    (void)routing::EndpointRegistry(plan).list({});
 }
 
 }  // namespace
--- a/src/command/command.cpp
+++ b/src/command/command.cpp
@@ -144,7 +144,7 @@
             return "send";
         case routing::Decision::Kind::wait:
             return "wait";
-        case routing::Decision::Kind::turned_away:
+        case routing::Decision::Kind::rejected:
             return "turned away";
         case routing::Decision::Kind::redirected:
             return "redirected";
@@ -219,10 +219,10 @@
 
     const routing::Router router(plan);
     const routing::Decision decision = router.decide(listener, rpc, view);
-    const char* tier = decision.parts.tier == routing::Tier::active ? "active" : "backup";
+    const char* tier = decision.split.tier == routing::Tier::active ? "active" : "backup";
     if (wish.json) {
         nlohmann::json parts = nlohmann::json::array();
-        for (const auto& part : decision.parts.parts) {
+        for (const auto& part : decision.split.shares) {
             parts.push_back({{"server", part.server}, {"share", part.share}});
         }
         const nlohmann::json all{{"decision", name_of(decision.kind)},
@@ -231,10 +231,10 @@
                                  {"pool", decision.pool},
                                  {"tier", tier},
                                  {"parts", parts},
-                                 {"stuck_to", decision.stuck_to},
+                                 {"stuck_to", decision.sticky_server},
                                  {"status", decision.status},
                                  {"location", decision.location},
-                                 {"why", decision.why}};
+                                 {"why", decision.explanation}};
         out << all.dump(1, ' ', false, nlohmann::json::error_handler_t::replace) << "\n";
         return kDone;
     }
@@ -245,19 +245,19 @@
         }
     };
     row("listener", decision.listener), row("route", decision.route), row("pool", decision.pool);
-    if (!decision.parts.parts.empty()) {
+    if (!decision.split.shares.empty()) {
         row("tier", tier);
     }
-    for (const auto& part : decision.parts.parts) {
+    for (const auto& part : decision.split.shares) {
         row("part", fmt::format("{} {:.4f}", part.server, part.share));
     }
-    row("stuck to", decision.stuck_to);
-    if (decision.kind == routing::Decision::Kind::turned_away ||
+    row("stuck to", decision.sticky_server);
+    if (decision.kind == routing::Decision::Kind::rejected ||
         decision.kind == routing::Decision::Kind::redirected) {
         row("status", std::to_string(decision.status));
     }
     row("location", decision.location);
-    for (const auto& why : decision.why) {
+    for (const auto& why : decision.explanation) {
         row("why", why);
     }
     return kDone;
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -15,14 +15,14 @@
 #include "operators/file.hpp"
 #include "record/recorder.hpp"
 #include "record/settings_conversion.hpp"
-#include "routing/roster.hpp"
+#include "routing/endpoint_registry.hpp"
 
 namespace micaroad::command {
 namespace {
 
 // The list at the start has no version yet that the keeper's could be older than.
 StartConfiguration start_of(const routing::Plan& plan, TimePoint now) {
-    const routing::Roster roster(plan);
+    const routing::EndpointRegistry registry(plan);
     DeploymentSettings base;
     base.admission_kind = AdmissionKind::fraction,
     base.default_retry_policy = RetryPolicy::once_if_not_executed;
@@ -31,12 +31,12 @@
     start.seed = std::random_device{}();
     start.sockets = static_cast<std::size_t>(plan.service.sockets),
     start.memory_mb = static_cast<std::size_t>(plan.service.memory_mb);
-    start.settings = roster.terms(base), start.names = roster.names();
+    start.settings = registry.settings(base), start.names = registry.names();
     start.bounds.proxies = start.settings.proxy_count;
     start.bounds.longest_window = std::max(120 * start.settings.report_interval, Duration{10'000});
     routing::View view;
     view.now = now;
-    start.known.list = roster.list(view), start.known.addresses = roster.addresses();
+    start.known.list = registry.list(view), start.known.addresses = registry.addresses();
     return start;
 }
 
--- a/src/routing/health_checked_endpoints.cpp
+++ b/src/routing/health_checked_endpoints.cpp
@@ -35,7 +35,7 @@
 
 void HealthCheckedEndpoints::install(Plan plan, TimePoint now) {
     plan_ = std::make_unique<Plan>(std::move(plan));
-    roster_ = std::make_unique<Roster>(*plan_);
+    registry_ = std::make_unique<EndpointRegistry>(*plan_);
     std::map<std::string, HealthTracker> trackers;
     std::map<std::string, ServerNow> servers;
     for (const Pool& pool : plan_->pools) {
@@ -138,7 +138,7 @@
 
 std::optional<event::EndpointListUpdate> HealthCheckedEndpoints::take_changed_list(TimePoint now) {
     view_.now = now;
-    event::EndpointListUpdate list = roster_->list(view_);
+    event::EndpointListUpdate list = registry_->list(view_);
     if (last_list_ && std::equal(last_list_->begin(), last_list_->end(), list.servers.begin(),
                                  list.servers.end(), equal_entries)) {
         return std::nullopt;
--- a/src/routing/health_checked_endpoints.hpp
+++ b/src/routing/health_checked_endpoints.hpp
@@ -13,8 +13,8 @@
 #include <string>
 #include <vector>
 
+#include "routing/endpoint_registry.hpp"
 #include "routing/health_tracker.hpp"
-#include "routing/roster.hpp"
 
 namespace micaroad::routing {
 
@@ -51,7 +51,9 @@
     /// The endpoint list, if it differs from that of the last call.
     [[nodiscard]] std::optional<event::EndpointListUpdate> take_changed_list(TimePoint now);
 
-    [[nodiscard]] std::map<ServerId, std::string> addresses() const { return roster_->addresses(); }
+    [[nodiscard]] std::map<ServerId, std::string> addresses() const {
+        return registry_->addresses();
+    }
     [[nodiscard]] const Plan& plan() const { return *plan_; }
 
  private:
@@ -59,8 +61,8 @@
     [[nodiscard]] ServerNow carried_over(const Pool& pool, const Server& server,
                                          TimePoint now) const;
 
-    std::unique_ptr<Plan> plan_;  // the roster refers to it
-    std::unique_ptr<Roster> roster_;
+    std::unique_ptr<Plan> plan_;  // the registry refers to it
+    std::unique_ptr<EndpointRegistry> registry_;
     View view_;
     std::map<std::string, HealthTracker> trackers_;  // by pool
     std::optional<std::vector<ListedEndpoint>> last_list_;
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -2,13 +2,56 @@
 
 #include <fmt/format.h>
 
+#include <optional>
 #include <utility>
+#include <variant>
 
 namespace micaroad::routing {
+namespace {
 
-Router::Router(Plan plan) : plan_(std::make_shared<const Plan>(std::move(plan))), chooser_(*plan_) {
+constexpr int kServiceUnavailable = 503;
+
+// Notes the route in the decision. The pool that it leads to; absent: the decision is made.
+std::optional<std::string> follow_route(const Listener& listener, const Route& route,
+                                        Decision& decision) {
+    decision.route = route.name;
+    decision.explanation.push_back(
+        fmt::format("route {} is the first of {} that fits", route.name, listener.routes.size()));
+    if (const auto* rejection = std::get_if<TurnAway>(&route.then)) {
+        decision.kind = Decision::Kind::rejected;
+        decision.status = rejection->status;
+        decision.explanation.push_back(
+            fmt::format("it turns RPCs away with {}", rejection->status));
+        return std::nullopt;
+    }
+    if (const auto* redirect = std::get_if<Redirect>(&route.then)) {
+        decision.kind = Decision::Kind::redirected;
+        decision.status = redirect->status;
+        decision.location = redirect->location;
+        decision.explanation.push_back(fmt::format("it redirects to {}", redirect->location));
+        return std::nullopt;
+    }
+    return std::get<ToPool>(route.then).pool;
+}
+
+// As follow_route(), where none matches.
+std::optional<std::string> follow_default(const Listener& listener, Decision& decision) {
+    if (listener.default_pool.empty()) {
+        decision.explanation.push_back(fmt::format(
+            "none of {} routes fits and there is no default pool", listener.routes.size()));
+        return std::nullopt;
+    }
+    decision.explanation.push_back(
+        fmt::format("none of {} routes fits: the default pool", listener.routes.size()));
+    return listener.default_pool;
+}
+
+}  // namespace
+
+Router::Router(Plan plan)
+    : plan_(std::make_shared<const Plan>(std::move(plan))), selector_(*plan_) {
     for (const Listener& listener : plan_->listeners) {
-        entries_.emplace(listener.name, Entry{&listener, RouteIndex(listener.routes)});
+        listeners_.emplace(listener.name, IndexedListener{&listener, RouteIndex(listener.routes)});
     }
     for (const Pool& pool : plan_->pools) {
         pools_[pool.name] = &pool;
@@ -16,71 +59,58 @@
 }
 
 Decision Router::decide(const std::string& listener, const Rpc& rpc, const View& view) const {
-    const Entry& entry = entries_.at(listener);
-    const auto usable = [&](const std::string& pool) { return chooser_.usable(pool, view); };
+    const IndexedListener& indexed = listeners_.at(listener);
+    const auto usable_count = [this, &view](const std::string& pool) {
+        return selector_.usable_count(pool, view);
+    };
     Decision decision;
     decision.listener = listener;
-    std::string pool = entry.listener->default_pool;
-    if (const auto number = entry.index.first(rpc, usable)) {
-        const Route& route = entry.listener->routes[*number];
-        decision.route = route.name;
-        decision.why.push_back(fmt::format("route {} is the first of {} that fits", route.name,
-                                           entry.listener->routes.size()));
-        if (const auto* away = std::get_if<TurnAway>(&route.then)) {
-            decision.kind = Decision::Kind::turned_away, decision.status = away->status;
-            decision.why.push_back(fmt::format("it turns RPCs away with {}", away->status));
-            return decision;
-        }
-        if (const auto* redirect = std::get_if<Redirect>(&route.then)) {
-            decision.kind = Decision::Kind::redirected, decision.status = redirect->status;
-            decision.location = redirect->location;
-            decision.why.push_back(fmt::format("it redirects to {}", redirect->location));
-            return decision;
-        }
-        pool = std::get<ToPool>(route.then).pool;
-    } else if (pool.empty()) {
-        decision.why.push_back(fmt::format("none of {} routes fits and there is no default pool",
-                                           entry.listener->routes.size()));
+    const auto number = indexed.index.first(rpc, usable_count);
+    const std::optional<std::string> pool =
+        number ? follow_route(*indexed.listener, indexed.listener->routes[*number], decision)
+               : follow_default(*indexed.listener, decision);
+    if (!pool) {
         return decision;
-    } else {
-        decision.why.push_back(
-            fmt::format("none of {} routes fits: the default pool", entry.listener->routes.size()));
     }
-    const auto at = pools_.find(pool);
-    if (at == pools_.end()) {
-        decision.pool = pool;
-        decision.why.push_back(fmt::format("there is no pool {}", pool));
+    const auto found = pools_.find(*pool);
+    if (found == pools_.end()) {
+        decision.pool = *pool;
+        decision.explanation.push_back(fmt::format("there is no pool {}", *pool));
         return decision;
     }
-    decide_in(*at->second, rpc, view, decision);
+    decide_in_pool(*found->second, rpc, view, decision);
     return decision;
 }
 
-// A stuck RPC waits for its own server only where that is full and others are not: stickiness is a
-// preference, and a server's own limit binds all the same.
-void Router::decide_in(const Pool& pool, const Rpc& rpc, const View& view,
-                       Decision& decision) const {
+// A sticky RPC waits only where all servers in use are full, as any other: stickiness is a
+// preference, and its own server's limit binds all the same.
+void Router::decide_in_pool(const Pool& pool, const Rpc& rpc, const View& view,
+                            Decision& decision) const {
     decision.pool = pool.name;
-    decision.parts = chooser_.parts(pool, view);
-    decision.why.push_back(decision.parts.why);
-    decision.stuck_to = chooser_.stuck_to(pool, rpc, view, decision.parts);
-    if (!decision.stuck_to.empty()) {
-        decision.why.push_back(
-            fmt::format("it stays with {}, by its {}", decision.stuck_to,
-                        pool.stickiness.by == Stickiness::By::cookie ? "cookie" : "key's hash"));
+    decision.split = selector_.split(pool, view);
+    decision.explanation.push_back(decision.split.explanation);
+    decision.sticky_server = selector_.sticky_server(pool, rpc, view, decision.split);
+    if (!decision.sticky_server.empty()) {
+        const bool by_cookie = pool.stickiness.by == Stickiness::By::cookie;
+        decision.explanation.push_back(fmt::format("it stays with {}, by its {}",
+                                                   decision.sticky_server,
+                                                   by_cookie ? "cookie" : "key's hash"));
     }
-    if (decision.parts.parts.empty() && decision.stuck_to.empty()) {
-        decision.kind = Decision::Kind::turned_away, decision.status = 503;
+    const bool no_shares = decision.split.shares.empty();
+    if (no_shares && decision.sticky_server.empty()) {
+        decision.kind = Decision::Kind::rejected;
+        decision.status = kServiceUnavailable;
         return;
     }
-    const PoolNow now = view.pool(pool.name);
-    const bool pool_full = pool.connections_most > 0 && now.running >= pool.connections_most;
-    if (!pool_full && (!decision.parts.all_full || decision.parts.parts.empty())) {
+    const bool pool_full =
+        pool.connections_most > 0 && view.pool(pool.name).running >= pool.connections_most;
+    if (!pool_full && (!decision.split.all_full || no_shares)) {
         decision.kind = Decision::Kind::send;
         return;
     }
-    decision.kind = Decision::Kind::wait, decision.patience = pool.queue_patience;
-    decision.why.push_back(
+    decision.kind = Decision::Kind::wait;
+    decision.queue_timeout = pool.queue_patience;
+    decision.explanation.push_back(
         pool_full ? fmt::format("the pool runs the {} it may: it waits", pool.connections_most)
                   : "it waits for a server");
 }
--- a/src/routing/router.hpp
+++ b/src/routing/router.hpp
@@ -1,52 +1,63 @@
-// Where an RPC goes: the first route that fits, its pool, the tier and parts in use, and why, in
-// words that `explain` prints. Free of I/O and clocks; the same plan, view and RPC give the same
-// answer.
-//
-//   Router router(plan);                          // checked by its reader; copied
-//   Decision d = router.decide("shop", rpc, view);
-//
-// What it says of a pool bounds what the decision module may do with it (roster.hpp); the module
-// still decides who gets how much.
+/// Where an RPC goes: the first route that matches, its pool, the tier and shares in use, and the
+/// reasons, in the sentences that `explain` prints. Free of I/O and clocks; the same plan, view and
+/// RPC give the same decision.
+///
+///     Router router(plan);  // the plan is checked by its reader, and copied
+///     Decision decision = router.decide("shop", rpc, view);
+///
+/// What it says of a pool limits what the planner may do with it (endpoint_registry.hpp); the
+/// planner still decides who gets how much.
 #pragma once
 
+#include <cstddef>
+#include <map>
 #include <memory>
+#include <string>
+#include <vector>
 
-#include "routing/choice.hpp"
 #include "routing/route_index.hpp"
+#include "routing/server_selector.hpp"
 
 namespace micaroad::routing {
 
 struct Decision {
-    enum class Kind { send, wait, turned_away, redirected } kind = Kind::turned_away;
-    std::string listener, route,
-        pool;  // route is empty where the listener's default pool was taken
-    Parts parts;
-    std::string stuck_to;  // of the parts or not: where this RPC is to go if that may be
-    int status = 503;      // turned away, redirected: said at once
-    std::string location;  // redirected
-    Duration patience{};   // wait: so long at most, then it is turned away
-    std::vector<std::string> why;
+    enum class Kind { send, wait, rejected, redirected };
+
+    Kind kind = Kind::rejected;
+    std::string listener;
+    std::string route;  ///< empty: none matched, and the listener's default pool was taken
+    std::string pool;
+    TrafficSplit split;
+    std::string sticky_server;  ///< in the split or not: where this RPC goes if it may
+    int status = 503;           ///< rejected or redirected: the HTTP status of the answer
+    std::string location;       ///< redirected: where to
+    Duration queue_timeout{};   ///< wait: the longest time, after which it is rejected
+    std::vector<std::string> explanation;  ///< sentences for a person, in the order of the steps
 };
 
+/// Pure after construction: any thread may call it.
 class Router {
  public:
     explicit Router(Plan plan);
-    const Plan& plan() const { return *plan_; }
-    const Chooser& chooser() const { return chooser_; }
 
-    // Throws std::out_of_range where there is no such listener.
-    Decision decide(const std::string& listener, const Rpc& rpc, const View& view) const;
-    // The same from its pool on.
-    void decide_in(const Pool& pool, const Rpc& rpc, const View& view, Decision& decision) const;
+    [[nodiscard]] const Plan& plan() const { return *plan_; }
+
+    /// Throws std::out_of_range if the plan has no such listener.
+    [[nodiscard]] Decision decide(const std::string& listener, const Rpc& rpc,
+                                  const View& view) const;
+    /// The steps of decide() that follow the choice of the pool.
+    void decide_in_pool(const Pool& pool, const Rpc& rpc, const View& view,
+                        Decision& decision) const;
 
  private:
-    struct Entry {
+    struct IndexedListener {
         const Listener* listener;
         RouteIndex index;
     };
-    std::shared_ptr<const Plan> plan_;
-    Chooser chooser_;
-    std::map<std::string, Entry> entries_;
+
+    std::shared_ptr<const Plan> plan_;  // shared by copies, as the members below refer to it
+    ServerSelector selector_;
+    std::map<std::string, IndexedListener> listeners_;
     std::map<std::string, const Pool*> pools_;
 };
 
--- /dev/null
+++ b/src/routing/server_selector.cpp
@@ -0,0 +1,247 @@
+#include "routing/server_selector.hpp"
+
+#include <fmt/format.h>
+#include <xxhash.h>
+
+#include <algorithm>
+#include <cmath>
+
+#include "routing/sticky_key.hpp"
+
+namespace micaroad::routing {
+namespace {
+
+// Steps of a slow start: weights change by whole steps, so that tables change seldom.
+constexpr int kSlowStartSteps = 16;
+
+// Hashes are cut to the bits that a double holds exactly.
+constexpr unsigned kDroppedHashBits = 11;
+constexpr double kHashRange = 9007199254740992.0;  // 2^53
+
+const char* tier_name(Tier tier) {
+    return tier == Tier::active ? "active" : "backup";
+}
+
+bool takes_new_rpcs(const ServerStatus& status) {
+    return status.availability == ServerAvailability::usable ||
+           status.availability == ServerAvailability::full;
+}
+
+// The fraction of its weight that a server may use so long after it came up, 1/16 to 1.
+double slow_start_fraction(const Server& server, const ServerNow& state, TimePoint now) {
+    if (server.slow_start <= Duration{} || state.up_since == TimePoint{}) {
+        return 1;
+    }
+    const Duration age = std::max(now - state.up_since, Duration{});
+    if (age >= server.slow_start) {
+        return 1;
+    }
+    const auto step = kSlowStartSteps * age.count() / server.slow_start.count();
+    return static_cast<double>(std::max<Duration::rep>(step, 1)) / kSlowStartSteps;
+}
+
+// A server's score for a key: the largest of all wins with a probability equal to its share, and a
+// server that leaves takes only its own keys along (rendezvous hashing, weighted by -share/ln(u)).
+double rendezvous_score(const std::string& key, const TrafficShare& share) {
+    const XXH64_hash_t seed = XXH64(share.server.data(), share.server.size(), 0);
+    const XXH64_hash_t hash = XXH64(key.data(), key.size(), seed);
+    const double uniform =
+        (static_cast<double>(hash >> kDroppedHashBits) + 0.5) / kHashRange;  // within (0, 1)
+    return -share.share / std::log(uniform);
+}
+
+std::string server_by_hash(const TrafficSplit& split, const std::string& key) {
+    const auto best =
+        std::max_element(split.shares.begin(), split.shares.end(),
+                         [&key](const TrafficShare& left, const TrafficShare& right) {
+                             return rendezvous_score(key, left) < rendezvous_score(key, right);
+                         });
+    return best == split.shares.end() ? "" : best->server;
+}
+
+// What a server's state forbids; absent: nothing. `shared`: it is asked for the sake of another
+// server, which shares its health.
+std::optional<ServerStatus> status_by_state(const Server& server, const ServerNow& now,
+                                            const View& view, bool shared) {
+    using Availability = ServerAvailability;
+    using Reason = AvailabilityReason;
+    const State state = now.told.value_or(server.state);
+    if (state == State::disabled) {
+        return ServerStatus{Availability::unavailable, Reason::disabled};
+    }
+    if (state == State::maintenance) {
+        return ServerStatus{Availability::unavailable, Reason::maintenance};
+    }
+    // Weight 0 concerns a server alone, a drain by its state also those that share its health.
+    if (state == State::draining && (!shared || server.weight > 0)) {
+        const TimePoint since = now.draining_since.value_or(view.now);
+        if (view.now - since >= view.drain_grace) {
+            return ServerStatus{Availability::unavailable, Reason::drained};
+        }
+        if (!now.up) {
+            return ServerStatus{Availability::unavailable, Reason::down};
+        }
+        return ServerStatus{Availability::sticky_only, Reason::draining};
+    }
+    if (server.health_of.empty() && !now.up) {
+        return ServerStatus{Availability::unavailable, Reason::down};
+    }
+    return std::nullopt;
+}
+
+std::string explain(const Pool& pool, const TrafficSplit& split) {
+    std::string remark;
+    if (split.tier == Tier::backup && !pool.all_backups) {
+        remark = ", the first of its backups";
+    } else if (split.all_full) {
+        remark = ", all of them full";
+    } else if (split.tier == Tier::backup) {
+        remark = ", as no active server can";
+    }
+    return fmt::format("{} {} of pool {} can be used{}", split.shares.size(), tier_name(split.tier),
+                       pool.name, remark);
+}
+
+}  // namespace
+
+ServerSelector::ServerSelector(const Plan& plan) {
+    for (const Pool& pool : plan.pools) {
+        pools_[pool.name] = &pool;
+        for (const Server& server : pool.servers) {
+            servers_[full_name(pool, server)] = &server;
+        }
+    }
+}
+
+// Maintenance and drains are shared along with health, as servers that share a process's health
+// share its end.
+ServerStatus ServerSelector::status(const Pool& pool, const Server& server,
+                                    const View& view) const {
+    const std::string own_name = full_name(pool, server);
+    const Server* source = &server;  // whose state is looked at
+    std::string source_name = own_name;
+    std::size_t steps = 0;
+    while (true) {
+        const bool shared = source != &server;
+        if (const auto status = status_by_state(*source, view.server(source_name), view, shared)) {
+            return *status;
+        }
+        if (source->health_of.empty()) {
+            break;
+        }
+        const auto next = servers_.find(source->health_of);
+        if (next == servers_.end() || steps > servers_.size()) {
+            return {ServerAvailability::unavailable, AvailabilityReason::unknown_health};
+        }
+        source_name = source->health_of;
+        source = next->second;
+        ++steps;
+    }
+    if (server.weight <= 0) {
+        return {ServerAvailability::sticky_only, AvailabilityReason::zero_weight};
+    }
+    if (server.connections_most > 0 && view.server(own_name).running >= server.connections_most) {
+        return {ServerAvailability::full, AvailabilityReason::full};
+    }
+    return {ServerAvailability::usable, AvailabilityReason::ready};
+}
+
+int ServerSelector::usable_count(const std::string& pool, const View& view) const {
+    const auto found = pools_.find(pool);
+    if (found == pools_.end()) {
+        return 0;
+    }
+    int active = 0;
+    int backup = 0;
+    for (const Server& server : found->second->servers) {
+        if (takes_new_rpcs(status(*found->second, server, view))) {
+            ++(server.tier == Tier::active ? active : backup);
+        }
+    }
+    if (active > 0) {
+        return active;
+    }
+    return found->second->all_backups ? backup : std::min(backup, 1);
+}
+
+// The servers of a tier that may be in use.
+std::vector<ServerSelector::Candidate> ServerSelector::candidates(const Pool& pool, Tier tier,
+                                                                  const View& view) const {
+    std::vector<Candidate> found;
+    for (const Server& server : pool.servers) {
+        if (server.tier != tier) {
+            continue;
+        }
+        const ServerStatus status = this->status(pool, server, view);
+        if (!takes_new_rpcs(status)) {
+            continue;
+        }
+        found.push_back({&server, status.availability == ServerAvailability::full});
+        if (tier == Tier::backup && !pool.all_backups) {
+            break;
+        }
+    }
+    return found;
+}
+
+TrafficSplit ServerSelector::split(const Pool& pool, const View& view) const {
+    TrafficSplit split;
+    std::vector<Candidate> in_use = candidates(pool, Tier::active, view);
+    if (in_use.empty()) {
+        in_use = candidates(pool, Tier::backup, view);
+        if (in_use.empty()) {
+            split.explanation = fmt::format("no server of pool {} can be used", pool.name);
+            return split;
+        }
+        split.tier = Tier::backup;
+    }
+    split.all_full = std::all_of(in_use.begin(), in_use.end(),
+                                 [](const Candidate& candidate) { return candidate.full; });
+    double total_weight = 0;
+    for (const Candidate& candidate : in_use) {
+        if (candidate.full && !split.all_full) {
+            continue;
+        }
+        const Server& server = *candidate.server;
+        const ServerNow& state = view.server(full_name(pool, server));
+        const double weight = server.weight * slow_start_fraction(server, state, view.now);
+        split.shares.push_back({server.name, weight});
+        total_weight += weight;
+    }
+    for (TrafficShare& share : split.shares) {
+        share.share /= total_weight;
+    }
+    split.explanation = explain(pool, split);
+    return split;
+}
+
+std::string ServerSelector::sticky_server(const Pool& pool, const Rpc& rpc, const View& view,
+                                          const TrafficSplit& split) const {
+    const std::string key = sticky_key(pool.stickiness, rpc);
+    if (key.empty()) {
+        return "";
+    }
+    return pool.stickiness.by == Stickiness::By::cookie ? server_by_mark(pool, key, view)
+                                                        : server_by_hash(split, key);
+}
+
+// Several may have one mark, as a backup beside its active server: the first that is available.
+std::string ServerSelector::server_by_mark(const Pool& pool, const std::string& mark,
+                                           const View& view) const {
+    std::string first_down;
+    for (const Server& server : pool.servers) {
+        if (server.mark.empty() || server.mark != mark) {
+            continue;
+        }
+        const ServerStatus status = this->status(pool, server, view);
+        if (status.availability != ServerAvailability::unavailable) {
+            return server.name;
+        }
+        if (first_down.empty() && status.reason == AvailabilityReason::down) {
+            first_down = server.name;
+        }
+    }
+    return pool.stickiness.keeps_down ? first_down : "";
+}
+
+}  // namespace micaroad::routing
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -1,5 +1,5 @@
 // Routes over the index against the plain list, pools in every state, limits, further tries, health
-// and the roster.
+// and the registry.
 #include <fmt/format.h>
 
 #include <catch2/catch.hpp>
@@ -7,11 +7,12 @@
 #include <set>
 
 #include "micaroad/planner.hpp"
+#include "routing/endpoint_registry.hpp"
 #include "routing/health_tracker.hpp"
 #include "routing/limiter.hpp"
-#include "routing/roster.hpp"
+#include "routing/retry.hpp"
 #include "routing/router.hpp"
-#include "routing/tries.hpp"
+#include "routing/sticky_key.hpp"
 
 using namespace micaroad;
 using namespace micaroad::routing;
@@ -40,7 +41,7 @@
 }
 std::map<std::string, double> shares(const Plan& plan, const View& view) {
     std::map<std::string, double> shares;
-    for (const Part& part : Chooser(plan).parts(plan.pools.front(), view).parts) {
+    for (const TrafficShare& part : ServerSelector(plan).split(plan.pools.front(), view).shares) {
         shares[part.server] = part.share;
     }
     return shares;
@@ -174,15 +175,16 @@
     CHECK(shares(plan, now) == Shares{{"s2", 1}});
     plan.pools[0].servers[3].weight = 0;
     CHECK(shares(plan, now).empty());
-    CHECK(Chooser(plan).usable("web", now) == 0);
-    CHECK(Chooser(plan).usable("web", view()) == 2);  // backups don't count beside active servers
+    CHECK(ServerSelector(plan).usable_count("web", now) == 0);
+    CHECK(ServerSelector(plan).usable_count("web", view()) ==
+          2);  // backups don't count beside active servers
     View down = view();
     down.servers["web/a"].up = down.servers["web/b"].up = false;
     plan.pools[0].servers[3].weight = 9;
-    CHECK(Chooser(plan).usable("web", down) == 1);  // the first backup alone
+    CHECK(ServerSelector(plan).usable_count("web", down) == 1);  // the first backup alone
     plan.pools[0].all_backups = true;
-    CHECK(Chooser(plan).usable("web", down) == 2);
-    CHECK(Chooser(plan).usable("none", now) == 0);
+    CHECK(ServerSelector(plan).usable_count("web", down) == 2);
+    CHECK(ServerSelector(plan).usable_count("none", now) == 0);
 }
 
 TEST_CASE("a full server is no reason to leave its tier; all full means to wait") {
@@ -193,11 +195,11 @@
     now.servers["web/a"].running = 2;
     CHECK(shares(plan, now) == Shares{{"b", 1}});
     now.servers["web/b"].running = 2;
-    const Parts full = Chooser(plan).parts(plan.pools[0], now);
-    CHECK((full.all_full && full.tier == Tier::active && full.parts.size() == 2));
+    const TrafficSplit full = ServerSelector(plan).split(plan.pools[0], now);
+    CHECK((full.all_full && full.tier == Tier::active && full.shares.size() == 2));
     plan.listeners = {{"in", {}, 0, {}, "web"}};
     const Decision decision = Router(plan).decide("in", {}, now);
-    CHECK((decision.kind == Decision::Kind::wait && decision.patience == s(5)));
+    CHECK((decision.kind == Decision::Kind::wait && decision.queue_timeout == s(5)));
 }
 
 TEST_CASE("weight 0 and drains: nothing new, what is stuck stays until the grace ends") {
@@ -214,7 +216,7 @@
     const auto stuck = [&](const char* mark) {
         Rpc rpc;
         rpc.cookies["SRV"] = mark;
-        return Router(plan).decide("in", rpc, now).stuck_to;
+        return Router(plan).decide("in", rpc, now).sticky_server;
     };
     CHECK(shares(plan, now) == Shares{{"a", 1}});
     CHECK((stuck("old") == "old" && stuck("leaving") == "leaving" && stuck("a") == "a" &&
@@ -285,9 +287,9 @@
         Rpc rpc;
         rpc.source = *address_of(fmt::format("10.{}.{}.{}", i % 7, i / 256, i % 256));
         now.servers["web/a"].up = true;
-        const std::string before = router.decide("in", rpc, now).stuck_to;
+        const std::string before = router.decide("in", rpc, now).sticky_server;
         now.servers["web/a"].up = false;
-        const std::string after = router.decide("in", rpc, now).stuck_to;
+        const std::string after = router.decide("in", rpc, now).sticky_server;
         ++counts[before];
         if (before == "a") {
             moved += after != "a";
@@ -430,23 +432,25 @@
     Rpc get, post;
     post.method = "POST";
     web.further = {2, FurtherTries::Proof::any_failure, FurtherTries::Where::other_at_last};
-    const auto again = [&](const Rpc& rpc, std::vector<std::string> tried, Ending ending) {
-        return try_again(web, rpc, tried, ending);
+    const auto again = [&](const Rpc& rpc, std::vector<std::string> tried, AttemptOutcome outcome) {
+        return decide_retry(web, rpc, tried, outcome);
     };
-    CHECK(again(get, {"a"}, Ending::aborted).server == "a");
-    CHECK(again(get, {"a", "a"}, Ending::no_answer).server.empty());
-    CHECK(again(get, {"a", "a"}, Ending::no_answer).may);
-    CHECK(!again(get, {"a", "a", "b"}, Ending::no_connection).may);
-    CHECK((!again(post, {"a"}, Ending::aborted).may && !again(post, {"a"}, Ending::no_answer).may));
-    CHECK((again(post, {"a"}, Ending::no_connection).may &&
-           again(post, {"a"}, Ending::pushed_back).may));
+    CHECK(again(get, {"a"}, AttemptOutcome::aborted).server == "a");
+    CHECK(again(get, {"a", "a"}, AttemptOutcome::no_answer).server.empty());
+    CHECK(again(get, {"a", "a"}, AttemptOutcome::no_answer).retry);
+    CHECK(!again(get, {"a", "a", "b"}, AttemptOutcome::no_connection).retry);
+    CHECK((!again(post, {"a"}, AttemptOutcome::aborted).retry &&
+           !again(post, {"a"}, AttemptOutcome::no_answer).retry));
+    CHECK((again(post, {"a"}, AttemptOutcome::no_connection).retry &&
+           again(post, {"a"}, AttemptOutcome::pushed_back).retry));
     web.further.proof = FurtherTries::Proof::never_ran;
-    CHECK((again(get, {"a"}, Ending::no_connection).may &&
-           !again(get, {"a"}, Ending::pushed_back).may));
+    CHECK((again(get, {"a"}, AttemptOutcome::no_connection).retry &&
+           !again(get, {"a"}, AttemptOutcome::pushed_back).retry));
     web.further.proof = FurtherTries::Proof::pushed_back;
-    CHECK((again(get, {"a"}, Ending::pushed_back).may && !again(get, {"a"}, Ending::aborted).may));
+    CHECK((again(get, {"a"}, AttemptOutcome::pushed_back).retry &&
+           !again(get, {"a"}, AttemptOutcome::aborted).retry));
     web.further.most = 0;
-    CHECK(!again(get, {"a"}, Ending::no_connection).may);
+    CHECK(!again(get, {"a"}, AttemptOutcome::no_connection).retry);
 }
 
 TEST_CASE("probes turn a server down and up by the rule, and are asked for at its intervals") {
@@ -488,15 +492,15 @@
         pool({server("x")})};
     plan.pools[1].name = "api";
     plan.pools[0].answer_within = s(2);
-    const Roster roster(plan);
+    const EndpointRegistry registry(plan);
     DeploymentSettings base;
     base.admission_kind = AdmissionKind::fraction;
     plan.service.proxies = 1;
-    const DeploymentSettings settings = roster.terms(base);
+    const DeploymentSettings settings = registry.settings(base);
     CHECK((settings.methods.size() == 2 && settings.methods[0].soft_deadline == s(2) &&
            settings.methods[1].only_kinds.front() == KindId{1}));
-    CHECK(roster.names().methods == std::vector<std::string>{"web", "api"});
-    CHECK(roster.addresses().at({"api/x"}) == "10.0.0.1:80");
+    CHECK(registry.names().methods == std::vector<std::string>{"web", "api"});
+    CHECK(registry.addresses().at({"api/x"}) == "10.0.0.1:80");
 
     Planner planner(settings, 3);
     std::map<int, std::map<std::string, double>> tables;
@@ -534,7 +538,7 @@
         return open;
     };
     View at = view();
-    planner.handle(roster.list(at));
+    planner.handle(registry.list(at));
     planner.handle(event::ProxyJoined{{0}, {0}, 5, true});
     run(1);
     REQUIRE(open(0).size() == 2);
@@ -542,14 +546,14 @@
     CHECK(open(1).size() == 1);
     // All active servers are down: the backup takes their place.
     at.now = now, at.servers["web/a"].up = false, at.servers["web/b"].up = false;
-    planner.handle(roster.list(at));
+    planner.handle(registry.list(at));
     run(1);
     REQUIRE(open(0).size() == 1);
     CHECK(open(0).begin()->first == "web/s");
     // One drains: it is told so, not dropped.
     at.servers.clear(), at.servers["web/a"].told = State::draining,
                         at.servers["web/a"].draining_since = now;
-    const auto list = roster.list(at);
+    const auto list = registry.list(at);
     CHECK(std::any_of(list.servers.begin(), list.servers.end(), [](const auto& e) {
         return e.server.value == "web/a" && e.phase == EndpointPhase::draining;
     }));
--- a/tests/spread_test.cpp
+++ b/tests/spread_test.cpp
@@ -62,19 +62,19 @@
         rpc.query = "user=" + client.query;
         rpc.headers = {{"x-desk", client.header}};
         routing::Decision decision;
-        router.decide_in(*router.plan().pool(pool.name), rpc, view, decision);
-        if (!decision.stuck_to.empty()) {
-            servers.send(decision.stuck_to);
-        } else if (decision.parts.parts.empty()) {
+        router.decide_in_pool(*router.plan().pool(pool.name), rpc, view, decision);
+        if (!decision.sticky_server.empty()) {
+            servers.send(decision.sticky_server);
+        } else if (decision.split.shares.empty()) {
             ++nobody;
         } else {
             double at = std::uniform_real_distribution<>(0, 1)(chance);
             std::size_t i = 0;
-            while (i + 1 < decision.parts.parts.size() &&
-                   (at -= decision.parts.parts[i].share) >= 0) {
+            while (i + 1 < decision.split.shares.size() &&
+                   (at -= decision.split.shares[i].share) >= 0) {
                 ++i;
             }
-            servers.send(decision.parts.parts[i].server);
+            servers.send(decision.split.shares[i].server);
         }
     }
     auto counts = servers.counts();
