--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -1,16 +1,18 @@
 // Routes over the index against the plain list, pools in every state, limits, further tries, health
-// and the roster.
+// and the registry.
 #include <fmt/format.h>
 
 #include <catch2/catch.hpp>
 #include <random>
+#include <set>
 
 #include "micaroad/planner.hpp"
-#include "routing/health.hpp"
+#include "routing/endpoint_registry.hpp"
+#include "routing/health_tracker.hpp"
 #include "routing/limiter.hpp"
-#include "routing/roster.hpp"
+#include "routing/retry.hpp"
 #include "routing/router.hpp"
-#include "routing/tries.hpp"
+#include "routing/sticky_key.hpp"
 
 using namespace micaroad;
 using namespace micaroad::routing;
@@ -39,7 +41,7 @@
 }
 std::map<std::string, double> shares(const Plan& plan, const View& view) {
     std::map<std::string, double> shares;
-    for (const Part& part : Chooser(plan).parts(plan.pools.front(), view).parts) {
+    for (const TrafficShare& part : ServerSelector(plan).split(plan.pools.front(), view).shares) {
         shares[part.server] = part.share;
     }
     return shares;
@@ -173,15 +175,16 @@
     CHECK(shares(plan, now) == Shares{{"s2", 1}});
     plan.pools[0].servers[3].weight = 0;
     CHECK(shares(plan, now).empty());
-    CHECK(Chooser(plan).usable("web", now) == 0);
-    CHECK(Chooser(plan).usable("web", view()) == 2);  // backups don't count beside active servers
+    CHECK(ServerSelector(plan).usable_count("web", now) == 0);
+    CHECK(ServerSelector(plan).usable_count("web", view()) ==
+          2);  // backups don't count beside active servers
     View down = view();
     down.servers["web/a"].up = down.servers["web/b"].up = false;
     plan.pools[0].servers[3].weight = 9;
-    CHECK(Chooser(plan).usable("web", down) == 1);  // the first backup alone
+    CHECK(ServerSelector(plan).usable_count("web", down) == 1);  // the first backup alone
     plan.pools[0].all_backups = true;
-    CHECK(Chooser(plan).usable("web", down) == 2);
-    CHECK(Chooser(plan).usable("none", now) == 0);
+    CHECK(ServerSelector(plan).usable_count("web", down) == 2);
+    CHECK(ServerSelector(plan).usable_count("none", now) == 0);
 }
 
 TEST_CASE("a full server is no reason to leave its tier; all full means to wait") {
@@ -192,11 +195,11 @@
     now.servers["web/a"].running = 2;
     CHECK(shares(plan, now) == Shares{{"b", 1}});
     now.servers["web/b"].running = 2;
-    const Parts full = Chooser(plan).parts(plan.pools[0], now);
-    CHECK((full.all_full && full.tier == Tier::active && full.parts.size() == 2));
+    const TrafficSplit full = ServerSelector(plan).split(plan.pools[0], now);
+    CHECK((full.all_full && full.tier == Tier::active && full.shares.size() == 2));
     plan.listeners = {{"in", {}, 0, {}, "web"}};
     const Decision decision = Router(plan).decide("in", {}, now);
-    CHECK((decision.kind == Decision::Kind::wait && decision.patience == s(5)));
+    CHECK((decision.kind == Decision::Kind::wait && decision.queue_timeout == s(5)));
 }
 
 TEST_CASE("weight 0 and drains: nothing new, what is stuck stays until the grace ends") {
@@ -213,7 +216,7 @@
     const auto stuck = [&](const char* mark) {
         Rpc rpc;
         rpc.cookies["SRV"] = mark;
-        return Router(plan).decide("in", rpc, now).stuck_to;
+        return Router(plan).decide("in", rpc, now).sticky_server;
     };
     CHECK(shares(plan, now) == Shares{{"a", 1}});
     CHECK((stuck("old") == "old" && stuck("leaving") == "leaving" && stuck("a") == "a" &&
@@ -284,9 +287,9 @@
         Rpc rpc;
         rpc.source = *address_of(fmt::format("10.{}.{}.{}", i % 7, i / 256, i % 256));
         now.servers["web/a"].up = true;
-        const std::string before = router.decide("in", rpc, now).stuck_to;
+        const std::string before = router.decide("in", rpc, now).sticky_server;
         now.servers["web/a"].up = false;
-        const std::string after = router.decide("in", rpc, now).stuck_to;
+        const std::string after = router.decide("in", rpc, now).sticky_server;
         ++counts[before];
         if (before == "a") {
             moved += after != "a";
@@ -317,39 +320,38 @@
     web.servers[1].connections_most = 1;
     web.connections_most = 2, web.queue_patience = s(3);
     Limiter limiter(web);
-    using Verdict = Limiter::Verdict;
+    using Outcome = Limiter::Outcome;
     const std::vector<std::string> both{"a", "b"};
     const auto n = [](std::uint64_t number) { return RpcNumber{number}; };
-    CHECK(limiter.ask_any(n(1), both, kNow).server == "a");
-    CHECK(limiter.ask_any(n(2), both, kNow).server == "b");
-    CHECK(limiter.ask(n(3), "a", kNow).verdict == Verdict::waits);
-    CHECK(limiter.ask(n(4), "a", kNow).verdict == Verdict::turned_away);  // its queue is full
-    CHECK(limiter.ask_any(n(5), both, kNow + s(1)).until == kNow + s(4));
-    CHECK(limiter.ask_any(n(5), both, kNow).verdict ==
-          Verdict::turned_away);  // a number that is here already
-    auto run = limiter.done(n(1), kNow + s(1));
+    CHECK(limiter.request_any(n(1), both, kNow).server == "a");
+    CHECK(limiter.request_any(n(2), both, kNow).server == "b");
+    CHECK(limiter.request(n(3), "a", kNow).outcome == Outcome::queued);
+    CHECK(limiter.request(n(4), "a", kNow).outcome == Outcome::rejected);  // its queue is full
+    CHECK(limiter.request_any(n(5), both, kNow + s(1)).timeout_at == kNow + s(4));
+    CHECK(limiter.request_any(n(5), both, kNow).outcome ==
+          Outcome::rejected);  // a number that is here already
+    auto run = limiter.finish(n(1));
     REQUIRE(run.size() == 1);
     CHECK((run[0].rpc == n(3) && run[0].server == "a"));
     CHECK(limiter.expire(kNow + s(3.5)).empty());
-    CHECK(limiter.next_due() == kNow + s(4));
-    CHECK(limiter.done(n(3), kNow + s(2)).at(0).rpc == n(5));
+    CHECK(limiter.next_timeout() == kNow + s(4));
+    CHECK(limiter.finish(n(3)).at(0).rpc == n(5));
     // A server that takes nothing new gives its queue to the others.
-    CHECK(limiter.ask(n(6), "a", kNow + s(2)).verdict == Verdict::waits);
-    CHECK(limiter.close("a", {"b"}, kNow + s(2)).empty());
-    CHECK(limiter.ask(n(7), "a", kNow + s(2)).verdict == Verdict::turned_away);
-    CHECK(limiter.done(n(2), kNow + s(2)).at(0).server == "b");
-    CHECK(limiter.done(n(5), kNow + s(2)).empty());
-    CHECK(limiter.ask_any(n(8), both, kNow + s(2)).verdict == Verdict::waits);
-    CHECK(limiter.open("a").at(0).server == "a");
-    CHECK(limiter.done(n(99), kNow).empty());
+    CHECK(limiter.request(n(6), "a", kNow + s(2)).outcome == Outcome::queued);
+    CHECK(limiter.close_server("a", {"b"}).empty());
+    CHECK(limiter.request(n(7), "a", kNow + s(2)).outcome == Outcome::rejected);
+    CHECK(limiter.finish(n(2)).at(0).server == "b");
+    CHECK(limiter.finish(n(5)).empty());
+    CHECK(limiter.request_any(n(8), both, kNow + s(2)).outcome == Outcome::queued);
+    CHECK(limiter.open_server("a").at(0).server == "a");
+    CHECK(limiter.finish(n(99)).empty());
     // Patience, and those who leave while they wait.
-    CHECK(limiter.ask_any(n(10), both, kNow + s(5)).verdict == Verdict::waits);
-    CHECK(limiter.ask_any(n(11), both, kNow + s(6)).verdict == Verdict::waits);
-    CHECK(limiter.done(n(10), kNow + s(6)).empty());
+    CHECK(limiter.request_any(n(10), both, kNow + s(5)).outcome == Outcome::queued);
+    CHECK(limiter.request_any(n(11), both, kNow + s(6)).outcome == Outcome::queued);
+    CHECK(limiter.finish(n(10)).empty());
     const auto over = limiter.expire(kNow + s(9));
     REQUIRE(over.size() == 1);
-    CHECK((over[0].rpc == n(11) && over[0].verdict == Verdict::turned_away &&
-           limiter.waiting() == 0));
+    CHECK((over[0].rpc == n(11) && over[0].outcome == Outcome::rejected && limiter.waiting() == 0));
 }
 
 TEST_CASE("under any order of events no limit is passed, and nobody waits beside a free place") {
@@ -366,28 +368,28 @@
         std::set<RpcNumber> waits;
         TimePoint now = kNow;
         std::uint64_t next = 0;
-        const auto take = [&](const Limiter::Answer& answer) {
+        const auto take = [&](const Limiter::Admission& answer) {
             waits.erase(answer.rpc);
-            if (answer.verdict == Limiter::Verdict::runs) {
+            if (answer.outcome == Limiter::Outcome::admitted) {
                 REQUIRE(runs.emplace(answer.rpc, answer.server).second);
             }
-            if (answer.verdict == Limiter::Verdict::waits) {
+            if (answer.outcome == Limiter::Outcome::queued) {
                 waits.insert(answer.rpc);
             }
         };
         for (int i = 0; i < 400; ++i, now += s(0.05)) {
             const auto dice = chance() % 5;
             if (dice < 2) {
-                take(limiter.ask_any({++next}, {"c", "a", "b"}, now));
+                take(limiter.request_any({++next}, {"c", "a", "b"}, now));
             } else if (dice == 2) {
-                take(limiter.ask({++next}, std::string(1, static_cast<char>('a' + chance() % 3)),
-                                 now));
+                take(limiter.request({++next},
+                                     std::string(1, static_cast<char>('a' + chance() % 3)), now));
             } else if (!runs.empty() && dice == 3) {
                 const RpcNumber rpc =
                     std::next(runs.begin(), static_cast<std::ptrdiff_t>(chance() % runs.size()))
                         ->first;
                 runs.erase(rpc);
-                for (const auto& answer : limiter.done(rpc, now)) {
+                for (const auto& answer : limiter.finish(rpc)) {
                     take(answer);
                 }
             } else {
@@ -412,10 +414,10 @@
                     (web.connections_most == 0 || limiter.running() < web.connections_most);
                 if (room && server.name == "c") {
                     // Who waits for any server may run at c.
-                    const auto asked =
-                        limiter.ask_any({1'000'000 + static_cast<std::uint64_t>(i)}, {"c"}, now);
-                    REQUIRE(asked.verdict == Limiter::Verdict::runs);
-                    for (const auto& answer : limiter.done(asked.rpc, now)) {
+                    const auto asked = limiter.request_any(
+                        {1'000'000 + static_cast<std::uint64_t>(i)}, {"c"}, now);
+                    REQUIRE(asked.outcome == Limiter::Outcome::admitted);
+                    for (const auto& answer : limiter.finish(asked.rpc)) {
                         take(answer);
                     }
                 }
@@ -430,23 +432,25 @@
     Rpc get, post;
     post.method = "POST";
     web.further = {2, FurtherTries::Proof::any_failure, FurtherTries::Where::other_at_last};
-    const auto again = [&](const Rpc& rpc, std::vector<std::string> tried, Ending ending) {
-        return try_again(web, rpc, tried, ending);
+    const auto again = [&](const Rpc& rpc, std::vector<std::string> tried, AttemptOutcome outcome) {
+        return decide_retry(web, rpc, tried, outcome);
     };
-    CHECK(again(get, {"a"}, Ending::aborted).server == "a");
-    CHECK(again(get, {"a", "a"}, Ending::no_answer).server.empty());
-    CHECK(again(get, {"a", "a"}, Ending::no_answer).may);
-    CHECK(!again(get, {"a", "a", "b"}, Ending::no_connection).may);
-    CHECK((!again(post, {"a"}, Ending::aborted).may && !again(post, {"a"}, Ending::no_answer).may));
-    CHECK((again(post, {"a"}, Ending::no_connection).may &&
-           again(post, {"a"}, Ending::pushed_back).may));
+    CHECK(again(get, {"a"}, AttemptOutcome::aborted).server == "a");
+    CHECK(again(get, {"a", "a"}, AttemptOutcome::no_answer).server.empty());
+    CHECK(again(get, {"a", "a"}, AttemptOutcome::no_answer).retry);
+    CHECK(!again(get, {"a", "a", "b"}, AttemptOutcome::no_connection).retry);
+    CHECK((!again(post, {"a"}, AttemptOutcome::aborted).retry &&
+           !again(post, {"a"}, AttemptOutcome::no_answer).retry));
+    CHECK((again(post, {"a"}, AttemptOutcome::no_connection).retry &&
+           again(post, {"a"}, AttemptOutcome::pushed_back).retry));
     web.further.proof = FurtherTries::Proof::never_ran;
-    CHECK((again(get, {"a"}, Ending::no_connection).may &&
-           !again(get, {"a"}, Ending::pushed_back).may));
+    CHECK((again(get, {"a"}, AttemptOutcome::no_connection).retry &&
+           !again(get, {"a"}, AttemptOutcome::pushed_back).retry));
     web.further.proof = FurtherTries::Proof::pushed_back;
-    CHECK((again(get, {"a"}, Ending::pushed_back).may && !again(get, {"a"}, Ending::aborted).may));
+    CHECK((again(get, {"a"}, AttemptOutcome::pushed_back).retry &&
+           !again(get, {"a"}, AttemptOutcome::aborted).retry));
     web.further.most = 0;
-    CHECK(!again(get, {"a"}, Ending::no_connection).may);
+    CHECK(!again(get, {"a"}, AttemptOutcome::no_connection).retry);
 }
 
 TEST_CASE("probes turn a server down and up by the rule, and are asked for at its intervals") {
@@ -456,27 +460,29 @@
     }
     web.health.every = s(2), web.health.every_in_doubt = s(1), web.health.every_while_down = s(5),
     web.health.fall = 3, web.health.rise = 2;
-    HealthBook book(web, kNow);
-    CHECK(book.take_due(kNow) == std::vector<std::string>{"a"});
-    CHECK(book.take_due(kNow).empty());
-    CHECK(book.take_due(kNow + s(1)) == std::vector<std::string>{"b"});  // spread over the interval
+    HealthTracker tracker(web, kNow);
+    CHECK(tracker.take_due(kNow) == std::vector<std::string>{"a"});
+    CHECK(tracker.take_due(kNow).empty());
+    CHECK(tracker.take_due(kNow + s(1)) ==
+          std::vector<std::string>{"b"});  // spread over the interval
     TimePoint now = kNow + s(2);
-    CHECK(!book.probed("a", false, now));
-    CHECK(book.next_due() == kNow + s(3));
-    CHECK(!book.probed("a", false, now));
-    const auto down = book.probed("a", false, now);
+    CHECK(!tracker.on_check_result("a", false, now));
+    CHECK(tracker.next_due() == kNow + s(3));
+    CHECK(!tracker.on_check_result("a", false, now));
+    const auto down = tracker.on_check_result("a", false, now);
     REQUIRE(down);
-    CHECK((!down->up && down->server == "a" && !book.up("a") && book.up("b")));
-    CHECK(!book.probed("a", true, now));
-    CHECK(!book.probed("a", false, now));  // two in a row are needed
-    CHECK(!book.probed("a", true, now));
-    CHECK(book.probed("a", true, now)->up);
-    CHECK((!book.probed("none", false, now) && !book.met("a", false, now)));
+    CHECK((!down->up && down->server == "a" && !tracker.is_up("a") && tracker.is_up("b")));
+    CHECK(!tracker.on_check_result("a", true, now));
+    CHECK(!tracker.on_check_result("a", false, now));  // two in a row are needed
+    CHECK(!tracker.on_check_result("a", true, now));
+    CHECK(tracker.on_check_result("a", true, now)->up);
+    CHECK(
+        (!tracker.on_check_result("none", false, now) && !tracker.on_rpc_result("a", false, now)));
     web.health.errors_most = 2;
-    HealthBook strict(web, kNow);
-    CHECK((!strict.met("a", false, now) && !strict.met("a", true, now) &&
-           !strict.met("a", false, now)));
-    CHECK(!strict.met("a", false, now)->up);
+    HealthTracker strict(web, kNow);
+    CHECK((!strict.on_rpc_result("a", false, now) && !strict.on_rpc_result("a", true, now) &&
+           !strict.on_rpc_result("a", false, now)));
+    CHECK(!strict.on_rpc_result("a", false, now)->up);
 }
 
 TEST_CASE("a pool becomes a method, a list and tables: the module decides, and its rules bind") {
@@ -486,15 +492,15 @@
         pool({server("x")})};
     plan.pools[1].name = "api";
     plan.pools[0].answer_within = s(2);
-    const Roster roster(plan);
+    const EndpointRegistry registry(plan);
     DeploymentSettings base;
     base.admission_kind = AdmissionKind::fraction;
     plan.service.proxies = 1;
-    const DeploymentSettings settings = roster.terms(base);
+    const DeploymentSettings settings = registry.settings(base);
     CHECK((settings.methods.size() == 2 && settings.methods[0].soft_deadline == s(2) &&
            settings.methods[1].only_kinds.front() == KindId{1}));
-    CHECK(roster.names().methods == std::vector<std::string>{"web", "api"});
-    CHECK(roster.addresses().at({"api/x"}) == "10.0.0.1:80");
+    CHECK(registry.names().methods == std::vector<std::string>{"web", "api"});
+    CHECK(registry.addresses().at({"api/x"}) == "10.0.0.1:80");
 
     Planner planner(settings, 3);
     std::map<int, std::map<std::string, double>> tables;
@@ -532,7 +538,7 @@
         return open;
     };
     View at = view();
-    planner.handle(roster.list(at));
+    planner.handle(registry.list(at));
     planner.handle(event::ProxyJoined{{0}, {0}, 5, true});
     run(1);
     REQUIRE(open(0).size() == 2);
@@ -540,14 +546,14 @@
     CHECK(open(1).size() == 1);
     // All active servers are down: the backup takes their place.
     at.now = now, at.servers["web/a"].up = false, at.servers["web/b"].up = false;
-    planner.handle(roster.list(at));
+    planner.handle(registry.list(at));
     run(1);
     REQUIRE(open(0).size() == 1);
     CHECK(open(0).begin()->first == "web/s");
     // One drains: it is told so, not dropped.
     at.servers.clear(), at.servers["web/a"].told = State::draining,
                         at.servers["web/a"].draining_since = now;
-    const auto list = roster.list(at);
+    const auto list = registry.list(at);
     CHECK(std::any_of(list.servers.begin(), list.servers.end(), [](const auto& e) {
         return e.server.value == "web/a" && e.phase == EndpointPhase::draining;
     }));
