--- a/src/protocol/endpoint_entry.hpp
+++ b/src/protocol/endpoint_entry.hpp
@@ -6,7 +6,6 @@
 #include <optional>
 #include <string>
 #include <string_view>
-
 #include <tl/expected.hpp>
 
 #include "micaroad/event.hpp"
@@ -39,7 +38,7 @@
     std::string state;
     double cell = 0;
     double weight = 1;
-    double started_ms = 0;           ///< Unix time in milliseconds; 0: long ago
+    double started_ms = 0;                 ///< Unix time in milliseconds; 0: long ago
     bool has_value_of_wrong_type = false;  ///< where a number belongs
 };
 
--- a/src/protocol/endpoint_list.cpp
+++ b/src/protocol/endpoint_list.cpp
@@ -52,7 +52,8 @@
 
 // What a list's object says besides its entries.
 struct Frame {
-    std::optional<std::int64_t> version;
+    std::int64_t version = 0;
+    bool has_version = false;
     bool complete = false;
     bool has_servers = false;
 };
@@ -64,6 +65,7 @@
         return;
     }
     frame.version = static_cast<std::int64_t>(version);
+    frame.has_version = true;
 }
 
 // The entries have been taken out: each has to be `{}`.
@@ -87,7 +89,7 @@
             json.skip();
         }
     });
-    if (!json.end() || !frame.version || !frame.has_servers) {
+    if (!json.end() || !frame.has_version || !frame.has_servers) {
         return std::nullopt;
     }
     return frame;
@@ -210,7 +212,7 @@
         return std::nullopt;
     }
     using Form = event::EndpointListUpdate::Form;
-    message_.version = *frame->version;
+    message_.version = frame->version;
     message_.list.form = frame->complete ? Form::complete : Form::incremental;
     keep_last_of_each(message_.list.servers);
     return std::move(message_);
--- a/src/protocol/line_words.cpp
+++ b/src/protocol/line_words.cpp
@@ -69,7 +69,9 @@
 
 double LineWords::number(std::string_view name) {
     double value = -1;
-    if (!parse_decimal(text(name), value) || !(value >= 0 && value <= kLargestNumber)) {
+    const bool parsed = parse_decimal(text(name), value);
+    const bool in_range = value >= 0 && value <= kLargestNumber;  // not so for NaN
+    if (!parsed || !in_range) {
         reject(MalformedReason::bad_value, name);
         return 0;
     }
--- a/src/protocol/message.cpp
+++ b/src/protocol/message.cpp
@@ -113,8 +113,9 @@
     }
     LineWords words(line);
     Message message = kind->parse(words, names, bounds);
-    if (words.error()) {
-        return *words.error();
+    const std::optional<Malformed>& error = words.error();
+    if (error) {
+        return *error;
     }
     return message;
 }
--- a/src/protocol/parse_integer.hpp
+++ b/src/protocol/parse_integer.hpp
@@ -11,8 +11,9 @@
 /// Returns false, with `value` unchanged, if it is anything else or does not fit the type.
 template <std::integral Integer>
 [[nodiscard]] bool parse_integer(std::string_view text, Integer& value, int base = 10) {
-    const char* const end = text.data() + text.size();
-    const std::from_chars_result result = std::from_chars(text.data(), end, value, base);
+    const char* const begin = text.data();
+    const char* const end = begin + text.size();
+    const std::from_chars_result result = std::from_chars(begin, end, value, base);
     return result.ec == std::errc{} && result.ptr == end;
 }
 
