--- /dev/null
+++ b/src/command/import.cpp
@@ -0,0 +1,130 @@
+// `micaroad import haproxy`: makes an operator's file of HAProxy's configuration.
+#include <fmt/format.h>
+#include <fmt/ostream.h>
+#include <unistd.h>
+
+#include "command/exit_code.hpp"
+#include "command/subcommand.hpp"
+#include "command/write_atomically.hpp"
+#include "haproxy/files.hpp"
+#include "haproxy/report.hpp"
+#include "operators/file.hpp"
+
+namespace micaroad::command {
+namespace {
+
+haproxy::Environment process_environment() {
+    haproxy::Environment environment;
+    for (char** entry = environ; entry != nullptr && *entry != nullptr; ++entry) {
+        const std::string text = *entry;
+        const std::size_t equals = text.find('=');
+        if (equals != std::string::npos) {
+            environment[text.substr(0, equals)] = text.substr(equals + 1);
+        }
+    }
+    return environment;
+}
+
+template <class Faults>
+void print_faults(const Faults& faults, std::ostream& err) {
+    for (const auto& fault : faults) {
+        fmt::print(err, "{}\n", fault.text());
+    }
+}
+
+class ImportHaproxy : public Subcommand {
+ public:
+    explicit ImportHaproxy(CLI::App* parser) : Subcommand(parser) {
+        app()
+            .add_option("FILE", files_, "Files, or directories of *.cfg, in the original's order")
+            ->required();
+        app().add_option(
+            "--out", output_,
+            "Where the operator's file goes, whole or not at all; else to standard output, "
+            "unless --report is given");
+        app()
+            .add_option("--report", report_, "How findings are told on standard output")
+            ->check(CLI::IsMember({"text", "json"}));
+        app().add_flag("--strict", strict_, "End with 1 if anything was changed or refused");
+        app().footer(
+            "Example: micaroad import haproxy haproxy.cfg conf.d --out deploy/operator.txtpb "
+            "--report json --strict");
+    }
+
+    int run(std::ostream& out, std::ostream& err) override {
+        const haproxy::Import import =
+            haproxy::translate(haproxy::read_files(files_, process_environment()));
+        if (!import.troubles.empty()) {
+            print_faults(import.troubles, err);
+            return kUnusable;
+        }
+        const std::string text = operators::write_text(import.plan, heading());
+        // What was made is read as the operator's file will be: a fault in it is the importer's.
+        const operators::Reading read_back =
+            operators::read_text(text, output_.empty() ? "(result)" : output_);
+        if (!read_back.faults.empty()) {
+            print_faults(read_back.faults, err);
+            return kUnusable;
+        }
+        if (!write_result(text, out, err)) {
+            return kUnusable;
+        }
+        write_report(import, out, err);
+        return strict_ && has_findings(import) ? kFindings : kDone;
+    }
+
+ private:
+    [[nodiscard]] std::string heading() const {
+        return fmt::format(
+            "Made by micaroad import haproxy from {}.\nShape and defaults: proto/operators.proto",
+            fmt::join(files_, ", "));
+    }
+
+    bool write_result(const std::string& text, std::ostream& out, std::ostream& err) const {
+        if (output_.empty()) {
+            // With a report, standard output is the report's.
+            if (report_.empty()) {
+                out << text;
+            }
+            return true;
+        }
+        const tl::expected<void, WriteError> written = write_atomically(output_, text);
+        if (!written) {
+            fmt::print(err, "{}\n", describe(written.error()));
+            return false;
+        }
+        return true;
+    }
+
+    // To `err` where standard output is the result's.
+    void write_report(const haproxy::Import& import, std::ostream& out, std::ostream& err) const {
+        const bool result_on_out = report_.empty() && output_.empty();
+        std::ostream& report = result_on_out ? err : out;
+        report << (report_ == "json" ? haproxy::json_report(import, files_)
+                                     : haproxy::text_report(import));
+    }
+
+    static bool has_findings(const haproxy::Import& import) {
+        return import.count(haproxy::Verdict::changed) + import.count(haproxy::Verdict::refused) >
+               0;
+    }
+
+    std::vector<std::string> files_;
+    std::string output_;  // empty: standard output
+    std::string report_;  // "text", "json" or empty
+    bool strict_ = false;
+};
+
+}  // namespace
+
+std::unique_ptr<Subcommand> add_import(CLI::App& program) {
+    CLI::App* const import = program.add_subcommand(
+        "import", "Make an operator's file of another program's configuration.");
+    import->require_subcommand(1);
+    return std::make_unique<ImportHaproxy>(
+        import->add_subcommand("haproxy",
+                               "Of HAProxy's (2.8). Each line of it is translated, changed, "
+                               "refused or without effect, and named."));
+}
+
+}  // namespace micaroad::command
--- a/src/command/library.cpp
+++ b/src/command/library.cpp
@@ -1,5 +1,6 @@
-// What the program looks up in the library that it loads.
+// The entry point that the program looks up in the library that it loads.
 #include <cstdio>
+#include <exception>
 #include <iostream>
 
 #include "command/command.hpp"
@@ -7,8 +8,8 @@
 extern "C" int micaroad_command(int argc, char** argv) {
     try {
         return micaroad::command::run({argv + 1, argv + argc}, std::cout, std::cerr);
-    } catch (const std::exception& failed) {
-        std::fprintf(stderr, "micaroad: %s\n", failed.what());
+    } catch (const std::exception& error) {
+        std::fprintf(stderr, "micaroad: %s\n", error.what());
         return micaroad::command::kUnusable;
     }
 }
--- /dev/null
+++ b/src/command/planner_service.cpp
@@ -0,0 +1,141 @@
+#include "command/planner_service.hpp"
+
+#include <algorithm>
+#include <random>
+#include <utility>
+
+#include "background/worker.hpp"
+#include "command/version.hpp"
+#include "record/convert.hpp"
+#include "record/recorder.hpp"
+#include "routing/roster.hpp"
+
+namespace micaroad::command {
+namespace {
+
+constexpr int kReportIntervalsInWindow = 120;
+constexpr Duration kLeastLongestWindow = std::chrono::seconds(1);
+constexpr double kBytesPerKib = 1'024.0;
+constexpr double kPercent = 100.0;
+constexpr int kBytesPerMibShift = 20;
+
+DeploymentSettings base_settings() {
+    DeploymentSettings settings;
+    settings.admission_kind = AdmissionKind::fraction;
+    settings.default_retry_policy = RetryPolicy::once_if_not_executed;
+    return settings;
+}
+
+// The list at the start has no version, so that the first of the health checks is newer.
+StartConfiguration make_start_configuration(const routing::Plan& plan, TimePoint now) {
+    const routing::Roster roster(plan);
+    StartConfiguration start;
+    start.name = plan.service.name;
+    start.listen = plan.service.listen;
+    start.seed = std::random_device{}();
+    start.sockets = static_cast<std::size_t>(plan.service.sockets);
+    start.memory_mb = static_cast<std::size_t>(plan.service.memory_mb);
+    start.settings = roster.terms(base_settings());
+    start.names = roster.names();
+    start.bounds.proxies = start.settings.proxy_count;
+    start.bounds.longest_window =
+        std::max(kReportIntervalsInWindow * start.settings.report_interval, kLeastLongestWindow);
+    routing::View view;
+    view.now = now;
+    start.known.list = roster.list(view);
+    start.known.addresses = roster.addresses();
+    return start;
+}
+
+record::Keeping retention_of(const routing::Recording& settings) {
+    record::Keeping retention;
+    retention.segment_bytes = static_cast<std::uint64_t>(settings.segment_mb) << kBytesPerMibShift;
+    retention.all_bytes = static_cast<std::uint64_t>(settings.all_mb) << kBytesPerMibShift;
+    retention.all_age = settings.keep;
+    return retention;
+}
+
+}  // namespace
+
+// Records on a thread of its own, within the bounds that the plan sets.
+class PlannerService::RecordingService {
+ public:
+    RecordingService(const routing::Recording& settings, const StartConfiguration& start,
+                     const Clock& clock)
+        : disk_(record::folder(settings.path)),
+          worker_({kBytesPerKib * settings.kib_per_second, settings.processor_percent / kPercent},
+                  clock) {
+        const auto head =
+            record::head_of(start.settings, start.names, start.seed, start.name, kVersion, clock());
+        recorder_ = std::make_unique<record::Recorder>(*disk_, retention_of(settings), head,
+                                                       [this] { worker_.wake(job_); });
+        job_ = worker_.add(kPriority, [this] { return recorder_->work(); });
+    }
+
+    [[nodiscard]] record::Recorder& recorder() { return *recorder_; }
+
+    void start(Log& log) {
+        if (!worker_.start()) {
+            log.error("recording: not started reason=\"no thread\"");
+        }
+    }
+
+    void stop(Log& log) {
+        worker_.stop();
+        recorder_->close();
+        const auto counts = recorder_->counts();
+        log.info("recording: closed turns={} lost={} bytes={} segments={} failures={}",
+                 counts.turns, counts.lost, counts.bytes, counts.segments, counts.failures);
+    }
+
+ private:
+    static constexpr int kPriority = 1;
+
+    std::unique_ptr<record::Disk> disk_;
+    background::Worker worker_;
+    background::JobId job_{};
+    std::unique_ptr<record::Recorder> recorder_;
+};
+
+PlannerService::PlannerService(const routing::Plan& plan, Clock clock, Log& log)
+    : PlannerService(plan, make_start_configuration(plan, clock()), clock, log) {}
+
+PlannerService::PlannerService(const routing::Plan& plan, const StartConfiguration& start,
+                               const Clock& clock, Log& log)
+    : log_(log),
+      recording_(plan.recording.path.empty()
+                     ? nullptr
+                     : std::make_unique<RecordingService>(plan.recording, start, clock)),
+      planner_(start, clock, log, recording_ ? &recording_->recorder() : nullptr),
+      health_(
+          plan, clock,
+          [this](event::EndpointListUpdate list, std::map<ServerId, std::string> addresses) {
+              update_endpoints(std::move(list), std::move(addresses));
+          },
+          log) {}
+
+PlannerService::~PlannerService() = default;
+
+void PlannerService::update_endpoints(event::EndpointListUpdate list,
+                                      std::map<ServerId, std::string> addresses) {
+    ++list_version_;
+    planner_.handle({list_version_, std::move(list), std::move(addresses), {}});
+}
+
+int PlannerService::run() {
+    if (recording_) {
+        recording_->start(log_);
+    }
+    if (!health_.start()) {
+        log_.error(
+            "health: checks not started reason=\"no thread\" endpoint_states=\"as in the file\"");
+    }
+    const int code = planner_.run();
+    health_.stop();
+    if (recording_) {
+        recording_->stop(log_);
+    }
+    return code;
+}
+
+}  // namespace micaroad::command
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -1,153 +1,101 @@
-#include "command/serve.hpp"
-
+// `micaroad serve --operators`: the daemon from an operator's file. SIGHUP reads the file again;
+// SIGTERM and SIGINT end it.
 #include <fmt/format.h>
 #include <pthread.h>
 #include <signal.h>
 #include <unistd.h>
 
-#include <random>
 #include <thread>
 
-#include "background/worker.hpp"
-#include "command/command.hpp"
-#include "command/version.hpp"
+#include "command/exit_code.hpp"
+#include "command/planner_service.hpp"
+#include "command/subcommand.hpp"
 #include "daemon/clock.hpp"
 #include "operators/file.hpp"
-#include "record/convert.hpp"
-#include "record/recorder.hpp"
-#include "routing/roster.hpp"
 
 namespace micaroad::command {
 namespace {
 
-// The list at the start has no version yet that the keeper's could be older than.
-StartConfiguration start_of(const routing::Plan& plan, TimePoint now) {
-    const routing::Roster roster(plan);
-    DeploymentSettings base;
-    base.admission_kind = AdmissionKind::fraction,
-    base.default_retry_policy = RetryPolicy::once_if_not_executed;
-    StartConfiguration start;
-    start.name = plan.service.name, start.listen = plan.service.listen;
-    start.seed = std::random_device{}();
-    start.sockets = static_cast<std::size_t>(plan.service.sockets),
-    start.memory_mb = static_cast<std::size_t>(plan.service.memory_mb);
-    start.settings = roster.terms(base), start.names = roster.names();
-    start.bounds.proxies = start.settings.proxy_count;
-    start.bounds.longest_window = std::max(120 * start.settings.report_interval, Duration{10'000});
-    routing::View view;
-    view.now = now;
-    start.known.list = roster.list(view), start.known.addresses = roster.addresses();
-    return start;
-}
-
-}  // namespace
-
-struct Served::Kept {
-    std::unique_ptr<record::Disk> disk;
-    background::Worker worker;
-    background::JobId job{};
-    std::unique_ptr<record::Recorder> recorder;
-
-    static constexpr int kPriority = 1;
-    Kept(const routing::Recording& wish, const StartConfiguration& start, const Clock& clock)
-        : disk(record::folder(wish.path)),
-          worker({1'024.0 * wish.kib_per_second, wish.processor_percent / 100.0}, clock) {
-        record::Keeping keeping;
-        keeping.segment_bytes = static_cast<std::uint64_t>(wish.segment_mb) << 20;
-        keeping.all_bytes = static_cast<std::uint64_t>(wish.all_mb) << 20,
-        keeping.all_age = wish.keep;
-        recorder = std::make_unique<record::Recorder>(
-            *disk, keeping,
-            record::head_of(start.settings, start.names, start.seed, start.name, kVersion, clock()),
-            [this] { worker.wake(job); });
-        job = worker.add(kPriority, [this] { return recorder->work(); });
+// Blocks the signals in this thread and those that it starts, so that the signal thread alone
+// receives them.
+sigset_t block_signals() {
+    signal(SIGPIPE, SIG_IGN);
+    sigset_t signals;
+    sigemptyset(&signals);
+    for (const int number : {SIGTERM, SIGINT, SIGHUP}) {
+        sigaddset(&signals, number);
     }
-};
-
-Served::Served(const routing::Plan& plan, Clock clock, Log& log)
-    : Served(plan, start_of(plan, clock()), clock, log) {}
-
-Served::Served(const routing::Plan& plan, StartConfiguration start, Clock clock, Log& log)
-    : log_(log),
-      kept_(plan.recording.path.empty() ? nullptr
-                                        : std::make_unique<Kept>(plan.recording, start, clock)),
-      program_(start, clock, log, kept_ ? kept_->recorder.get() : nullptr),
-      health_(
-          plan, clock,
-          [this](event::EndpointListUpdate list, std::map<ServerId, std::string> addresses) {
-              tell(std::move(list), std::move(addresses));
-          },
-          log) {}
-
-void Served::tell(event::EndpointListUpdate list, std::map<ServerId, std::string> addresses) {
-    program_.handle({++version_, std::move(list), std::move(addresses), {}});
+    pthread_sigmask(SIG_BLOCK, &signals, nullptr);
+    return signals;
 }
 
-Served::~Served() = default;
-
-int Served::run() {
-    if (kept_ && !kept_->worker.start()) {
-        log_.error("no thread to record with: nothing is recorded");
-    }
-    if (!health_.start()) {
-        log_.error("no thread to probe servers: the list stands as the file has it");
+void reload(const std::string& file, PlannerService& service, Log& log) {
+    const operators::Reading reading = operators::read_file(file);
+    for (const operators::Fault& fault : reading.faults) {
+        log.error("reload: fault in file text=\"{}\"", fault.text());
     }
-    const int code = program_.run();
-    health_.stop();
-    if (kept_) {
-        kept_->worker.stop();
-        kept_->recorder->close();
-        const auto counts = kept_->recorder->counts();
-        log_.info("recording: {} turns, {} lost, {} bytes in {} segments, {} failures",
-                  counts.turns, counts.lost, counts.bytes, counts.segments, counts.failures);
+    if (!reading.faults.empty()) {
+        log.error("reload: rejected file={} reason=\"faults in the file\"", file);
+    } else if (!service.replace(reading.plan)) {
+        log.error("reload: rejected file={} reason=\"its pools differ, which needs a restart\"",
+                  file);
+    } else {
+        log.info("reload: applied file={}", file);
     }
-    return code;
 }
 
-int serve(const std::string& file) {
-    signal(SIGPIPE, SIG_IGN);
-    sigset_t heard;
-    sigemptyset(&heard);
-    for (const int signal : {SIGTERM, SIGINT, SIGHUP}) {
-        sigaddset(&heard, signal);
+class Serve : public Subcommand {
+ public:
+    explicit Serve(CLI::App* parser) : Subcommand(parser) {
+        app()
+            .add_option("--operators", file_,
+                        "Serve an operator's file instead: its pools as methods, its servers by "
+                        "its health rules")
+            ->required();
+        app().footer("Example: micaroad serve --operators deploy/operator.txtpb");
     }
-    pthread_sigmask(SIG_BLOCK, &heard, nullptr);
-    const operators::Reading reading = operators::read_file(file);
-    for (const auto& fault : reading.faults) {
-        fmt::print(stderr, "{}\n", fault.text());
-    }
-    if (!reading.faults.empty()) {
-        return kUnusable;
-    }
-    Log log(STDERR_FILENO);
-    for (const auto& notice : reading.notices) {
-        log.warn("{}: {}", file, notice);
+
+    int run(std::ostream&, std::ostream& err) override {
+        const sigset_t signals = block_signals();
+        const operators::Reading reading = operators::read_file(file_);
+        for (const operators::Fault& fault : reading.faults) {
+            err << fault.text() << "\n";
+        }
+        if (!reading.faults.empty()) {
+            return kUnusable;
+        }
+        Log log(STDERR_FILENO);
+        for (const std::string& notice : reading.notices) {
+            log.warn("configuration: notice file={} text=\"{}\"", file_, notice);
+        }
+        PlannerService service(reading.plan, clock_from_now(), log);
+        std::thread signal_thread([&] { handle_signals(signals, service, log); });
+        const int code = service.run();
+        if (code != 0) {
+            // It ended by itself, so no signal has ended the thread.
+            pthread_kill(signal_thread.native_handle(), SIGTERM);
+        }
+        signal_thread.join();
+        return code;
     }
-    Served served(reading.plan, clock_from_now(), log);
-    std::thread ear([&] {
-        int signal = 0;
-        while (sigwait(&heard, &signal) == 0 && signal == SIGHUP) {
-            const operators::Reading again = operators::read_file(file);
-            for (const auto& fault : again.faults) {
-                log.error("reload: {}", fault.text());
-            }
-            if (!again.faults.empty()) {
-                log.error("reload: nothing is changed");
-            } else if (!served.replace(again.plan)) {
-                log.error(
-                    "reload: nothing is changed: its pools are others, which a start takes in");
-            } else {
-                log.info("reload: {} is served", file);
-            }
+
+ private:
+    void handle_signals(const sigset_t& signals, PlannerService& service, Log& log) const {
+        int number = 0;
+        while (sigwait(&signals, &number) == 0 && number == SIGHUP) {
+            reload(file_, service, log);
         }
-        served.stop();
-    });
-    const int code = served.run();
-    if (code != 0) {
-        pthread_kill(ear.native_handle(), SIGTERM);
+        service.stop();
     }
-    ear.join();
-    return code;
+
+    std::string file_;
+};
+
+}  // namespace
+
+std::unique_ptr<Subcommand> add_serve(CLI::App& program) {
+    return std::make_unique<Serve>(program.add_subcommand(
+        "serve", "The daemon. Without words LB_CONFIG names its start file."));
 }
 
 }  // namespace micaroad::command
--- a/src/command/write_atomically.cpp
+++ b/src/command/write_atomically.cpp
@@ -1,3 +1,5 @@
+#include "command/write_atomically.hpp"
+
 #include <fcntl.h>
 #include <fmt/format.h>
 #include <sys/stat.h>
@@ -5,49 +7,115 @@
 
 #include <cerrno>
 #include <cstring>
-#include <filesystem>
-
-#include "command/command.hpp"
+#include <string_view>
+#include <utility>
 
 namespace micaroad::command {
+namespace {
 
-bool write_atomically(const std::string& path, const std::string& text, std::string& why) {
-    const std::string beside = fmt::format("{}.{}.part", path, ::getpid());
-    const auto failed = [&](const char* what) {
-        why = fmt::format("{}: {}: {}", path, what, std::strerror(errno));
-        ::unlink(beside.c_str());
-        return false;
-    };
-    const int file = ::open(beside.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
-    if (file < 0) {
-        return failed("can't be written");
-    }
-    // What stood there keeps its permissions.
-    struct stat old{};
-    if (::stat(path.c_str(), &old) == 0) {
-        (void)::fchmod(file, old.st_mode & 07777);
-    }
-    std::size_t written = 0;
-    while (written < text.size()) {
-        const ssize_t n = ::write(file, text.data() + written, text.size() - written);
-        if (n < 0 && errno == EINTR) {
-            continue;
+constexpr mode_t kNewFileMode = 0644;
+constexpr mode_t kPermissionBits = 07777;
+
+// The file beside the wanted one. It is removed unless it has been renamed. Its functions return
+// false with errno set.
+class TemporaryFile {
+ public:
+    explicit TemporaryFile(std::string path) : path_(std::move(path)) {}
+    TemporaryFile(const TemporaryFile&) = delete;
+    TemporaryFile& operator=(const TemporaryFile&) = delete;
+    ~TemporaryFile() {
+        if (descriptor_ >= 0) {
+            ::close(descriptor_);
         }
-        if (n <= 0) {
-            return ::close(file), failed("can't be written");
+        if (!renamed_) {
+            ::unlink(path_.c_str());
         }
-        written += static_cast<std::size_t>(n);
     }
-    if (::fsync(file) != 0) {
-        return ::close(file), failed("can't be kept");
+
+    bool open() {
+        constexpr int kFlags = O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC;
+        descriptor_ = ::open(path_.c_str(), kFlags, kNewFileMode);
+        return descriptor_ >= 0;
+    }
+
+    // Where this fails the file has the permissions of a new one.
+    void copy_permissions(const std::string& other) const {
+        struct stat status{};
+        if (::stat(other.c_str(), &status) == 0) {
+            static_cast<void>(::fchmod(descriptor_, status.st_mode & kPermissionBits));
+        }
+    }
+
+    bool write(std::string_view text) const {
+        while (!text.empty()) {
+            const ssize_t written = ::write(descriptor_, text.data(), text.size());
+            if (written < 0 && errno == EINTR) {
+                continue;
+            }
+            if (written <= 0) {
+                return false;
+            }
+            text.remove_prefix(static_cast<std::size_t>(written));
+        }
+        return true;
+    }
+
+    bool sync_and_close() {
+        if (::fsync(descriptor_) != 0) {
+            return false;
+        }
+        return ::close(std::exchange(descriptor_, -1)) == 0;
+    }
+
+    bool rename(const std::string& wanted) {
+        renamed_ = ::rename(path_.c_str(), wanted.c_str()) == 0;
+        return renamed_;
+    }
+
+ private:
+    const std::string path_;
+    int descriptor_ = -1;
+    bool renamed_ = false;
+};
+
+}  // namespace
+
+std::string describe(const WriteError& error) {
+    const char* what = "";
+    switch (error.step) {
+        case WriteError::Step::write:
+            what = "can't be written";
+            break;
+        case WriteError::Step::sync:
+            what = "can't be kept";
+            break;
+        case WriteError::Step::rename:
+            what = "can't be put in place";
+            break;
+    }
+    return fmt::format("{}: {}: {}", error.path, what, std::strerror(error.error_number));
+}
+
+tl::expected<void, WriteError> write_atomically(const std::string& path, const std::string& text) {
+    using Step = WriteError::Step;
+    const auto failure = [&path](Step step) {
+        return tl::unexpected(WriteError{path, step, errno});
+    };
+    TemporaryFile file(fmt::format("{}.{}.part", path, ::getpid()));
+    if (!file.open()) {
+        return failure(Step::write);
+    }
+    file.copy_permissions(path);
+    if (!file.write(text)) {
+        return failure(Step::write);
     }
-    if (::close(file) != 0) {
-        return failed("can't be kept");
+    if (!file.sync_and_close()) {
+        return failure(Step::sync);
     }
-    if (::rename(beside.c_str(), path.c_str()) != 0) {
-        return failed("can't be put in place");
+    if (!file.rename(path)) {
+        return failure(Step::rename);
     }
-    return true;
+    return {};
 }
 
 }  // namespace micaroad::command
--- a/tests/command_test.cpp
+++ b/tests/command_test.cpp
@@ -12,6 +12,7 @@
 #include <sstream>
 
 #include "command/version.hpp"
+#include "command/write_atomically.hpp"
 
 using namespace micaroad;
 namespace fs = std::filesystem;
@@ -106,12 +107,13 @@
           command::kUnusable);
     CHECK(folder.files() == before);
     // Where the rename fails, nothing of it is left beside.
-    std::string why;
     fs::create_directory(folder.path / "dir");
-    CHECK(!command::write_atomically(folder.at("dir"), "text", why));
-    CHECK(why.find("can't be put in place") != std::string::npos);
+    const auto failed = command::write_atomically(folder.at("dir"), "text");
+    REQUIRE(!failed);
+    CHECK(failed.error().step == command::WriteError::Step::rename);
+    CHECK(command::describe(failed.error()).find("can't be put in place") != std::string::npos);
     ::chmod(out.c_str(), 0600);
-    CHECK(command::write_atomically(out, "new", why));
+    CHECK(command::write_atomically(out, "new"));
     CHECK(read(out) == "new");
     struct stat now{};
     ::stat(out.c_str(), &now);
--- a/tests/serve_test.cpp
+++ b/tests/serve_test.cpp
@@ -1,7 +1,5 @@
 // An imported file, served: stand-in servers on loopback that can be made ill, and a proxy that
 // joins and reads its orders.
-#include "command/serve.hpp"
-
 #include <fmt/format.h>
 #include <netinet/in.h>
 #include <poll.h>
@@ -12,6 +10,7 @@
 #include <catch2/catch.hpp>
 #include <thread>
 
+#include "command/planner_service.hpp"
 #include "haproxy/translate.hpp"
 #include "helpers.hpp"
 
@@ -169,7 +168,7 @@
     import.plan.service.listen = "127.0.0.1:0", import.plan.service.proxies = 4;
 
     test::Quiet quiet;
-    command::Served served(import.plan, clock_now(), quiet.log);
+    command::PlannerService served(import.plan, clock_now(), quiet.log);
     std::thread running([&] { CHECK(served.run() == 0); });
     for (int i = 0; i < 200 && served.stage() != Stage::serving; ++i) {
         std::this_thread::sleep_for(std::chrono::milliseconds(10));
