--- a/src/operators/duration.cpp
+++ b/src/operators/duration.cpp
@@ -2,52 +2,67 @@
 
 #include <fmt/format.h>
 
+#include <algorithm>
 #include <array>
 #include <charconv>
 #include <cstdint>
-#include <utility>
+#include <limits>
 
 namespace micaroad::operators {
 namespace {
 
-constexpr std::array<std::pair<std::string_view, std::int64_t>, 6> kUnits{{{"d", 86'400'000'000},
-                                                                           {"h", 3'600'000'000},
-                                                                           {"m", 60'000'000},
-                                                                           {"s", 1'000'000},
-                                                                           {"ms", 1'000},
-                                                                           {"us", 1}}};
+struct Unit {
+    std::string_view name;
+    std::int64_t microseconds;
+};
+// The largest first.
+constexpr std::array<Unit, 6> kUnits{{
+    {"d", 86'400'000'000},
+    {"h", 3'600'000'000},
+    {"m", 60'000'000},
+    {"s", 1'000'000},
+    {"ms", 1'000},
+    {"us", 1},
+}};
+
+constexpr std::int64_t kMicrosecondsPerTick = 100;
+static_assert(std::chrono::microseconds{kMicrosecondsPerTick} == Duration{1});
 
 }  // namespace
 
-std::optional<Duration> duration_of(std::string_view text) {
+std::optional<Duration> parse_duration(std::string_view text) {
     std::int64_t number = 0;
-    const auto [end, wrong] = std::from_chars(text.data(), text.data() + text.size(), number);
-    if (wrong != std::errc{} || number < 0) {
+    const char* const begin = text.data();
+    const std::from_chars_result result = std::from_chars(begin, begin + text.size(), number);
+    if (result.ec != std::errc{} || number < 0) {
+        return std::nullopt;
+    }
+    const std::string_view name = text.substr(static_cast<std::size_t>(result.ptr - begin));
+    const auto* const unit = std::find_if(kUnits.begin(), kUnits.end(),
+                                          [name](const Unit& known) { return known.name == name; });
+    if (unit == kUnits.end()) {
         return std::nullopt;
     }
-    const std::string_view unit = text.substr(static_cast<std::size_t>(end - text.data()));
-    for (const auto& [name, micros] : kUnits) {
-        if (unit != name) {
-            continue;
-        }
-        std::int64_t sum = 0;
-        if (__builtin_mul_overflow(number, micros, &sum) || sum > INT64_MAX - 99) {
-            return std::nullopt;
-        }
-        const Duration span{(sum + 99) / 100};
-        return span <= kLongestDuration ? std::optional{span} : std::nullopt;
+    constexpr std::int64_t kRoundUp = kMicrosecondsPerTick - 1;
+    std::int64_t microseconds = 0;
+    if (__builtin_mul_overflow(number, unit->microseconds, &microseconds) ||
+        microseconds > std::numeric_limits<std::int64_t>::max() - kRoundUp) {
+        return std::nullopt;
     }
-    return std::nullopt;
+    const Duration duration{(microseconds + kRoundUp) / kMicrosecondsPerTick};
+    return duration <= kLongestDuration ? std::optional{duration} : std::nullopt;
 }
 
-std::string text_of(Duration duration) {
-    const std::int64_t micros = duration.count() * 100;
-    for (const auto& [name, unit] : kUnits) {
-        if (micros % unit == 0 && micros != 0) {
-            return fmt::format("{}{}", micros / unit, name);
-        }
+std::string format_duration(Duration duration) {
+    const std::int64_t microseconds = duration.count() * kMicrosecondsPerTick;
+    if (microseconds == 0) {
+        return "0s";
     }
-    return "0s";
+    // The last unit always divides it.
+    const auto* const unit = std::find_if(
+        kUnits.begin(), kUnits.end(),
+        [microseconds](const Unit& known) { return microseconds % known.microseconds == 0; });
+    return fmt::format("{}{}", microseconds / unit->microseconds, unit->name);
 }
 
 }  // namespace micaroad::operators
--- a/src/operators/file.hpp
+++ b/src/operators/file.hpp
@@ -1,9 +1,10 @@
-// The operator's file: protobuf text format by proto/operators.proto, to a routing::Plan and back.
-//
-//   const Reading reading = read_file("deploy/operator.txtpb");
-//   if (!reading.faults.empty()) ...        // every fault at once; the plan is then not to be used
+/// The operator's file: protobuf text format by proto/operators.proto, to a routing::Plan and back.
+///
+///     const Reading reading = read_file("deploy/operator.txtpb");
+///     if (!reading.faults.empty()) ...
 #pragma once
 
+#include <cstddef>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -12,33 +13,38 @@
 
 namespace micaroad::operators {
 
+/// Something in the file that can't be used.
 struct Fault {
     std::string file;
-    int line = 0, column = 0;  // from 1; 0: no place in the file
-    std::string value;         // the offending word or value
-    std::string says;          // what is wrong with it
-    std::string allowed;       // what would be right; may be empty
-
-    // "file:line:column: 'value': says; allowed: ..."
-    std::string text() const;
+    int line = 0;         ///< from 1; 0: no place in the file
+    int column = 0;       ///< from 1, in bytes
+    std::string value;    ///< the offending word or value; may be empty
+    std::string says;     ///< what is wrong with it
+    std::string allowed;  ///< what would be right; may be empty
+
+    /// "file:line:column: 'value': says; allowed: ..."
+    [[nodiscard]] std::string text() const;
     bool operator==(const Fault&) const = default;
 };
 
+/// What a file holds. All faults are told at once; a plan with faults is not to be used.
 struct Reading {
     routing::Plan plan;
-    std::vector<Fault> faults;         // by place
-    std::vector<std::string> notices;  // what is sound and yet worth a look
+    std::vector<Fault> faults;         ///< by place, kMostFaults at most
+    std::vector<std::string> notices;  ///< what is valid and yet worth a look
 };
 
-constexpr std::size_t kMostFaults = 200;         // more are not looked for
-constexpr std::size_t kLongestFile = 64u << 20;  // bytes
+/// More faults are not told.
+constexpr std::size_t kMostFaults = 200;
+/// Bytes of a file, at most.
+constexpr std::size_t kLongestFile = std::size_t{64} << 20;
 
-// `name` stands in the faults.
-Reading read_text(std::string_view text, const std::string& name);
-// One that can't be opened or is too long is a fault without a place.
-Reading read_file(const std::string& path);
+/// Reads a text; `name` is the file's in its faults.
+[[nodiscard]] Reading read_text(std::string_view text, const std::string& name);
+/// Reads a file. One that can't be read, or is too long, is a fault without a place.
+[[nodiscard]] Reading read_file(const std::string& path);
 
-// Text that reads back as the same plan. `heading` becomes comment lines at its top.
-std::string write_text(const routing::Plan& plan, std::string_view heading = "");
+/// Text that reads back as the same plan. The lines of `heading` become comments at its top.
+[[nodiscard]] std::string write_text(const routing::Plan& plan, std::string_view heading = "");
 
 }  // namespace micaroad::operators
--- /dev/null
+++ b/src/operators/listener_writer.cpp
@@ -0,0 +1,146 @@
+// Listeners, their routes and matches.
+#include <variant>
+
+#include "operators/writers.hpp"
+
+namespace micaroad::operators {
+namespace {
+
+void write_text_match(const routing::TextMatch& match, Text& message) {
+    using routing::TextWay;
+    for (const std::string& value : match.values) {
+        switch (match.way) {
+            case TextWay::exact:
+                message.add_exact(value);
+                break;
+            case TextWay::prefix:
+                message.add_prefix(value);
+                break;
+            case TextWay::suffix:
+                message.add_suffix(value);
+                break;
+            case TextWay::contains:
+                message.add_contains(value);
+                break;
+            case TextWay::present:
+                break;
+        }
+    }
+    if (match.way == TextWay::present) {
+        message.set_present(true);
+    }
+    if (match.any_case) {
+        message.set_any_case(true);
+    }
+}
+
+void write_matches(const routing::Matches& matches, Matches& message) {
+    for (const routing::Match& match : matches) {
+        write_match(match, *message.add_match());
+    }
+}
+
+// Writes each kind of match to its field.
+class MatchWriter {
+ public:
+    explicit MatchWriter(Match& message) : message_(message) {}
+
+    void operator()(const routing::AllOf& all) const {
+        write_matches(all.of, *message_.mutable_all_of());
+    }
+    void operator()(const routing::AnyOf& any) const {
+        write_matches(any.of, *message_.mutable_any_of());
+    }
+    void operator()(const routing::Not& negation) const {
+        write_match(negation.of.at(0), *message_.mutable_not_());
+    }
+    void operator()(const routing::HostIs& host) const {
+        write_text_match(host.text, *message_.mutable_host());
+    }
+    void operator()(const routing::PathIs& path) const {
+        write_text_match(path.text, *message_.mutable_path());
+    }
+    void operator()(const routing::MethodIs& method) const {
+        for (const std::string& name : method.names) {
+            message_.mutable_method()->add_value(name);
+        }
+    }
+    void operator()(const routing::HeaderIs& header) const {
+        message_.mutable_header()->set_name(header.name);
+        write_text_match(header.text, *message_.mutable_header()->mutable_text());
+    }
+    void operator()(const routing::SourceIn& source) const {
+        for (const routing::Network& network : source.networks) {
+            message_.mutable_source()->add_value(network.text());
+        }
+    }
+    void operator()(const routing::UsableServers& usable) const {
+        const routing::UsableServers defaults;
+        UsableServers& servers = *message_.mutable_usable_servers();
+        servers.set_pool(usable.pool);
+        if (usable.least > defaults.least) {
+            servers.set_least(to_unsigned(usable.least));
+        }
+        if (usable.most < defaults.most) {
+            servers.set_most(to_unsigned(usable.most));
+        }
+    }
+
+ private:
+    Match& message_;
+};
+
+class ActionWriter {
+ public:
+    explicit ActionWriter(Route& message) : message_(message) {}
+
+    void operator()(const routing::ToPool& action) const { message_.set_pool(action.pool); }
+    void operator()(const routing::TurnAway& action) const {
+        message_.mutable_turn_away()->set_status(to_unsigned(action.status));
+    }
+    void operator()(const routing::Redirect& action) const {
+        message_.mutable_redirect()->set_location(action.location);
+        message_.mutable_redirect()->set_status(to_unsigned(action.status));
+    }
+
+ private:
+    Route& message_;
+};
+
+// A match of all of none is a route's default.
+bool always_matches(const routing::Match& match) {
+    const auto* all = std::get_if<routing::AllOf>(&match.is);
+    return all != nullptr && all->of.empty();
+}
+
+void write_route(const routing::Route& route, Route& message) {
+    message.set_name(route.name);
+    if (!always_matches(route.when)) {
+        write_match(route.when, *message.mutable_when());
+    }
+    std::visit(ActionWriter(message), route.then);
+}
+
+}  // namespace
+
+void write_match(const routing::Match& match, Match& message) {
+    std::visit(MatchWriter(message), match.is);
+}
+
+void write_listener(const routing::Listener& listener, Listener& message) {
+    message.set_name(listener.name);
+    for (const std::string& address : listener.addresses) {
+        message.add_address(address);
+    }
+    if (listener.connections_most > 0) {
+        message.set_connections_most(to_unsigned(listener.connections_most));
+    }
+    for (const routing::Route& route : listener.routes) {
+        write_route(route, *message.add_route());
+    }
+    if (!listener.default_pool.empty()) {
+        message.set_default_pool(listener.default_pool);
+    }
+}
+
+}  // namespace micaroad::operators
--- /dev/null
+++ b/src/operators/located_message.hpp
@@ -0,0 +1,62 @@
+/// A message of the operator's file together with its place in the text, and the checks that its
+/// fields have in common. Only the readers of this module use it.
+#pragma once
+
+#include <google/protobuf/message.h>
+#include <google/protobuf/text_format.h>
+
+#include <cstdint>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "micaroad/types.hpp"
+#include "operators/file.hpp"
+
+namespace micaroad::operators {
+
+/// Finds the place of each fault. Refers to the message, its places and the list of faults, which
+/// must outlive it; copies refer to the same.
+class LocatedMessage {
+ public:
+    using Places = google::protobuf::TextFormat::ParseInfoTree;
+
+    /// `places` may be null: all faults are then told at `place`, that of the message itself.
+    LocatedMessage(const google::protobuf::Message& message, const Places* places, Fault place,
+                   std::vector<Fault>& faults);
+
+    /// The message in a field; `index` counts from 0 in a repeated one.
+    [[nodiscard]] LocatedMessage nested(const char* field, const google::protobuf::Message& message,
+                                        int index = kNotRepeated) const;
+
+    /// Adds a fault of a field's value.
+    void add_fault(const char* field, std::string value, std::string says,
+                   std::string_view allowed = "", int index = kNotRepeated) const;
+
+    /// Whether all required fields are there; adds a fault for each that is not.
+    [[nodiscard]] bool check_required() const;
+    /// Checks a name and returns it.
+    [[nodiscard]] std::string check_name(const char* field, const std::string& value) const;
+    /// Parses a duration over 0; returns 0 if it can't be used.
+    [[nodiscard]] Duration read_duration(const char* field, const std::string& value) const;
+    /// Parses a duration of 0 or more; returns 0 if it can't be used.
+    [[nodiscard]] Duration read_duration_or_zero(const char* field, const std::string& value) const;
+    /// Checks a number against its bounds, both included; returns the nearest that is within.
+    [[nodiscard]] int read_number(const char* field, std::uint32_t value, std::uint32_t least,
+                                  std::uint32_t most) const;
+
+ private:
+    static constexpr int kNotRepeated = -1;
+
+    [[nodiscard]] Fault place_of(const char* field, int index) const;
+
+    const google::protobuf::Message* message_;
+    const Places* places_;
+    Fault place_;
+    std::vector<Fault>* faults_;
+};
+
+/// The largest count of connections or requests.
+constexpr std::uint32_t kMostConnections = 2'147'483'647;
+
+}  // namespace micaroad::operators
--- /dev/null
+++ b/src/operators/match_reader.cpp
@@ -0,0 +1,177 @@
+// What an RPC has to be like for a route. The parser bounds how deep matches may stand in one
+// another.
+#include <fmt/format.h>
+
+#include <optional>
+#include <utility>
+
+#include "operators/readers.hpp"
+#include "routing/match.hpp"
+
+namespace micaroad::operators {
+namespace {
+
+constexpr std::uint32_t kMostServers = 1'000'000;
+
+enum class Presence { not_allowed, allowed };
+
+// The values of a text, all of one kind.
+class TextReader {
+ public:
+    template <class Values>
+    void add(routing::TextWay kind, const Values& values) {
+        if (values.empty()) {
+            return;
+        }
+        ++kinds_;
+        match_.way = kind;
+        match_.values.assign(values.begin(), values.end());
+    }
+    void add_presence() {
+        ++kinds_;
+        match_.way = routing::TextWay::present;
+        match_.values.clear();
+    }
+    [[nodiscard]] int kinds() const { return kinds_; }
+    [[nodiscard]] const routing::TextMatch& match() const { return match_; }
+
+ private:
+    int kinds_ = 0;
+    routing::TextMatch match_;
+};
+
+routing::TextMatch read_text_match(const Text& message, const LocatedMessage& location,
+                                   Presence presence) {
+    TextReader reader;
+    reader.add(routing::TextWay::exact, message.exact());
+    reader.add(routing::TextWay::prefix, message.prefix());
+    reader.add(routing::TextWay::suffix, message.suffix());
+    reader.add(routing::TextWay::contains, message.contains());
+    if (message.present()) {
+        reader.add_presence();
+    }
+    if (message.present() && presence == Presence::not_allowed) {
+        location.add_fault("present", "true", "for headers alone");
+    }
+    if (reader.kinds() != 1) {
+        location.add_fault("exact", "", fmt::format("{} kinds of value are set", reader.kinds()),
+                           "exactly one of exact, prefix, suffix, contains, present");
+    }
+    routing::TextMatch match = reader.match();
+    match.any_case = message.any_case();
+    return match;
+}
+
+routing::Matches read_matches(const Matches& message, const LocatedMessage& location,
+                              const FileState& state) {
+    routing::Matches matches;
+    for (int i = 0; i < message.match_size(); ++i) {
+        const Match& match = message.match(i);
+        matches.push_back(read_match(match, location.nested("match", match, i), state));
+    }
+    return matches;
+}
+
+routing::Match read_host(const Text& message, const LocatedMessage& location) {
+    routing::TextMatch host = read_text_match(message, location, Presence::not_allowed);
+    for (std::string& value : host.values) {
+        value = routing::lower(value);
+    }
+    host.any_case = false;  // hosts are compared in lower case anyway
+    return {routing::HostIs{std::move(host)}};
+}
+
+routing::Match read_method(const Words& message, const LocatedMessage& parent) {
+    if (message.value_size() == 0) {
+        parent.add_fault("method", "", "no method is named");
+    }
+    return {routing::MethodIs{{message.value().begin(), message.value().end()}}};
+}
+
+routing::Match read_header(const Header& message, const LocatedMessage& location) {
+    if (!location.check_required()) {
+        return {};
+    }
+    const std::string name = location.check_name("name", message.name());
+    const LocatedMessage text = location.nested("text", message.text());
+    return {routing::HeaderIs{name, read_text_match(message.text(), text, Presence::allowed)}};
+}
+
+routing::Match read_source(const Words& message, const LocatedMessage& parent) {
+    const LocatedMessage location = parent.nested("source", message);
+    routing::SourceIn source;
+    for (int i = 0; i < message.value_size(); ++i) {
+        const std::optional<routing::Network> network = routing::network_of(message.value(i));
+        if (network) {
+            source.networks.push_back(*network);
+        } else {
+            location.add_fault("value", message.value(i), "no network",
+                               "10.0.0.0/8, 10.1.2.3, 2001:db8::/32", i);
+        }
+    }
+    if (message.value_size() == 0) {
+        parent.add_fault("source", "", "no network is named");
+    }
+    return {std::move(source)};
+}
+
+routing::Match read_usable_servers(const UsableServers& message, const LocatedMessage& location,
+                                   const FileState& state) {
+    if (!location.check_required()) {
+        return {};
+    }
+    routing::UsableServers usable;
+    usable.pool = check_pool_name(location, "pool", message.pool(), state);
+    usable.least = location.read_number("least", message.least(), 0, kMostServers);
+    usable.most = location.read_number("most", message.most(), 0, kMostServers);
+    if (usable.least > usable.most) {
+        location.add_fault("least", std::to_string(usable.least), "more than 'most'",
+                           fmt::format("0 to {}", usable.most));
+    }
+    return {std::move(usable)};
+}
+
+routing::Match read_negation(const Match& message, const LocatedMessage& location,
+                             const FileState& state) {
+    routing::Not negation;
+    negation.of.push_back(read_match(message, location, state));
+    return {std::move(negation)};
+}
+
+}  // namespace
+
+routing::Match read_match(const Match& message, const LocatedMessage& location,
+                          const FileState& state) {
+    const auto nested = [&location](const char* field, const google::protobuf::Message& inner) {
+        return location.nested(field, inner);
+    };
+    switch (message.is_case()) {
+        case Match::kAllOf:
+            return {routing::AllOf{
+                read_matches(message.all_of(), nested("all_of", message.all_of()), state)}};
+        case Match::kAnyOf:
+            return {routing::AnyOf{
+                read_matches(message.any_of(), nested("any_of", message.any_of()), state)}};
+        case Match::kNot:
+            return read_negation(message.not_(), nested("not", message.not_()), state);
+        case Match::kHost:
+            return read_host(message.host(), nested("host", message.host()));
+        case Match::kPath:
+            return {routing::PathIs{read_text_match(message.path(), nested("path", message.path()),
+                                                    Presence::not_allowed)}};
+        case Match::kMethod:
+            return read_method(message.method(), location);
+        case Match::kHeader:
+            return read_header(message.header(), nested("header", message.header()));
+        case Match::kSource:
+            return read_source(message.source(), location);
+        case Match::kUsableServers:
+            return read_usable_servers(message.usable_servers(),
+                                       nested("usable_servers", message.usable_servers()), state);
+        case Match::IS_NOT_SET:
+            location.add_fault("all_of", "", "a match that says nothing", "one of its fields");
+    }
+    return {};
+}
+
+}  // namespace micaroad::operators
--- a/src/operators/text_parser.cpp
+++ b/src/operators/text_parser.cpp
@@ -5,190 +5,254 @@
 #include <google/protobuf/io/tokenizer.h>
 
 #include <algorithm>
-#include <map>
 #include <numeric>
 #include <optional>
-#include <set>
+#include <utility>
 
 namespace micaroad::operators {
 namespace {
 
 namespace pb = google::protobuf;
 
-struct Said {
-    int line, column;  // from 0
+constexpr int kDeepest = 64;  // messages in one another
+constexpr int kTabWidth = 8;  // as the library's tokenizer counts columns
+
+// What the library's parser has to say, with the place as it counts.
+struct ParserMessage {
+    int line;    // from 0
+    int column;  // from 0, tabs up to the next multiple of kTabWidth
     std::string text;
 };
 
-class Listening : public pb::io::ErrorCollector {
+class MessageCollector : public pb::io::ErrorCollector {
  public:
-    std::vector<Said> errors, warnings;
+    [[nodiscard]] const std::vector<ParserMessage>& errors() const { return errors_; }
+    [[nodiscard]] const std::vector<ParserMessage>& warnings() const { return warnings_; }
     void AddError(int line, pb::io::ColumnNumber column, const std::string& text) override {
-        errors.push_back({line, column, text});
+        errors_.push_back({line, column, text});
     }
     void AddWarning(int line, pb::io::ColumnNumber column, const std::string& text) override {
-        warnings.push_back({line, column, text});
+        warnings_.push_back({line, column, text});
     }
+
+ private:
+    std::vector<ParserMessage> errors_;
+    std::vector<ParserMessage> warnings_;
+};
+
+// A line of a text, by its first and its end, which is its line feed or the text's end.
+struct LineSpan {
+    std::size_t begin;
+    std::size_t end;
 };
 
+// `line` counts from 0.
+std::optional<LineSpan> find_line(const std::string& text, int line) {
+    std::size_t begin = 0;
+    for (int passed = 0; passed < line; ++passed) {
+        const std::size_t line_feed = text.find('\n', begin);
+        if (line_feed == std::string::npos) {
+            return std::nullopt;
+        }
+        begin = line_feed + 1;
+    }
+    return LineSpan{begin, std::min(text.find('\n', begin), text.size())};
+}
+
 std::vector<std::string> words_in_quotes(const std::string& text) {
     std::vector<std::string> words;
-    for (std::size_t at = 0; (at = text.find('"', at)) != std::string::npos;) {
-        const auto end = text.find('"', at + 1);
-        if (end == std::string::npos) {
+    std::size_t open = text.find('"');
+    while (open != std::string::npos) {
+        const std::size_t close = text.find('"', open + 1);
+        if (close == std::string::npos) {
             break;
         }
-        words.push_back(text.substr(at + 1, end - at - 1)), at = end + 1;
+        words.push_back(text.substr(open + 1, close - open - 1));
+        open = text.find('"', close + 1);
     }
     return words;
 }
 
-std::string listed(const std::vector<std::string>& words) {
+std::string joined(const std::vector<std::string>& words) {
     return fmt::format("{}", fmt::join(words, ", "));
 }
 
-// Every enum field of a name in the schema, as the parser does not tell whose it is.
-std::vector<std::string> values_of(const pb::Descriptor& type, const std::string& field) {
-    std::vector<std::string> values;
-    const pb::FileDescriptor& file = *type.file();
+// All messages of the file, nested ones too.
+std::vector<const pb::Descriptor*> message_types(const pb::FileDescriptor& file) {
     std::vector<const pb::Descriptor*> types;
     for (int i = 0; i < file.message_type_count(); ++i) {
         types.push_back(file.message_type(i));
     }
     for (std::size_t i = 0; i < types.size(); ++i) {
-        for (int k = 0; k < types[i]->nested_type_count(); ++k) {
-            types.push_back(types[i]->nested_type(k));
+        for (int j = 0; j < types[i]->nested_type_count(); ++j) {
+            types.push_back(types[i]->nested_type(j));
         }
-        const pb::FieldDescriptor* found = types[i]->FindFieldByName(field);
-        if (found == nullptr || found->enum_type() == nullptr) {
+    }
+    return types;
+}
+
+// The values of every enum field of that name, as the parser does not tell whose field it is.
+std::vector<std::string> enum_values(const pb::Descriptor& root, const std::string& field_name) {
+    std::vector<std::string> values;
+    for (const pb::Descriptor* type : message_types(*root.file())) {
+        const pb::FieldDescriptor* field = type->FindFieldByName(field_name);
+        if (field == nullptr || field->enum_type() == nullptr) {
             continue;
         }
-        for (int k = 0; k < found->enum_type()->value_count(); ++k) {
-            values.push_back(found->enum_type()->value(k)->name());
+        for (int i = 0; i < field->enum_type()->value_count(); ++i) {
+            values.push_back(field->enum_type()->value(i)->name());
         }
     }
     return values;
 }
 
-Fault fault_of(const Said& said, const std::string& name, const std::string& text,
-               const pb::Descriptor& root) {
-    Fault fault{name, said.line + 1, said.column + 1, "", said.text, ""};
-    const auto words = words_in_quotes(said.text);
-    if (said.text.find("has no field named") != std::string::npos && words.size() >= 2) {
-        fault.value = words[1];
-        std::vector<std::string> known;
-        if (const pb::Descriptor* type = root.file()->pool()->FindMessageTypeByName(words[0])) {
-            for (int i = 0; i < type->field_count(); ++i) {
-                known.push_back(type->field(i)->name());
-            }
-            fault.says = fmt::format("no field of {}", type->name());
+Fault unknown_field(Fault fault, const std::string& type_name, const std::string& field_name,
+                    const pb::Descriptor& root) {
+    fault.value = field_name;
+    std::vector<std::string> known;
+    const pb::Descriptor* type = root.file()->pool()->FindMessageTypeByName(type_name);
+    if (type != nullptr) {
+        for (int i = 0; i < type->field_count(); ++i) {
+            known.push_back(type->field(i)->name());
         }
-        if (const std::string near = nearest(fault.value, known); !near.empty()) {
-            fault.says += fmt::format(" (perhaps '{}')", near);
-        }
-        fault.allowed = listed(known);
-        return fault;
+        fault.says = fmt::format("no field of {}", type->name());
     }
-    if (said.text.starts_with("Unknown enumeration value") && words.size() >= 2) {
-        fault.value = words[0], fault.says = fmt::format("no value of {}", words[1]);
-        fault.allowed = listed(values_of(root, words[1]));
-        return fault;
-    }
-    // What stands at the place.
-    std::size_t from = 0;
-    for (int line = 0; line < said.line && from != std::string::npos; ++line) {
-        from = text.find('\n', from);
-        if (from != std::string::npos) {
-            ++from;
-        }
+    const std::string near = nearest(field_name, known);
+    if (!near.empty()) {
+        fault.says += fmt::format(" (perhaps '{}')", near);
     }
-    if (from == std::string::npos) {
+    fault.allowed = joined(known);
+    return fault;
+}
+
+Fault unknown_enum_value(Fault fault, const std::string& value, const std::string& field_name,
+                         const pb::Descriptor& root) {
+    fault.value = value;
+    fault.says = fmt::format("no value of {}", field_name);
+    fault.allowed = joined(enum_values(root, field_name));
+    return fault;
+}
+
+// Any other fault: its value is the word that stands at its place.
+Fault syntax_fault(Fault fault, const ParserMessage& message, const std::string& text) {
+    const std::optional<LineSpan> line = find_line(text, message.line);
+    if (!line) {
         return fault;
     }
-    const std::size_t end = std::min(text.find('\n', from), text.size());
-    // The tokenizer counts tabs up to the next multiple of eight.
-    std::size_t at = from;
-    for (int column = 0; at < end && column < said.column; ++at) {
-        column += text[at] == '\t' ? 8 - column % 8 : 1;
+    std::size_t place = line->begin;
+    int column = 0;
+    while (place < line->end && column < message.column) {
+        column += text[place] == '\t' ? kTabWidth - column % kTabWidth : 1;
+        ++place;
     }
-    fault.column = static_cast<int>(at - from) + 1;
-    const std::size_t stop = text.find_first_of(" \t\r\n;,{}", at);
-    fault.value = text.substr(at, std::min(stop, end) - at);
-    if (said.text.find("out of range") != std::string::npos) {
+    fault.column = static_cast<int>(place - line->begin) + 1;
+    const std::size_t word_end = std::min(text.find_first_of(" \t\r\n;,{}", place), line->end);
+    fault.value = text.substr(place, word_end - place);
+    if (message.text.find("out of range") != std::string::npos) {
         fault.allowed = "a whole number that fits the field";
     }
     return fault;
 }
 
-// Blanks the scalar field whose value stands at a place or just before it, on its line alone, and
-// moves the place to that value. False: there is none, the fault is of the structure.
+// The parser tells what is wrong in words alone.
+Fault to_fault(const ParserMessage& message, const std::string& name, const std::string& text,
+               const pb::Descriptor& root) {
+    Fault fault{name, message.line + 1, message.column + 1, "", message.text, ""};
+    const std::vector<std::string> words = words_in_quotes(message.text);
+    if (message.text.find("has no field named") != std::string::npos && words.size() >= 2) {
+        return unknown_field(std::move(fault), words[0], words[1], root);
+    }
+    if (message.text.starts_with("Unknown enumeration value") && words.size() >= 2) {
+        return unknown_enum_value(std::move(fault), words[0], words[1], root);
+    }
+    return syntax_fault(std::move(fault), message, text);
+}
+
+bool is_field_name_character(char character) {
+    return (character >= '0' && character <= '9') || (character >= 'a' && character <= 'z') ||
+           (character >= 'A' && character <= 'Z') || character == '_';
+}
+
+// Where the name of the field begins whose colon is given.
+std::size_t find_name_begin(const std::string& text, std::size_t line_begin, std::size_t colon) {
+    std::size_t begin = colon;
+    while (begin > line_begin && text[begin - 1] == ' ') {
+        --begin;
+    }
+    while (begin > line_begin && is_field_name_character(text[begin - 1])) {
+        --begin;
+    }
+    return begin;
+}
+
+// Where the value ends that begins at `begin`.
+std::size_t find_value_end(const std::string& text, std::size_t begin, std::size_t line_end) {
+    if (begin < line_end && text[begin] == '"') {
+        const std::size_t quote = std::min(text.find('"', begin + 1), line_end);
+        return std::min(quote + 1, line_end);
+    }
+    return std::min(text.find_first_of(" \t\r;,{}", begin), line_end);
+}
+
+// Blanks the scalar field whose value stands at the fault's place or just before it, on its line
+// alone, and moves the place to that value. Returns false if there is none: the fault is of the
+// structure.
 bool blank_field(std::string& text, Fault& fault) {
-    std::size_t from = 0;
-    for (int line = 1; line < fault.line; ++line) {
-        from = text.find('\n', from);
-        if (from == std::string::npos) {
-            return false;
-        }
-        ++from;
+    const std::optional<LineSpan> line = find_line(text, fault.line - 1);
+    if (!line) {
+        return false;
     }
-    const std::size_t end = std::min(text.find('\n', from), text.size());
-    const std::size_t place = std::min(end, from + static_cast<std::size_t>(fault.column) - 1);
+    const std::size_t column = static_cast<std::size_t>(fault.column) - 1;
+    const std::size_t place = std::min(line->end, line->begin + column);
     const std::size_t colon = text.rfind(':', place);
-    if (colon == std::string::npos || colon < from) {
+    if (colon == std::string::npos || colon < line->begin) {
         return false;
     }
-    std::size_t first = colon;
-    const auto in_name = [](char c) {
-        return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
-               c == '_';
-    };
-    while (first > from && text[first - 1] == ' ') {
-        --first;
-    }
-    while (first > from && in_name(text[first - 1])) {
-        --first;
-    }
-    std::size_t value = colon + 1;
-    while (value < end && text[value] == ' ') {
-        ++value;
-    }
-    std::size_t last = value;
-    if (last < end && text[last] == '"') {
-        last = std::min(text.find('"', last + 1), end);
-        last = std::min(last + 1, end);
-    } else {
-        while (last < end &&
-               std::string_view(" \t\r;,{}").find(text[last]) == std::string_view::npos) {
-            ++last;
-        }
-    }
-    if (last == value) {
+    const std::size_t value_begin = std::min(text.find_first_not_of(' ', colon + 1), line->end);
+    const std::size_t value_end = find_value_end(text, value_begin, line->end);
+    if (value_end == value_begin) {
         return false;
     }
-    fault.column = static_cast<int>(value - from) + 1;
-    std::fill(text.begin() + static_cast<std::ptrdiff_t>(first),
-              text.begin() + static_cast<std::ptrdiff_t>(last), ' ');
+    const std::size_t field_begin = find_name_begin(text, line->begin, colon);
+    fault.column = static_cast<int>(value_begin - line->begin) + 1;
+    text.replace(field_begin, value_end - field_begin, value_end - field_begin, ' ');
     return true;
 }
 
+// Parses once.
+bool parse(const std::string& text, pb::Message& message, pb::TextFormat::ParseInfoTree& places,
+           MessageCollector& collector) {
+    pb::TextFormat::Parser parser;
+    parser.AllowUnknownField(true);
+    parser.AllowPartialMessage(true);
+    parser.SetRecursionLimit(kDeepest);
+    parser.RecordErrorsTo(&collector);
+    parser.WriteLocationsTo(&places);
+    message.Clear();
+    return parser.ParseFromString(text, &message);
+}
+
 }  // namespace
 
 std::string nearest(std::string_view word, const std::vector<std::string>& known) {
     std::string best;
-    std::size_t distance = std::max<std::size_t>(2, word.size() / 3) + 1;
+    std::size_t best_distance = std::max<std::size_t>(2, word.size() / 3) + 1;
     for (const std::string& other : known) {
+        // Levenshtein's distance, a row at a time.
         std::vector<std::size_t> row(other.size() + 1);
         std::iota(row.begin(), row.end(), std::size_t{0});
-        for (std::size_t i = 0; i < word.size(); ++i) {
-            std::size_t corner = row[0]++;
-            for (std::size_t k = 0; k < other.size(); ++k) {
-                const std::size_t change = corner + (word[i] == other[k] ? 0 : 1);
-                corner = row[k + 1];
-                row[k + 1] = std::min({corner + 1, row[k] + 1, change});
+        for (const char letter : word) {
+            std::size_t diagonal = row[0];
+            ++row[0];
+            for (std::size_t i = 0; i < other.size(); ++i) {
+                const std::size_t substituted = diagonal + (letter == other[i] ? 0 : 1);
+                diagonal = row[i + 1];
+                row[i + 1] = std::min({diagonal + 1, row[i] + 1, substituted});
             }
         }
-        if (row.back() < distance) {
-            distance = row.back(), best = other;
+        if (row.back() < best_distance) {
+            best_distance = row.back();
+            best = other;
         }
     }
     return best;
@@ -196,33 +260,24 @@
 
 std::vector<Fault> parse_text(std::string text, const std::string& name, pb::Message& message,
                               std::unique_ptr<pb::TextFormat::ParseInfoTree>& places) {
+    const std::string original = text;
+    const pb::Descriptor& root = *message.GetDescriptor();
     std::vector<Fault> faults;
-    const std::string whole = text;
-    for (;;) {
-        Listening listening;
-        pb::TextFormat::Parser parser;
-        parser.AllowUnknownField(true);
-        parser.AllowPartialMessage(true);
-        parser.SetRecursionLimit(64);
-        parser.RecordErrorsTo(&listening);
+    bool again = true;
+    while (again) {
+        MessageCollector collector;
         places = std::make_unique<pb::TextFormat::ParseInfoTree>();
-        parser.WriteLocationsTo(places.get());
-        message.Clear();
-        const bool read = parser.ParseFromString(text, &message);
-        if (read || listening.errors.empty() || faults.size() >= kMostFaults) {
-            for (const Said& said : listening.warnings) {
-                faults.push_back(fault_of(said, name, whole, *message.GetDescriptor()));
-            }
-            break;
+        const bool parsed = parse(text, message, *places, collector);
+        again = false;
+        if (!parsed && !collector.errors().empty() && faults.size() < kMostFaults) {
+            faults.push_back(to_fault(collector.errors().front(), name, original, root));
+            again = blank_field(text, faults.back());
         }
-        faults.push_back(fault_of(listening.errors.front(), name, whole, *message.GetDescriptor()));
-        if (blank_field(text, faults.back())) {
-            continue;
-        }
-        for (const Said& said : listening.warnings) {
-            faults.push_back(fault_of(said, name, whole, *message.GetDescriptor()));
+        if (!again) {
+            for (const ParserMessage& warning : collector.warnings()) {
+                faults.push_back(to_fault(warning, name, original, root));
+            }
         }
-        break;
     }
     return faults;
 }
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -90,10 +90,13 @@
         "1 } }",
         "f");
     REQUIRE(reading.faults.empty());
-    routing::Pool usual;
-    usual.name = "p", usual.further.most = 1, usual.servers.resize(1);
-    usual.servers[0].name = "a", usual.servers[0].address = "10.0.0.1:80";
-    CHECK(reading.plan.pools[0] == usual);
+    routing::Pool defaults;
+    defaults.name = "p";
+    defaults.further.most = 1;
+    defaults.servers.resize(1);
+    defaults.servers[0].name = "a";
+    defaults.servers[0].address = "10.0.0.1:80";
+    CHECK(reading.plan.pools[0] == defaults);
     CHECK(read_text("planner {}", "f").plan.service == routing::Service{});
 }
 
@@ -225,7 +228,7 @@
     CHECK(!faults_of(route(deep)).empty());
 }
 
-TEST_CASE("a text cut or spoilt anywhere is read or refused, and never crashes") {
+TEST_CASE("a text cut or corrupted anywhere is read or rejected, and never crashes") {
     std::mt19937_64 chance(3);
     for (std::size_t length = 0; length < kSound.size(); length += 3) {
         const Reading reading = read_text(kSound.substr(0, length), "f");
@@ -238,22 +241,22 @@
         for (int k = 0; k < 4; ++k) {
             text[chance() % text.size()] = static_cast<char>(chance() % 256);
         }
-        (void)read_text(text, "f");
+        static_cast<void>(read_text(text, "f"));
     }
     CHECK(read_file("/nowhere/x").faults.at(0).text() == "/nowhere/x: can't be opened");
 }
 
 TEST_CASE("durations are whole numbers with a unit, and never wrap") {
-    CHECK(duration_of("250us") == Duration{3});  // rounded up to a tenth of a millisecond
-    CHECK((duration_of("0s") == Duration{} && duration_of("1500ms") == Duration{15'000} &&
-           duration_of("24d") == Duration{20'736'000'000}));
+    CHECK(parse_duration("250us") == Duration{3});  // rounded up to a tenth of a millisecond
+    CHECK((parse_duration("0s") == Duration{} && parse_duration("1500ms") == Duration{15'000} &&
+           parse_duration("24d") == Duration{20'736'000'000}));
     for (const char* odd : {"", "s", "1", "1.5s", "-1s", "1 s", "25d", "9223372036854775807s",
                             "9223372036854775807us", "99999999999999999999us", "1sec"}) {
-        CHECK(!duration_of(odd));
+        CHECK(!parse_duration(odd));
     }
     for (const std::int64_t tenths :
          {0, 1, 7, 10, 25, 10'000, 600'000, 36'000'000, 864'000'000, 123'457}) {
-        CHECK(duration_of(text_of(Duration{tenths})) == Duration{tenths});
+        CHECK(parse_duration(format_duration(Duration{tenths})) == Duration{tenths});
     }
     CHECK(nearest("adress", {"name", "address", "route"}) == "address");
     CHECK(nearest("zzz", {"name", "address"}).empty());
