--- a/tests/log_lines_test.py
+++ b/tests/log_lines_test.py
@@ -6,9 +6,10 @@
 FOLDER... are the sources to look in, in place of src/.
 
 A quoted line is a code span in a column titled "log line" of a table of the page. It has to be written by a call of
-the log somewhere in src/: info(), warn() or error() with a format string. In the page UPPER CASE stands for a value
-and "..." for any part that is left out; in a format string a placeholder such as {} or {:.2f} matches a value, which
-has no blanks unless it stands in double quotes. Literals that stand side by side in C++ are joined first.
+the log somewhere in src/: info(), warn() or error() with a format string that begins with the component. In the page
+UPPER CASE stands for a value and "..." for any part that is left out. In a format string a placeholder such as {} or
+{:.2f} matches a value, which has no blanks unless it is in double quotes; {:?} writes the quotes itself. A placeholder
+in the event's name stands for the literals among the call's arguments. Adjacent C++ literals are joined first.
 
 Self-checks show that made-up lines and lines of another form are found, and that the page's tables are read at all.
 """
@@ -25,8 +26,9 @@
 LEAST_QUOTED_LINES = 30
 
 LITERAL = r'"(?:[^"\\\n]|\\.)*"'
-LOG_CALL = re.compile(rf"\b(?:info|warn|error)\(\s*({LITERAL}(?:\s*{LITERAL})*)")
+LOG_CALL = re.compile(rf"\b(?:info|warn|error)\(\s*({LITERAL}(?:\s*{LITERAL})*)((?:{LITERAL}|[^;\"])*);")
 PLACEHOLDER = re.compile(r"\{[^{}]*\}")
+COMPONENT = re.compile(r"[a-z_]+: ")
 ESCAPES = {r"\"": '"', r"\\": "\\", r"\n": "\n", r"\t": "\t"}
 
 
@@ -34,12 +36,26 @@
     return re.sub(r"\\.", lambda escape: ESCAPES.get(escape.group(), escape.group()), literal)
 
 
+def literals_in(text):
+    return [unescape(literal[1:-1]) for literal in re.findall(LITERAL, text)]
+
+
+def with_event_named(form, words):
+    """The forms that a format string stands for, where the event's name is chosen among `words` by the arguments."""
+    end = min([place for place in (form.find("="), form.find('"')) if place >= 0], default=len(form))
+    event = PLACEHOLDER.search(form, 0, end)
+    if event is None or not words or not COMPONENT.match(form):
+        return [form]
+    return [form[: event.start()] + word + form[event.end() :] for word in words]
+
+
 def format_strings_in(text):
     """The format strings of all log calls in C++ source text."""
-    return [
-        "".join(unescape(literal[1:-1]) for literal in re.findall(LITERAL, call.group(1)))
-        for call in LOG_CALL.finditer(text)
-    ]
+    forms = []
+    for call in LOG_CALL.finditer(text):
+        form = "".join(literals_in(call.group(1))).replace("{:?}", '"{}"')
+        forms += with_event_named(form, literals_in(call.group(2)))
+    return forms
 
 
 def format_strings_of(folder):
@@ -125,7 +141,7 @@
     return [
         f"docs/on-call.md:{number}: no log call in src/ writes `{line}`"
         for number, line in quoted_lines(page)
-        if not any(matches(line, form) for form in forms)
+        if not (COMPONENT.match(line) and any(COMPONENT.match(form) and matches(line, form) for form in forms))
     ]
 
 
@@ -142,16 +158,26 @@
                   "zone={} rpcs_per_second={:.1f}", proxy, zone, rate);
         log.warn(
             "net: connection closed peer={} reason=\\"{}\\"", peer, why);
+        log.info("core: server {} server={}", withdrawn ? "withdrawn" : "reinstated", server);
+        log.warn("{}: {}", file, notice);
+        log.error("core: failed planner={} reason={:?}", name, error.what());
         text = fmt::format("core: not logged at={}", now);
     """
-    joined, closed = example = format_strings_in(source)
+    example = format_strings_in(source)
+    joined, closed, withdrawn, reinstated, bare, failed = example
+    example_row = "| what is seen | log line |\n| --- | --- |\n| a file | `operator.txtpb: notice` |"
     header = "| what is seen | log line |\n| --- | --- |\n"
     made_up = "core: proxy vanished proxy=PROXY"
     first = quoted_lines(page)[0][1] if quoted_lines(page) else ""
     return all([
         expect(joined == "core: proxy joined proxy={} zone={} rpcs_per_second={:.1f}", "adjacent literals are joined"),
         expect(closed == 'net: connection closed peer={} reason="{}"', "quotes are unescaped"),
-        expect(len(example) == 2, "strings that no log call writes are not taken"),
+        expect(len(example) == 6, "strings that no log call writes are not taken"),
+        expect(withdrawn == "core: server withdrawn server={}", "an event's name is one of the literals"),
+        expect(reinstated == "core: server reinstated server={}", "an event's name may be each of the literals"),
+        expect(matches('core: failed planner=NAME reason="no memory left"', failed), "{:?} writes quotes"),
+        expect(not matches("core: failed planner=NAME reason=REASON", failed), "{:?} writes nothing without quotes"),
+        expect(len(faults_of(example_row, [bare])) == 1, "a line without a component has no source"),
         expect(matches("core: proxy joined proxy=12 zone=ZONE rpcs_per_second=5", joined), "values match"),
         expect(matches("core: proxy joined proxy=PROXY ...", joined), "the end may be left out"),
         expect(matches("core: proxy joined ... rpcs_per_second=RATE", joined), "the middle may be left out"),
