--- a/src/routing/match.cpp
+++ b/src/routing/match.cpp
@@ -1,11 +1,12 @@
 #include "routing/match.hpp"
 
 #include <algorithm>
+#include <variant>
 
 namespace micaroad::routing {
 namespace {
 
-bool fits_one(TextWay way, std::string_view text, std::string_view value) {
+bool fits_value(TextWay way, std::string_view text, std::string_view value) {
     switch (way) {
         case TextWay::exact:
             return text == value;
@@ -21,46 +22,58 @@
     return false;
 }
 
-struct Asked {
+// Tells for each kind of condition whether the RPC meets it.
+struct ConditionCheck {
     const Rpc& rpc;
-    const UsableCount& usable;
+    const UsableCount& usable_count;
 
     bool operator()(const AllOf& all) const {
-        return std::all_of(all.of.begin(), all.of.end(),
-                           [this](const Match& m) { return fits(m, rpc, usable); });
+        return std::all_of(all.of.begin(), all.of.end(), [this](const Match& match) {
+            return fits(match, rpc, usable_count);
+        });
     }
+
     bool operator()(const AnyOf& any) const {
-        return std::any_of(any.of.begin(), any.of.end(),
-                           [this](const Match& m) { return fits(m, rpc, usable); });
+        return std::any_of(any.of.begin(), any.of.end(), [this](const Match& match) {
+            return fits(match, rpc, usable_count);
+        });
     }
-    bool operator()(const Not& none) const {
-        return !none.of.empty() && !fits(none.of.front(), rpc, usable);
+
+    bool operator()(const Not& negated) const {
+        return !negated.of.empty() && !fits(negated.of.front(), rpc, usable_count);
     }
+
     bool operator()(const HostIs& host) const {
         TextMatch any_case = host.text;
         any_case.any_case = true;
         return !rpc.host.empty() && fits(any_case, plain_host(rpc.host));
     }
+
     bool operator()(const PathIs& path) const { return fits(path.text, rpc.path); }
+
     bool operator()(const MethodIs& method) const {
         return std::find(method.names.begin(), method.names.end(), rpc.method) !=
                method.names.end();
     }
+
     bool operator()(const HeaderIs& header) const {
         const std::string name = lower(header.name);
         if (name == "host") {
             return !rpc.host.empty() && fits(header.text, rpc.host);
         }
-        return std::any_of(rpc.headers.begin(), rpc.headers.end(), [&](const auto& field) {
-            return field.first == name && fits(header.text, field.second);
-        });
+        return std::any_of(rpc.headers.begin(), rpc.headers.end(),
+                           [&header, &name](const auto& field) {
+                               return field.first == name && fits(header.text, field.second);
+                           });
     }
+
     bool operator()(const SourceIn& source) const {
         return std::any_of(source.networks.begin(), source.networks.end(),
                            [this](const Network& network) { return network.holds(rpc.source); });
     }
+
     bool operator()(const UsableServers& servers) const {
-        const int count = usable ? usable(servers.pool) : 0;
+        const int count = usable_count ? usable_count(servers.pool) : 0;
         return count >= servers.least && count <= servers.most;
     }
 };
@@ -68,13 +81,13 @@
 }  // namespace
 
 std::string lower(std::string_view text) {
-    std::string low(text);
-    for (char& c : low) {
-        if (c >= 'A' && c <= 'Z') {
-            c = static_cast<char>(c - 'A' + 'a');
+    std::string folded(text);
+    for (char& letter : folded) {
+        if (letter >= 'A' && letter <= 'Z') {
+            letter = static_cast<char>(letter - 'A' + 'a');
         }
     }
-    return low;
+    return folded;
 }
 
 std::string plain_host(std::string_view host) {
@@ -94,14 +107,15 @@
         return true;
     }
     const std::string folded = match.any_case ? lower(text) : std::string();
-    return std::any_of(match.values.begin(), match.values.end(), [&](const std::string& value) {
-        return match.any_case ? fits_one(match.way, folded, lower(value))
-                              : fits_one(match.way, text, value);
-    });
+    return std::any_of(match.values.begin(), match.values.end(),
+                       [&match, &folded, text](const std::string& value) {
+                           return match.any_case ? fits_value(match.way, folded, lower(value))
+                                                 : fits_value(match.way, text, value);
+                       });
 }
 
-bool fits(const Match& match, const Rpc& rpc, const UsableCount& usable) {
-    return std::visit(Asked{rpc, usable}, match.is);
+bool fits(const Match& match, const Rpc& rpc, const UsableCount& usable_count) {
+    return std::visit(ConditionCheck{.rpc = rpc, .usable_count = usable_count}, match.is);
 }
 
 }  // namespace micaroad::routing
--- a/src/routing/match.hpp
+++ b/src/routing/match.hpp
@@ -1,21 +1,26 @@
-// Does an RPC fit? The plain answer, which the index (route_index.hpp) only narrows down.
+/// Whether an RPC matches a condition of a route: the plain answer, which the index (route_index.hpp)
+/// only narrows down. All functions are pure and may be called by any thread.
 #pragma once
 
 #include <functional>
+#include <string>
 #include <string_view>
 
 #include "routing/plan.hpp"
 
 namespace micaroad::routing {
 
-// How many servers of a pool can be sent new RPCs now; 0 for a pool that does not exist.
+/// How many servers of a pool can be sent new RPCs now; 0 for a pool that does not exist.
 using UsableCount = std::function<int(const std::string& pool)>;
 
-bool fits(const TextMatch& match, std::string_view text);
-bool fits(const Match& match, const Rpc& rpc, const UsableCount& usable);
+/// Whether a text matches any of the values.
+[[nodiscard]] bool fits(const TextMatch& match, std::string_view text);
+/// Whether an RPC matches. Without `usable_count`, pools count as without usable servers.
+[[nodiscard]] bool fits(const Match& match, const Rpc& rpc, const UsableCount& usable_count);
 
-// Host as routes compare it: lower case, without port, brackets or a trailing dot.
-std::string plain_host(std::string_view host);
-std::string lower(std::string_view text);  // ASCII alone
+/// A host as routes compare it: in lower case, without port, brackets or a trailing dot.
+[[nodiscard]] std::string plain_host(std::string_view host);
+/// Folds the letters of ASCII alone.
+[[nodiscard]] std::string lower(std::string_view text);
 
 }  // namespace micaroad::routing
--- a/src/routing/network.cpp
+++ b/src/routing/network.cpp
@@ -9,81 +9,110 @@
 namespace micaroad::routing {
 namespace {
 
-constexpr int kV4Starts = 12;  // the byte
+constexpr int kBitsPerByte = 8;
+constexpr int kAddressBytes = 16;
+constexpr int kAddressBits = kAddressBytes * kBitsPerByte;
+constexpr std::uint8_t kAllBits = 0xff;
+// Of an IPv4 address in its mapped form: its first byte, and the bits before it.
+constexpr int kV4Begin = 12;
+constexpr int kV4PrefixBits = kV4Begin * kBitsPerByte;
+
+int written_prefix_offset(const Address& address) {
+    return address.v4 ? kV4PrefixBits : 0;
+}
 
 void clear_past(Address& address, int bits) {
-    for (int i = 0; i < 16; ++i) {
-        const int kept = std::clamp(bits - 8 * i, 0, 8);
-        address.bytes[i] &= static_cast<std::uint8_t>(0xff << (8 - kept));
+    for (int i = 0; i < kAddressBytes; ++i) {
+        const int kept = std::clamp(bits - kBitsPerByte * i, 0, kBitsPerByte);
+        address.bytes[i] &= static_cast<std::uint8_t>(kAllBits << (kBitsPerByte - kept));
+    }
+}
+
+std::optional<int> parse_prefix_length(std::string_view text) {
+    int length = 0;
+    const char* const end = text.data() + text.size();
+    const std::from_chars_result parsed = std::from_chars(text.data(), end, length);
+    if (parsed.ec != std::errc{} || parsed.ptr != end) {
+        return std::nullopt;
+    }
+    return length;
+}
+
+// The prefix length of a mask such as 255.0.0.0; absent if its ones are not all in front.
+std::optional<int> parse_dotted_mask(std::string_view text) {
+    const std::optional<Address> mask = address_of(text);
+    if (!mask || !mask->v4) {
+        return std::nullopt;
+    }
+    std::uint32_t value = 0;
+    for (int i = kV4Begin; i < kAddressBytes; ++i) {
+        value = value << kBitsPerByte | mask->bytes[i];
+    }
+    if (std::popcount(value) != std::countl_one(value)) {
+        return std::nullopt;
+    }
+    return std::popcount(value);
+}
+
+// The length of the prefix as it is written behind the slash.
+std::optional<int> parse_mask(const Address& base, std::string_view text) {
+    if (const std::optional<int> length = parse_prefix_length(text)) {
+        const int longest = kAddressBits - written_prefix_offset(base);
+        return *length >= 0 && *length <= longest ? length : std::nullopt;
     }
+    return base.v4 ? parse_dotted_mask(text) : std::nullopt;
 }
 
 }  // namespace
 
 std::optional<Address> address_of(std::string_view text) {
-    const std::string word(text);
+    const std::string terminated(text);
     Address address;
-    if (inet_pton(AF_INET, word.c_str(), address.bytes.data() + kV4Starts) == 1) {
-        address.bytes[10] = address.bytes[11] = 0xff;
+    if (inet_pton(AF_INET, terminated.c_str(), address.bytes.data() + kV4Begin) == 1) {
+        address.bytes[kV4Begin - 2] = kAllBits;
+        address.bytes[kV4Begin - 1] = kAllBits;
         return address;
     }
     address.v4 = false;
-    if (inet_pton(AF_INET6, word.c_str(), address.bytes.data()) != 1) {
+    if (inet_pton(AF_INET6, terminated.c_str(), address.bytes.data()) != 1) {
         return std::nullopt;
     }
     return address;
 }
 
 std::string Address::text() const {
-    char text[INET6_ADDRSTRLEN] = "";
-    inet_ntop(v4 ? AF_INET : AF_INET6, bytes.data() + (v4 ? kV4Starts : 0), text, sizeof text);
-    return text;
+    std::array<char, INET6_ADDRSTRLEN> buffer{};
+    inet_ntop(v4 ? AF_INET : AF_INET6, bytes.data() + (v4 ? kV4Begin : 0), buffer.data(),
+              buffer.size());
+    return buffer.data();
 }
 
 bool Network::holds(const Address& address) const {
     if (address.v4 != base.v4) {
         return false;
     }
-    Address cut = address;
-    clear_past(cut, bits);
-    return cut.bytes == base.bytes;
+    Address masked = address;
+    clear_past(masked, bits);
+    return masked.bytes == base.bytes;
 }
 
 std::string Network::text() const {
-    return base.text() + "/" + std::to_string(bits - (base.v4 ? 8 * kV4Starts : 0));
+    return base.text() + "/" + std::to_string(bits - written_prefix_offset(base));
 }
 
 std::optional<Network> network_of(std::string_view text) {
-    const auto slash = text.find('/');
-    const auto base = address_of(text.substr(0, slash));
+    const std::size_t slash = text.find('/');
+    const std::optional<Address> base = address_of(text.substr(0, slash));
     if (!base) {
         return std::nullopt;
     }
-    const int first = base->v4 ? 8 * kV4Starts : 0;
-    Network network{*base, 128};
+    Network network{.base = *base, .bits = kAddressBits};
     if (slash != std::string_view::npos) {
-        const std::string_view mask = text.substr(slash + 1);
-        int bits = 0;
-        const auto [end, wrong] = std::from_chars(mask.data(), mask.data() + mask.size(), bits);
-        if (wrong == std::errc{} && end == mask.data() + mask.size()) {
-            if (bits < 0 || bits > 128 - first) {
-                return std::nullopt;
-            }
-            network.bits = first + bits;
-        } else {  // 255.0.0.0
-            const auto dotted = base->v4 ? address_of(mask) : std::nullopt;
-            if (!dotted || !dotted->v4) {
-                return std::nullopt;
-            }
-            std::uint32_t value = 0;
-            for (int i = kV4Starts; i < 16; ++i) {
-                value = value << 8 | dotted->bytes[i];
-            }
-            if (std::popcount(value) != std::countl_one(value)) {
-                return std::nullopt;
-            }
-            network.bits = first + std::popcount(value);
+        const std::optional<int> length = parse_mask(*base, text.substr(slash + 1));
+        if (!length) {
+            return std::nullopt;
         }
+        network.bits = written_prefix_offset(*base) + *length;
     }
     clear_past(network.base, network.bits);
     return network;
--- a/src/routing/network.hpp
+++ b/src/routing/network.hpp
@@ -1,5 +1,5 @@
-// Addresses and networks of IPv4 and IPv6, both held in sixteen bytes (RFC 4291's mapped form for
-// IPv4).
+/// Addresses and networks of IPv4 and IPv6. Both are kept in sixteen bytes; IPv4 in the mapped form
+/// of RFC 4291, section 2.5.5.2.
 #pragma once
 
 #include <array>
@@ -12,25 +12,27 @@
 namespace micaroad::routing {
 
 struct Address {
-    std::array<std::uint8_t, 16> bytes{};
-    bool v4 = true;
+    std::array<std::uint8_t, 16> bytes{};  ///< in network order
+    bool v4 = true;                        ///< it was written as IPv4
+
     auto operator<=>(const Address&) const = default;
-    std::string text() const;
+    [[nodiscard]] std::string text() const;
 };
 
-// "10.1.2.3" or "::1", without port or brackets; absent where it is neither.
-std::optional<Address> address_of(std::string_view text);
+/// "10.1.2.3" or "::1", without port or brackets; absent for anything else.
+[[nodiscard]] std::optional<Address> address_of(std::string_view text);
 
 struct Network {
-    Address base;
-    int bits = 0;  // of the whole sixteen bytes: 96 more than written for IPv4
-    bool holds(const Address& address) const;
-    std::string text() const;
+    Address base;  ///< the bits past the prefix are 0
+    int bits = 0;  ///< length of the prefix in the sixteen bytes: for IPv4, 96 more than written
+
+    [[nodiscard]] bool holds(const Address& address) const;
+    [[nodiscard]] std::string text() const;
     auto operator<=>(const Network&) const = default;
 };
 
-// "10.0.0.0/8", "10.0.0.0/255.0.0.0" or a single address. Bits of the base past the mask are
-// cleared.
-std::optional<Network> network_of(std::string_view text);
+/// "10.0.0.0/8", "10.0.0.0/255.0.0.0" or a single address; absent for anything else. Bits of the
+/// address past the prefix are cleared.
+[[nodiscard]] std::optional<Network> network_of(std::string_view text);
 
 }  // namespace micaroad::routing
--- a/src/routing/route_index.cpp
+++ b/src/routing/route_index.cpp
@@ -1,155 +1,212 @@
 #include "routing/route_index.hpp"
 
+#include <algorithm>
 #include <queue>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <variant>
 
 namespace micaroad::routing {
 namespace {
 
+// A condition on a path or host that an RPC must meet.
 struct Anchor {
-    enum class On { path, host } on;
-    std::string key;  // lower case; a host's turned round
-    bool whole = false;
-    // How much it leaves out: whole before part, long before short.
-    std::size_t strength() const { return key.size() + (whole ? 1'000 : 0); }
+    enum class Field { path, host };
+
+    Field field;
+    std::string key;  // in lower case; a host's reversed
+    Trie::KeyMatch match = Trie::KeyMatch::prefix;
 };
-using Anchors = std::vector<Anchor>;  // any of them holds; none known: nothing
 
-std::string turned(std::string_view text) {
+// One of them has to hold.
+using Anchors = std::vector<Anchor>;
+
+// An anchor that is whole excludes more than one that is a prefix, and a longer one more than a
+// shorter.
+constexpr std::size_t kWholeSelectivity = 1'000;
+constexpr std::size_t kNeverMatches = 1'000'000;  // selectivity of no anchors
+
+std::size_t selectivity(const Anchor& anchor) {
+    return anchor.key.size() + (anchor.match == Trie::KeyMatch::whole ? kWholeSelectivity : 0);
+}
+
+// That of the least selective.
+std::size_t selectivity(const Anchors& anchors) {
+    if (anchors.empty()) {
+        return kNeverMatches;
+    }
+    std::size_t least = selectivity(anchors.front());
+    for (const Anchor& anchor : anchors) {
+        least = std::min(least, selectivity(anchor));
+    }
+    return least;
+}
+
+std::string reversed(std::string_view text) {
     return {text.rbegin(), text.rend()};
 }
 
-std::optional<Anchors> anchors_of(const Match& match);
+std::optional<Anchors> find_anchors(const Match& match);
 
-std::optional<Anchors> of_text(Anchor::On on, const TextMatch& text) {
-    const bool host = on == Anchor::On::host;
-    const TextWay part = host ? TextWay::suffix : TextWay::prefix;
-    if (text.way != TextWay::exact && text.way != part) {
+std::optional<Anchors> text_anchors(Anchor::Field field, const TextMatch& text) {
+    const bool is_host = field == Anchor::Field::host;
+    const TextWay partial = is_host ? TextWay::suffix : TextWay::prefix;
+    if (text.way != TextWay::exact && text.way != partial) {
         return std::nullopt;
     }
+    const Trie::KeyMatch match =
+        text.way == TextWay::exact ? Trie::KeyMatch::whole : Trie::KeyMatch::prefix;
     Anchors anchors;
     for (const std::string& value : text.values) {
-        const std::string low = lower(value);
-        anchors.push_back({on, host ? turned(low) : low, text.way == TextWay::exact});
+        std::string key = lower(value);
+        if (is_host) {
+            key = reversed(key);
+        }
+        anchors.push_back({.field = field, .key = std::move(key), .match = match});
     }
     return anchors;
 }
 
-struct Finder {
-    std::optional<Anchors> operator()(const AllOf& all) const {  // the strongest part will do
+// The anchors of a condition; absent: it has none, and may match any path and host.
+struct AnchorFinder {
+    // The most selective of its conditions will do, as all have to hold.
+    std::optional<Anchors> operator()(const AllOf& all) const {
         std::optional<Anchors> best;
-        std::size_t strength = 0;
+        std::size_t best_selectivity = 0;
         for (const Match& match : all.of) {
-            auto found = anchors_of(match);
+            std::optional<Anchors> found = find_anchors(match);
             if (!found) {
                 continue;
             }
-            std::size_t weakest = found->empty() ? 1'000'000 : found->front().strength();
-            for (const Anchor& anchor : *found) {
-                weakest = std::min(weakest, anchor.strength());
-            }
-            if (!best || weakest > strength) {
-                best = std::move(found), strength = weakest;
+            const std::size_t found_selectivity = selectivity(*found);
+            if (!best || found_selectivity > best_selectivity) {
+                best = std::move(found);
+                best_selectivity = found_selectivity;
             }
         }
         return best;
     }
-    std::optional<Anchors> operator()(const AnyOf& any) const {  // each part needs one
-        Anchors all;
+
+    // Each of its conditions needs anchors, as any may hold.
+    std::optional<Anchors> operator()(const AnyOf& any) const {
+        Anchors anchors;
         for (const Match& match : any.of) {
-            const auto found = anchors_of(match);
+            const std::optional<Anchors> found = find_anchors(match);
             if (!found) {
                 return std::nullopt;
             }
-            all.insert(all.end(), found->begin(), found->end());
+            anchors.insert(anchors.end(), found->begin(), found->end());
         }
-        return all;
+        return anchors;
     }
+
     std::optional<Anchors> operator()(const HostIs& host) const {
-        return of_text(Anchor::On::host, host.text);
+        return text_anchors(Anchor::Field::host, host.text);
     }
+
     std::optional<Anchors> operator()(const PathIs& path) const {
-        return of_text(Anchor::On::path, path.text);
+        return text_anchors(Anchor::Field::path, path.text);
     }
-    // The host as the client names it, if that is all of it: its plain form is then known too.
+
+    // A whole host as the client names it: its plain form is then known too.
     std::optional<Anchors> operator()(const HeaderIs& header) const {
         if (lower(header.name) != "host" || header.text.way != TextWay::exact) {
             return std::nullopt;
         }
         Anchors anchors;
         for (const std::string& value : header.text.values) {
-            anchors.push_back({Anchor::On::host, turned(plain_host(value)), true});
+            anchors.push_back({.field = Anchor::Field::host,
+                               .key = reversed(plain_host(value)),
+                               .match = Trie::KeyMatch::whole});
         }
         return anchors;
     }
+
     template <class Other>
-    std::optional<Anchors> operator()(const Other&) const {
+    std::optional<Anchors> operator()(const Other& /*condition*/) const {
         return std::nullopt;
     }
 };
 
-std::optional<Anchors> anchors_of(const Match& match) {
-    return std::visit(Finder{}, match.is);
+std::optional<Anchors> find_anchors(const Match& match) {
+    return std::visit(AnchorFinder{}, match.is);
 }
 
+// What is left of a list of route numbers in rising order; never empty.
+struct RemainingNumbers {
+    const Trie::Number* next;
+    const Trie::Number* end;
+};
+
+// For a heap whose top has the lowest next number.
+struct HasLaterNext {
+    bool operator()(const RemainingNumbers& left, const RemainingNumbers& right) const {
+        return *left.next > *right.next;
+    }
+};
+
+constexpr std::size_t kUsualLists = 16;
+
 }  // namespace
 
 RouteIndex::RouteIndex(const std::vector<Route>& routes) : routes_(routes) {
     for (std::size_t i = 0; i < routes.size(); ++i) {
         const auto number = static_cast<Trie::Number>(i);
-        const auto anchors = anchors_of(routes[i].when);
+        const std::optional<Anchors> anchors = find_anchors(routes[i].when);
         if (!anchors) {
-            always_.push_back(number);
+            unfiled_.push_back(number);
             continue;
         }
         for (const Anchor& anchor : *anchors) {
-            (anchor.on == Anchor::On::path ? paths_ : hosts_).add(anchor.key, number, anchor.whole);
+            Trie& trie = anchor.field == Anchor::Field::path ? paths_ : hosts_;
+            trie.add(anchor.key, number, anchor.match);
         }
     }
 }
 
-std::optional<std::size_t> RouteIndex::first(const Rpc& rpc, const UsableCount& usable,
-                                             std::size_t* asked) const {
-    // Lists in rising order each: the lowest head of all is asked next.
-    using Duration = std::pair<const Trie::Number*, const Trie::Number*>;
-    const auto later = [](const Duration& a, const Duration& b) { return *a.first > *b.first; };
-    std::vector<Duration> room;
-    room.reserve(16);
-    std::priority_queue<Duration, std::vector<Duration>, decltype(later)> lists(later,
-                                                                                std::move(room));
-    const auto take = [&lists](const Trie::Numbers& numbers) {
+std::optional<std::size_t> RouteIndex::first(const Rpc& rpc, const UsableCount& usable_count,
+                                             std::size_t* tried_count) const {
+    std::vector<RemainingNumbers> storage;
+    storage.reserve(kUsualLists);
+    std::priority_queue<RemainingNumbers, std::vector<RemainingNumbers>, HasLaterNext> lists(
+        HasLaterNext{}, std::move(storage));
+    const auto add_list = [&lists](const Trie::Numbers& numbers) {
         if (!numbers.empty()) {
-            lists.emplace(numbers.data(), numbers.data() + numbers.size());
+            lists.push({numbers.data(), numbers.data() + numbers.size()});
         }
     };
-    take(always_);
-    paths_.look_up(lower(rpc.path), take);
+    add_list(unfiled_);
+    paths_.look_up(lower(rpc.path), add_list);
     if (!rpc.host.empty()) {
-        hosts_.look_up(turned(plain_host(rpc.host)), take);
+        hosts_.look_up(reversed(plain_host(rpc.host)), add_list);
     }
-    std::optional<Trie::Number> last;
+    std::optional<Trie::Number> last_tried;  // a route may be in several lists
     while (!lists.empty()) {
-        auto [at, end] = lists.top();
+        RemainingNumbers list = lists.top();
         lists.pop();
-        if (last != *at) {
-            last = *at;
-            if (asked != nullptr) {
-                ++*asked;
+        const Trie::Number number = *list.next;
+        if (last_tried != number) {
+            last_tried = number;
+            if (tried_count != nullptr) {
+                ++*tried_count;
             }
-            if (fits(routes_[*at].when, rpc, usable)) {
-                return *at;
+            if (fits(routes_[number].when, rpc, usable_count)) {
+                return number;
             }
         }
-        if (++at != end) {
-            lists.emplace(at, end);
+        ++list.next;
+        if (list.next != list.end) {
+            lists.push(list);
         }
     }
     return std::nullopt;
 }
 
 std::optional<std::size_t> first_by_list(const std::vector<Route>& routes, const Rpc& rpc,
-                                         const UsableCount& usable) {
+                                         const UsableCount& usable_count) {
     for (std::size_t i = 0; i < routes.size(); ++i) {
-        if (fits(routes[i].when, rpc, usable)) {
+        if (fits(routes[i].when, rpc, usable_count)) {
             return i;
         }
     }
--- a/src/routing/route_index.hpp
+++ b/src/routing/route_index.hpp
@@ -1,9 +1,12 @@
-// The first route of many that fits an RPC. Each route is filed under one condition that it can't
-// fit without, its anchor: a whole path, the beginning of a path, a whole host or the end of a
-// host; what has none is tried always. Look-up visits the routes filed under this RPC's path and
-// host in order, and asks match.hpp about each, so that the answer is that of the plain list.
+/// Finds the first of many routes that matches an RPC without trying all of them.
+///
+/// Each route is filed under its anchors: paths, beginnings of paths, hosts or ends of hosts of
+/// which an RPC must have one for the route to match. Routes without such a condition are tried for
+/// every RPC. A look-up visits the routes that are filed under the RPC's path and host in their
+/// order and asks match.hpp about each, so that the answer is that of the plain list.
 #pragma once
 
+#include <cstddef>
 #include <optional>
 #include <vector>
 
@@ -12,24 +15,27 @@
 
 namespace micaroad::routing {
 
+/// Pure after construction: any thread may call it.
 class RouteIndex {
  public:
-    // Keeps a reference: the routes must outlive it and not change.
+    /// Keeps a reference: the routes must outlive it and not change.
     explicit RouteIndex(const std::vector<Route>& routes);
 
-    // The number of the first route that fits; absent: none does. `asked`, where given, counts the
-    // routes looked at.
-    std::optional<std::size_t> first(const Rpc& rpc, const UsableCount& usable,
-                                     std::size_t* asked = nullptr) const;
+    /// The position of the first route that matches; absent if none does. `tried_count`, if given,
+    /// is increased by the number of routes that were tried.
+    [[nodiscard]] std::optional<std::size_t> first(const Rpc& rpc, const UsableCount& usable_count,
+                                                   std::size_t* tried_count = nullptr) const;
 
  private:
     const std::vector<Route>& routes_;
-    Trie paths_, hosts_;  // in lower case; hosts from their end
-    Trie::Numbers always_;
+    Trie paths_;             // in lower case
+    Trie hosts_;             // in lower case, reversed: the end of a host is a prefix here
+    Trie::Numbers unfiled_;  // routes without an anchor
 };
 
-// The plain list, to compare with.
-std::optional<std::size_t> first_by_list(const std::vector<Route>& routes, const Rpc& rpc,
-                                         const UsableCount& usable);
+/// The same by trying all routes in order, for comparison.
+[[nodiscard]] std::optional<std::size_t> first_by_list(const std::vector<Route>& routes,
+                                                       const Rpc& rpc,
+                                                       const UsableCount& usable_count);
 
 }  // namespace micaroad::routing
--- a/src/routing/trie.hpp
+++ b/src/routing/trie.hpp
@@ -1,12 +1,10 @@
-// A radix tree from strings to lists of route numbers, made for one question: which keys are a
-// prefix of this text, and is one of them the whole text? Read-only after building but for add();
-// numbers come out in the order of routes.
-//
-// Nodes stand in one vector; edges of a node are sorted by their first byte, which differs within a
-// node. A look-up takes one step a byte of text at most, whatever the number of keys.
+/// A radix tree from strings to lists of route numbers, made for one question: which keys are a
+/// prefix of a text, and is one of them the whole text? A look-up takes at most one step for each
+/// byte of the text, whatever the number of keys.
 #pragma once
 
 #include <algorithm>
+#include <cstddef>
 #include <cstdint>
 #include <string>
 #include <string_view>
@@ -14,109 +12,77 @@
 
 namespace micaroad::routing {
 
+/// Any thread may look up while none adds.
 class Trie {
  public:
     using Number = std::uint32_t;
     using Numbers = std::vector<Number>;
 
+    enum class KeyMatch {
+        prefix,  ///< the key matches each text that begins with it
+        whole,   ///< the key matches only the text that equals it
+    };
+
     Trie() : nodes_(1) {}
 
-    // Numbers of one key are to be added in rising order.
-    void add(std::string_view key, Number number, bool whole) {
-        const std::size_t node = node_of(key);
-        Numbers& list = whole ? nodes_[node].whole : nodes_[node].prefix;
-        if (list.empty() || list.back() != number) {
-            list.push_back(number);
-        }
-    }
+    /// Adds a number to a key. Numbers of one key have to be added in rising order.
+    void add(std::string_view key, Number number, KeyMatch match);
 
-    // Calls found(const Numbers&) for each key that the text begins with (or is, for keys that are
-    // to be whole).
-    template <class Found>
-    void look_up(std::string_view text, Found found) const {
-        std::size_t at = 0;
-        for (;;) {
-            const Node& node = nodes_[at];
+    /// Calls `on_match(const Numbers&)` with the numbers of each key that matches the text. The
+    /// numbers are in rising order and valid until the next add().
+    template <class OnMatch>
+    void look_up(std::string_view text, OnMatch on_match) const {
+        std::size_t index = 0;
+        while (true) {
+            const Node& node = nodes_[index];
             if (!node.prefix.empty()) {
-                found(node.prefix);
+                on_match(node.prefix);
             }
             if (text.empty()) {
                 if (!node.whole.empty()) {
-                    found(node.whole);
+                    on_match(node.whole);
                 }
                 return;
             }
-            const Edge* edge = edge_from(node, text.front());
-            if (edge == nullptr || !text.starts_with(label(*edge))) {
+            const auto edge = edge_position(node.edges, text.front());
+            if (edge == node.edges.end() || !text.starts_with(label(*edge))) {
                 return;
             }
-            text.remove_prefix(edge->length), at = edge->to;
+            text.remove_prefix(edge->label_length);
+            index = edge->child;
         }
     }
 
-    // Nodes and bytes held, for measurements.
-    std::size_t nodes() const { return nodes_.size(); }
-
  private:
-    struct Edge {  // its label stands in labels_
-        std::uint32_t from, length, to;
-        unsigned char first;
+    struct Edge {
+        std::uint32_t label_begin;   // in labels_
+        std::uint32_t label_length;  // at least 1
+        std::uint32_t child;         // in nodes_
+        unsigned char first;         // of the label; differs within a node
     };
     struct Node {
-        std::vector<Edge> edges;
-        Numbers prefix, whole;
+        std::vector<Edge> edges;  // by their first byte
+        Numbers prefix;
+        Numbers whole;
     };
 
-    std::string_view label(const Edge& edge) const {
-        return std::string_view(labels_).substr(edge.from, edge.length);
-    }
-    static const Edge* edge_from(const Node& node, char first) {
-        const auto byte = static_cast<unsigned char>(first);
-        const auto at =
-            std::lower_bound(node.edges.begin(), node.edges.end(), byte,
-                             [](const Edge& edge, unsigned char b) { return edge.first < b; });
-        return at != node.edges.end() && at->first == byte ? &*at : nullptr;
+    [[nodiscard]] std::string_view label(const Edge& edge) const {
+        return std::string_view(labels_).substr(edge.label_begin, edge.label_length);
     }
 
-    // The node where a key ends, made if need be: an edge that goes on past it is cut in two.
-    std::size_t node_of(std::string_view key) {
-        std::size_t at = 0;
-        while (!key.empty()) {
-            Edge* edge = const_cast<Edge*>(edge_from(nodes_[at], key.front()));
-            if (edge == nullptr) {
-                const auto from = static_cast<std::uint32_t>(labels_.size());
-                labels_ += key;
-                nodes_.emplace_back();
-                const Edge made{from, static_cast<std::uint32_t>(key.size()),
-                                static_cast<std::uint32_t>(nodes_.size() - 1),
-                                static_cast<unsigned char>(key[0])};
-                auto& edges = nodes_[at].edges;
-                edges.insert(std::lower_bound(
-                                 edges.begin(), edges.end(), made,
-                                 [](const Edge& a, const Edge& b) { return a.first < b.first; }),
-                             made);
-                return made.to;
-            }
-            const std::string_view text = label(*edge);
-            const auto common = static_cast<std::uint32_t>(
-                std::mismatch(text.begin(), text.end(), key.begin(), key.end()).first -
-                text.begin());
-            if (common < text.size()) {
-                const Edge rest{edge->from + common, edge->length - common, edge->to,
-                                static_cast<unsigned char>(text[common])};
-                edge->length = common, edge->to = static_cast<std::uint32_t>(nodes_.size());
-                nodes_.emplace_back().edges.push_back(rest);  // edge is not valid past this
-                at = nodes_.size() - 1;
-            } else {
-                at = edge->to;
-            }
-            key.remove_prefix(common);
-        }
-        return at;
+    // Where an edge that begins with a byte is, or would have to be inserted.
+    template <class Edges>
+    static auto edge_position(Edges& edges, char first_byte) {
+        return std::lower_bound(
+            edges.begin(), edges.end(), static_cast<unsigned char>(first_byte),
+            [](const Edge& edge, unsigned char byte) { return edge.first < byte; });
     }
 
-    std::vector<Node> nodes_;
-    std::string labels_;
+    std::size_t node_for_key(std::string_view key);
+    std::size_t split_edge(std::size_t node, std::size_t edge, std::size_t length);
+
+    std::vector<Node> nodes_;  // the first is the root
+    std::string labels_;       // of all edges, one after the other
 };
 
 }  // namespace micaroad::routing
