--- a/src/daemon/start_configuration.cpp
+++ b/src/daemon/start_configuration.cpp
@@ -149,7 +149,7 @@
     return std::move(*message);
 }
 
-std::map<std::string, std::string> restart_key_texts(const json& file) {
+std::map<std::string, std::string> find_restart_key_texts(const json& file) {
     std::map<std::string, std::string> texts;
     for (const char* key : kRestartKeys) {
         const auto found = file.find(key);
@@ -254,7 +254,7 @@
     const SplitFile split = split_file(text);
     const json& file = split.file;
     StartConfiguration start;
-    start.rest = restart_key_texts(file);
+    start.restart_key_texts = find_restart_key_texts(file);
     start.name = variable_or_text(environment, "LB_NAME", file, "name");
     start.listen = variable_or_text(environment, "LB_LISTEN", file, "listen");
     start.discovery = variable_or_text(environment, "LB_DISCOVERY", file, "discovery");
@@ -278,9 +278,9 @@
     check_same_deployment(split.file, start);
     ReloadedConfiguration reloaded;
     reloaded.discovery = parse_text(split.file, "discovery");
-    for (const auto& [key, value] : restart_key_texts(split.file)) {
-        const auto at_start = start.rest.find(key);
-        if (at_start == start.rest.end() || at_start->second != value) {
+    for (const auto& [key, value] : find_restart_key_texts(split.file)) {
+        const auto at_start = start.restart_key_texts.find(key);
+        if (at_start == start.restart_key_texts.end() || at_start->second != value) {
             reloaded.restart_required_keys.push_back(key);
         }
     }
--- a/src/daemon/start_configuration.hpp
+++ b/src/daemon/start_configuration.hpp
@@ -40,7 +40,7 @@
     protocol::Bounds bounds;
     protocol::EndpointListMessage known;  ///< the list to begin with, a complete one
     /// The JSON text of the keys that a reload does not change, by key.
-    std::map<std::string, std::string> rest;
+    std::map<std::string, std::string> restart_key_texts;
 };
 
 /// The value of an environment variable, or null. As std::getenv.
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -288,6 +288,9 @@
     for (const std::string key :
          {"name", "listen", "discovery", "seed", "limits", "known", "settings"}) {
         CHECK_THROWS_WITH(parse_start_configuration(text(key), none), Catch::Contains(key));
+        CHECK_THROWS_MATCHES(parse_start_configuration(text(key), none), ConfigurationError,
+                             Catch::Predicate<ConfigurationError>(
+                                 [&key](const auto& error) { return error.setting() == key; }));
     }
     // Read again: discovery alone counts, before any variable; what else differs is named.
     const ReloadedConfiguration same = parse_reloaded_configuration(text(), start);
