--- a/src/decision/admission_updates.cpp
+++ b/src/decision/admission_updates.cpp
@@ -1,6 +1,7 @@
 #include "decision/admission_updates.hpp"
 
 #include <cmath>
+#include <utility>
 
 namespace micaroad::decision {
 
@@ -27,9 +28,9 @@
 // Guards against overload by retries: none while RPCs are shed, or while an endpoint warms up, to
 // which all that others reject would be sent.
 AdmissionSetting AdmissionUpdates::next(bool paused) const {
-    const RealVector fractions = wanted_fractions_ * (paused ? 0.0 : 1.0);
+    RealVector fractions = wanted_fractions_ * (paused ? 0.0 : 1.0);
     const bool no_retries = state_.any_warming_up || fractions.min() < 1;
-    return {fractions, no_retries ? RetryPolicy::never : kRetryPolicy};
+    return {std::move(fractions), no_retries ? RetryPolicy::never : kRetryPolicy};
 }
 
 bool AdmissionUpdates::is_worth_sending(const AdmissionSetting& setting) const {
--- a/src/decision/routing_entry.hpp
+++ b/src/decision/routing_entry.hpp
@@ -60,11 +60,14 @@
 };
 
 /// An endpoint as proxies know it. Its withdrawal makes proxies leave it out whatever their tables
-/// hold; a reinstatement lifts that.
+/// hold; a reinstatement lifts that. There are tens of thousands: members stand in an order that
+/// needs little padding.
 struct RoutingEntry {
     const ServerId* server = nullptr;           ///< the key in RoutingTables::endpoints()
     std::vector<PoolTableEntry> table_entries;  ///< in the order of pools
     ZoneId zone;
+    /// Number of the last join among proxies that were sent its withdrawal or reinstatement.
+    int notified_until_join = 0;
     std::size_t subset = 0;
     bool tracked = true;  ///< the optimizer publishes weights for it
     bool warming_up = false;
@@ -73,8 +76,6 @@
     /// reinstate it.
     bool may_be_withdrawn_at_proxies = false;
     bool queued_for_planning = false;
-    /// Number of the last join among proxies that were sent its withdrawal or reinstatement.
-    int notified_until_join = 0;
     TimePoint withdrawal_due;           ///< since when it should be withdrawn; epoch: it should not
     TimePoint availability_changed;     ///< when it was last withdrawn or reinstated
     TimePoint last_published;           ///< when the optimizer last published weights for it
