--- a/src/decision/subset_assignment.cpp
+++ b/src/decision/subset_assignment.cpp
@@ -58,6 +58,8 @@
     const double proxies = 1.0 * std::max(1, settings.proxy_count) / settings.planner_count;
     const double lines_in_time =
         kBindingGraceFraction * state_.drain_grace_seconds() * state_.pace();
+    // Besides its entries a binding has, for each method, at most a line that binds it and one that
+    // sets its admission.
     const double entries_per_proxy =
         lines_in_time / proxies - state_.lines_per_message() - 2.0 * state_.admission_lines();
     const double wanted =
--- a/src/decision/update_scheduler.cpp
+++ b/src/decision/update_scheduler.cpp
@@ -12,8 +12,10 @@
 // Acknowledgements have stopped where none came for this many times the longest delay of a message.
 constexpr int kDelaysUntilSilent = 4;
 
-// Learnt changes use this part of the channel's pace; the design's value. What they don't use adds
-// up to no more than the lines of kAllowanceSeconds at the whole pace.
+// Learnt changes use this part of the channel's pace; the design's value.
+constexpr double kLearntPaceFraction = 0.5;
+
+// What learnt changes don't use adds up to what the channel sends in this time, in seconds.
 constexpr double kAllowanceSeconds = 2;
 
 // Withdrawals wait for bindings for up to the drain grace divided by this.
@@ -114,8 +116,8 @@
         {.lines_at_most = pace * elapsed,
          .lines_at_least = kAssuredPaceFraction * pace * elapsed,
          .acknowledgements_stopped = now > last_acknowledgement_ + silent_after});
-    state_.learnt_allowance =
-        std::min(state_.learnt_allowance + pace / 2 * elapsed, pace * kAllowanceSeconds);
+    state_.learnt_allowance = std::min(
+        state_.learnt_allowance + kLearntPaceFraction * pace * elapsed, pace * kAllowanceSeconds);
 }
 
 void UpdateScheduler::bind_proxies() {
