--- a/src/command/explain.cpp
+++ b/src/command/explain.cpp
@@ -19,7 +19,7 @@
             return "send";
         case routing::Decision::Kind::wait:
             return "wait";
-        case routing::Decision::Kind::turned_away:
+        case routing::Decision::Kind::rejected:
             return "turned away";
         case routing::Decision::Kind::redirected:
             return "redirected";
@@ -33,19 +33,19 @@
 
 void print_json(const routing::Decision& decision, std::ostream& out) {
     nlohmann::json parts = nlohmann::json::array();
-    for (const auto& part : decision.parts.parts) {
+    for (const auto& part : decision.split.shares) {
         parts.push_back({{"server", part.server}, {"share", part.share}});
     }
     const nlohmann::json report{{"decision", name_of(decision.kind)},
                                 {"listener", decision.listener},
                                 {"route", decision.route},
                                 {"pool", decision.pool},
-                                {"tier", name_of(decision.parts.tier)},
+                                {"tier", name_of(decision.split.tier)},
                                 {"parts", parts},
-                                {"stuck_to", decision.stuck_to},
+                                {"stuck_to", decision.sticky_server},
                                 {"status", decision.status},
                                 {"location", decision.location},
-                                {"why", decision.why}};
+                                {"why", decision.explanation}};
     // Names from the file need not be UTF-8.
     out << report.dump(1, ' ', false, nlohmann::json::error_handler_t::replace) << "\n";
 }
@@ -61,19 +61,19 @@
     print_row(out, "listener", decision.listener);
     print_row(out, "route", decision.route);
     print_row(out, "pool", decision.pool);
-    if (!decision.parts.parts.empty()) {
-        print_row(out, "tier", name_of(decision.parts.tier));
+    if (!decision.split.shares.empty()) {
+        print_row(out, "tier", name_of(decision.split.tier));
     }
-    for (const auto& part : decision.parts.parts) {
+    for (const auto& part : decision.split.shares) {
         print_row(out, "part", fmt::format("{} {:.4f}", part.server, part.share));
     }
-    print_row(out, "stuck to", decision.stuck_to);
-    if (decision.kind == routing::Decision::Kind::turned_away ||
+    print_row(out, "stuck to", decision.sticky_server);
+    if (decision.kind == routing::Decision::Kind::rejected ||
         decision.kind == routing::Decision::Kind::redirected) {
         print_row(out, "status", std::to_string(decision.status));
     }
     print_row(out, "location", decision.location);
-    for (const std::string& why : decision.why) {
+    for (const std::string& why : decision.explanation) {
         print_row(out, "why", why);
     }
 }
--- a/src/command/planner_service.cpp
+++ b/src/command/planner_service.cpp
@@ -6,9 +6,9 @@
 
 #include "background/worker.hpp"
 #include "command/version.hpp"
-#include "record/convert.hpp"
 #include "record/recorder.hpp"
-#include "routing/roster.hpp"
+#include "record/settings_conversion.hpp"
+#include "routing/endpoint_registry.hpp"
 
 namespace micaroad::command {
 namespace {
@@ -28,30 +28,30 @@
 
 // The list at the start has no version, so that the first of the health checks is newer.
 StartConfiguration make_start_configuration(const routing::Plan& plan, TimePoint now) {
-    const routing::Roster roster(plan);
+    const routing::EndpointRegistry registry(plan);
     StartConfiguration start;
     start.name = plan.service.name;
     start.listen = plan.service.listen;
     start.seed = std::random_device{}();
     start.sockets = static_cast<std::size_t>(plan.service.sockets);
     start.memory_mb = static_cast<std::size_t>(plan.service.memory_mb);
-    start.settings = roster.terms(base_settings());
-    start.names = roster.names();
+    start.settings = registry.settings(base_settings());
+    start.names = registry.names();
     start.bounds.proxies = start.settings.proxy_count;
     start.bounds.longest_window =
         std::max(kReportIntervalsInWindow * start.settings.report_interval, kLeastLongestWindow);
     routing::View view;
     view.now = now;
-    start.known.list = roster.list(view);
-    start.known.addresses = roster.addresses();
+    start.known.list = registry.list(view);
+    start.known.addresses = registry.addresses();
     return start;
 }
 
-record::Keeping retention_of(const routing::Recording& settings) {
-    record::Keeping retention;
+record::RetentionPolicy retention_of(const routing::Recording& settings) {
+    record::RetentionPolicy retention;
     retention.segment_bytes = static_cast<std::uint64_t>(settings.segment_mb) << kBytesPerMibShift;
-    retention.all_bytes = static_cast<std::uint64_t>(settings.all_mb) << kBytesPerMibShift;
-    retention.all_age = settings.keep;
+    retention.total_bytes = static_cast<std::uint64_t>(settings.all_mb) << kBytesPerMibShift;
+    retention.max_age = settings.keep;
     return retention;
 }
 
@@ -62,12 +62,12 @@
  public:
     RecordingService(const routing::Recording& settings, const StartConfiguration& start,
                      const Clock& clock)
-        : disk_(record::folder(settings.path)),
+        : directory_(record::open_directory(settings.path)),
           worker_({kBytesPerKib * settings.kib_per_second, settings.processor_percent / kPercent},
                   clock) {
         const auto head =
-            record::head_of(start.settings, start.names, start.seed, start.name, kVersion, clock());
-        recorder_ = std::make_unique<record::Recorder>(*disk_, retention_of(settings), head,
+            record::make_header(start.settings, start.names, start.seed, start.name, kVersion, clock());
+        recorder_ = std::make_unique<record::Recorder>(*directory_, retention_of(settings), head,
                                                        [this] { worker_.wake(job_); });
         job_ = worker_.add(kPriority, [this] { return recorder_->work(); });
     }
@@ -91,7 +91,7 @@
  private:
     static constexpr int kPriority = 1;
 
-    std::unique_ptr<record::Disk> disk_;
+    std::unique_ptr<record::Directory> directory_;
     background::Worker worker_;
     background::JobId job_{};
     std::unique_ptr<record::Recorder> recorder_;
--- a/src/command/planner_service.hpp
+++ b/src/command/planner_service.hpp
@@ -33,7 +33,7 @@
     /// Any thread. Where it listens.
     [[nodiscard]] net::Address address() const { return planner_.address(); }
     /// Any thread.
-    [[nodiscard]] Stage stage() const { return planner_.stage(); }
+    [[nodiscard]] LifecycleState state() const { return planner_.state(); }
 
  private:
     class RecordingService;
--- a/src/command/replay.cpp
+++ b/src/command/replay.cpp
@@ -17,6 +17,10 @@
     return std::chrono::duration<double>(time.time_since_epoch()).count();
 }
 
+std::string fault_text(const record::ReplayResult& result) {
+    return result.fault ? record::describe(*result.fault) : "";
+}
+
 class Replay : public Subcommand {
  public:
     explicit Replay(CLI::App* parser) : Subcommand(parser) {
@@ -34,63 +38,63 @@
             fmt::print(err, "{}: no folder\n", folder_);
             return kUnusable;
         }
-        const auto disk = record::folder(folder_);
-        record::Verdict verdict;
+        const auto disk = record::open_directory(folder_);
+        record::ReplayResult result;
         if (verify_) {
-            verdict = record::replay(*disk);
+            result = record::replay(*disk);
         } else {
-            verdict.read = record::read_all(*disk, [](const records::Record&) {});
+            result.summary = record::read_recording(*disk, [](const records::Record&) {});
         }
         if (json_) {
-            print_json(verdict, out);
+            print_json(result, out);
         } else {
-            print_text(verdict, out);
+            print_text(result, out);
         }
-        return verdict.same ? kDone : kFindings;
+        return result.matches() ? kDone : kFindings;
     }
 
  private:
-    void print_json(const record::Verdict& verdict, std::ostream& out) const {
-        const record::Read& read = verdict.read;
-        nlohmann::json troubles = nlohmann::json::array();
-        for (const auto& trouble : read.troubles) {
-            troubles.push_back({{"segment", trouble.segment},
-                                {"at", trouble.at},
-                                {"bytes", trouble.bytes},
-                                {"what", trouble.what}});
+    void print_json(const record::ReplayResult& result, std::ostream& out) const {
+        const record::ReadSummary& read = result.summary;
+        nlohmann::json faults = nlohmann::json::array();
+        for (const auto& fault : read.faults) {
+            faults.push_back({{"segment", fault.segment},
+                                {"at", fault.offset},
+                                {"bytes", fault.bytes},
+                                {"what", fault.description}});
         }
         nlohmann::json report{{"records", read.records}, {"turns", read.turns},
                               {"events", read.events},   {"orders", read.orders},
-                              {"bytes", read.bytes},     {"lives", read.heads},
-                              {"missing", read.missing}, {"troubles", troubles}};
+                              {"bytes", read.bytes},     {"lives", read.headers},
+                              {"missing", read.missing_turns}, {"troubles", faults}};
         if (verify_) {
-            report["replayed"] = verdict.replayed;
-            report["skipped"] = verdict.skipped;
-            report["same"] = verdict.same;
-            report["at"] = seconds_since_epoch(verdict.at);
-            report["why"] = verdict.why;
+            report["replayed"] = result.replayed_turns;
+            report["skipped"] = result.skipped_turns;
+            report["same"] = result.matches();
+            report["at"] = seconds_since_epoch(result.last_turn_at);
+            report["why"] = fault_text(result);
         }
         out << report.dump(1) << "\n";
     }
 
-    void print_text(const record::Verdict& verdict, std::ostream& out) const {
-        const record::Read& read = verdict.read;
+    void print_text(const record::ReplayResult& result, std::ostream& out) const {
+        const record::ReadSummary& read = result.summary;
         fmt::print(out,
                    "{} turns with {} events and {} orders, {} bytes, {} lives, {} turns missing\n",
-                   read.turns, read.events, read.orders, read.bytes, read.heads, read.missing);
-        for (const auto& trouble : read.troubles) {
-            fmt::print(out, "{}: at {}: {} bytes: {}\n", trouble.segment, trouble.at, trouble.bytes,
-                       trouble.what);
+                   read.turns, read.events, read.orders, read.bytes, read.headers, read.missing_turns);
+        for (const auto& fault : read.faults) {
+            fmt::print(out, "{}: at {}: {} bytes: {}\n", fault.segment, fault.offset, fault.bytes,
+                       fault.description);
         }
         if (!verify_) {
             return;
         }
-        if (verdict.same) {
+        if (result.matches()) {
             fmt::print(out, "{} turns replayed, the same to the byte; {} behind a hole were not\n",
-                       verdict.replayed, verdict.skipped);
+                       result.replayed_turns, result.skipped_turns);
         } else {
-            fmt::print(out, "turn {} differs, at {:.4f}: {}\n", verdict.replayed,
-                       seconds_since_epoch(verdict.at), verdict.why);
+            fmt::print(out, "turn {} differs, at {:.4f}: {}\n", result.replayed_turns,
+                       seconds_since_epoch(result.last_turn_at), fault_text(result));
         }
     }
 
--- a/src/daemon/planner_process.hpp
+++ b/src/daemon/planner_process.hpp
@@ -35,9 +35,6 @@
 /// The state's name in log lines.
 [[nodiscard]] const char* to_string(LifecycleState state);
 
-/// The former name of LifecycleState, for src/command.
-using Stage = LifecycleState;
-
 /// Why a process can't start to serve.
 struct StartError {
     std::string address;  ///< that it was to listen on
@@ -69,8 +66,6 @@
 
     /// Any thread.
     [[nodiscard]] LifecycleState state() const { return state_; }
-    /// The former name of state(), for src/command.
-    [[nodiscard]] LifecycleState stage() const { return state_; }
     /// The address it listens on, once it is serving.
     [[nodiscard]] net::Address address() const { return acceptor_.address(); }
 
--- a/src/decision/admission_controller.cpp
+++ b/src/decision/admission_controller.cpp
@@ -107,7 +107,7 @@
     window_seconds_ += seconds(context_.step);
 
     // Proxies of other planners, or of none, are taken to announce as much as those here.
-    const double joined = std::max(1.0, 1.0 * announced_rates_.size());
+    const double joined = std::max(1.0, static_cast<double>(announced_rates_.size()));
     const double all_announced =
         announced_rate_ * std::max(1.0, context_.settings.proxy_count / joined);
     const double average_announced =
@@ -180,12 +180,12 @@
 
 /// The median latency by attempts, seconds; the next look starts without samples.
 double AdmissionController::take_median_latency() {
-    std::vector<std::pair<double, double>> weighted;
+    std::vector<WeightedValue> weighted;
     weighted.reserve(latency_samples_.size());
     for (const LatencySample& sample : std::exchange(latency_samples_, {})) {
-        weighted.emplace_back(sample.seconds, sample.attempts);
+        weighted.push_back({sample.seconds, sample.attempts});
     }
-    return middle(std::move(weighted));
+    return weighted_median(std::move(weighted));
 }
 
 /// The latency two looks on, along the trend since the last look: what a look sees is about two
--- a/src/decision/decision_context.hpp
+++ b/src/decision/decision_context.hpp
@@ -21,8 +21,6 @@
 /// The part of the older evidence that is kept from one optimizer step to the next. The evidence of
 /// one step alone holds few RPCs a server.
 constexpr double kEvidenceRetention = 0.25;
-/// The former name.
-constexpr double kMemory = kEvidenceRetention;
 
 /// Owned by the planner, which sets `now` and takes `orders` at each decide(); the components hold
 /// references to it. Not thread-safe.
--- a/src/decision/endpoint_tracker.cpp
+++ b/src/decision/endpoint_tracker.cpp
@@ -78,10 +78,10 @@
 }
 
 void EndpointTracker::fade_evidence() {
-    status_.attempts *= kMemory;
-    status_.failures *= kMemory;
-    status_.success_latency_sum *= kMemory;
-    status_.window_seconds *= kMemory;
+    status_.attempts *= kEvidenceRetention;
+    status_.failures *= kEvidenceRetention;
+    status_.success_latency_sum *= kEvidenceRetention;
+    status_.window_seconds *= kEvidenceRetention;
 }
 
 void EndpointTracker::publish_status() {
--- a/src/decision/numeric.hpp
+++ b/src/decision/numeric.hpp
@@ -55,14 +55,4 @@
     return 0;
 }
 
-/// The weighted median of (value, weight) pairs: the former interface, for callers that have pairs.
-[[nodiscard]] inline double middle(const std::vector<std::pair<double, double>>& values) {
-    std::vector<WeightedValue> items;
-    items.reserve(values.size());
-    for (const auto& [value, weight] : values) {
-        items.push_back({value, weight});
-    }
-    return weighted_median(std::move(items));
-}
-
 }  // namespace micaroad::decision
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -229,7 +229,7 @@
     if (role_ != Role::collector) {
         return message_error(MessageFault::report_not_allowed);
     }
-    put_bounded(Inbox::kMostReportsOfOne, core_event::ReportReceived{report});
+    put_bounded(Inbox::kMaxReportsPerPeer, core_event::ReportReceived{report});
     return {};
 }
 
@@ -239,7 +239,7 @@
     if (!of_collector && !of_that_proxy) {
         return message_error(MessageFault::demand_not_allowed);
     }
-    put_bounded(of_that_proxy ? kMaxAcknowledgements : Inbox::kMostReportsOfOne,
+    put_bounded(of_that_proxy ? kMaxAcknowledgements : Inbox::kMaxReportsPerPeer,
                 core_event::ReportReceived{report});
     return {};
 }
--- a/src/planner/inbox.hpp
+++ b/src/planner/inbox.hpp
@@ -28,9 +28,6 @@
     static constexpr std::size_t kMaxReports = 20'000;
     /// Of one peer. A peer that floods leaves room for the others.
     static constexpr std::size_t kMaxReportsPerPeer = kMaxReports / 2;
-    // Former names, for callers in src/net and its tests.
-    static constexpr std::size_t kMostReports = kMaxReports;
-    static constexpr std::size_t kMostReportsOfOne = kMaxReportsPerPeer;
 
     struct Item {
         TimePoint at;  ///< when it was enqueued
--- a/src/record/recorder.cpp
+++ b/src/record/recorder.cpp
@@ -69,21 +69,21 @@
     }
 }
 
-background::Spent Recorder::work() {
+background::Usage Recorder::work() {
     take_queue();
     const TimePoint now = convert_turns();
     if (next_turn_ == taken_turns_.size()) {
         record_gap();
     }
-    background::Spent spent;
+    background::Usage usage;
     if (block_due(now)) {
         const std::uint64_t bytes_before = counts_.bytes;
         write_block(now);
-        spent.bytes = static_cast<double>(counts_.bytes - bytes_before);
+        usage.bytes = static_cast<double>(counts_.bytes - bytes_before);
     }
     const std::lock_guard lock(mutex_);
-    spent.more = next_turn_ < taken_turns_.size() || !queue_.empty() || gap_.turns > 0;
-    return spent;
+    usage.more = next_turn_ < taken_turns_.size() || !queue_.empty() || gap_.turns > 0;
+    return usage;
 }
 
 // Exchanges the vectors, so that neither has to grow anew.
--- a/src/record/recorder.hpp
+++ b/src/record/recorder.hpp
@@ -18,7 +18,7 @@
 #include <string>
 #include <vector>
 
-#include "background/turns.hpp"
+#include "background/job_scheduler.hpp"
 #include "micaroad/planner.hpp"
 #include "planner/ports.hpp"
 #include "proto/record.pb.h"
@@ -65,7 +65,7 @@
     void on_decision(TimePoint now, const std::vector<Order>& orders) override;
 
     /// A portion of the background job: writes one block at most.
-    [[nodiscard]] background::Spent work();
+    [[nodiscard]] background::Usage work();
     /// Writes all that is left and ends the segment. Nothing may be recorded after it.
     void close();
 
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -313,7 +313,7 @@
     flood.send_all("agent az=a\r\n"), other.send_all("agent az=b\r\n");
     const std::string report = "outcomes az=a host=s-1 n=4 bad=1 avg=30 window=500\r\n";
     std::string lines;
-    for (std::size_t i = 0; i < Inbox::kMostReports + 5'000; ++i) {
+    for (std::size_t i = 0; i < Inbox::kMaxReports + 5'000; ++i) {
         lines += report;
     }
     flood.send_all(lines);
@@ -321,7 +321,7 @@
     other.send_all("outcomes az=b host=s-1 n=9 bad=1 avg=30 window=500\r\n");
     REQUIRE(alive(other));
     const auto items = inbox.wait({});
-    CHECK(items.size() == Inbox::kMostReportsOfOne + 1);
+    CHECK(items.size() == Inbox::kMaxReportsPerPeer + 1);
     CHECK(std::get<event::EndpointLoadReport>(
               std::get<core_event::ReportReceived>(items.back().event).report)
               .attempts == 9);
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -200,9 +200,9 @@
         CHECK(process.run() == 0);
         return process.address();
     }();
-    std::string why;
-    const Socket listener = Socket::listening(taken, why);
-    REQUIRE(listener.open());
+    const auto listening = Socket::listen(taken);
+    REQUIRE(listening);
+    const Socket& listener = *listening;
     StartConfiguration start = start_file("");
     start.name = "n2", start.listen = text_of(listener.local());
     const std::string listen = start.listen;
--- a/tests/serve_test.cpp
+++ b/tests/serve_test.cpp
@@ -170,7 +170,7 @@
     test::Quiet quiet;
     command::PlannerService served(import.plan, clock_now(), quiet.log);
     std::thread running([&] { CHECK(served.run() == 0); });
-    for (int i = 0; i < 200 && served.stage() != Stage::serving; ++i) {
+    for (int i = 0; i < 200 && served.state() != LifecycleState::serving; ++i) {
         std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
     {
--- a/tests/weight_optimizer_test.cpp
+++ b/tests/weight_optimizer_test.cpp
@@ -137,7 +137,7 @@
 }
 
 TEST_CASE("slow start: nothing in the first quarter and a bounded share until warm") {
-    DecisionContext context{one_method(), std::minstd_rand(1)};
+    DecisionContext context{one_method(), 1};
     context.now = TimePoint{1'000 * kSecond};
     SlowStart slow_start(context);
     const auto limit_at = [&](double warm_up_fraction) {
@@ -161,7 +161,7 @@
 }
 
 TEST_CASE("slow start: few RPCs are bounded by their spread") {
-    DecisionContext context{one_method(), std::minstd_rand(1)};
+    DecisionContext context{one_method(), 1};
     context.now = TimePoint{1'000 * kSecond};
     SlowStart slow_start(context);
     slow_start.update_load(10, 10, 10);  // 1 RPC within the overload window when warm
@@ -174,7 +174,7 @@
 }
 
 TEST_CASE("an endpoint on probation gets a tenth of its listed share") {
-    DecisionContext context{one_method(), std::minstd_rand(1)};
+    DecisionContext context{one_method(), 1};
     const SlowStart slow_start(context);
     PoolMember member;
     CHECK(slow_start.share_limit(member, 0.2) == 1);
