--- a/src/settings/deployment_settings.cpp
+++ b/src/settings/deployment_settings.cpp
@@ -8,82 +8,115 @@
 
 using nlohmann::json;
 
-// The value under a key, or the fallback where it is absent or null.
-template <class T>
-T value_or(const json& object, const char* key, T fallback) {
+/// The value of a key, or the fallback if it is absent or null.
+template <class Value>
+Value value_or(const json& object, const char* key, Value fallback) {
     const auto found = object.find(key);
-    return found == object.end() || found->is_null() ? fallback : found->get<T>();
+    if (found == object.end() || found->is_null()) {
+        return fallback;
+    }
+    return found->get<Value>();
 }
-Duration span_or(const json& object, const char* key, Duration fallback = Duration{}) {
-    const auto found = object.find(key);
-    return found == object.end() || found->is_null()
-               ? fallback
-               : duration_of_micros(found->get<std::int64_t>());
+
+/// The duration under a key that holds microseconds, or zero if it is absent or null.
+Duration duration_or_zero(const json& object, const char* key) {
+    return duration_of_micros(value_or(object, key, std::int64_t{0}));
 }
-json part_of(const json& object, const char* key) {
+
+json object_or_empty(const json& object, const char* key) {
     return value_or(object, key, json::object());
 }
 
-Method method_of(const json& from, int zone_local) {
+json array_or_empty(const json& object, const char* key) {
+    return value_or(object, key, json::array());
+}
+
+Method parse_method(const json& source, bool own_zone_only) {
     Method method;
-    method.soft_deadline = span_or(from, "aim_us");
-    method.criticality = value_or(from, "credit", 1.0);
-    method.own_zone_only = zone_local != 0;
-    for (const auto& kind : value_or(from, "only_kinds", json::array())) {
+    method.soft_deadline = duration_or_zero(source, "aim_us");
+    method.criticality = value_or(source, "credit", 1.0);
+    method.own_zone_only = own_zone_only;
+    for (const json& kind : array_or_empty(source, "only_kinds")) {
         method.only_kinds.push_back({kind.get<int>()});
     }
-    for (const auto& zone : value_or(from, "only_zones", json::array())) {
+    for (const json& zone : array_or_empty(source, "only_zones")) {
         method.only_zones.push_back({zone.get<int>()});
     }
     return method;
 }
 
-}  // namespace
+std::vector<Method> parse_methods(const json& profile, const json& family) {
+    const json own_zone_only = array_or_empty(family, "stays_local");
+    std::vector<Method> methods;
+    for (const json& source : array_or_empty(profile, "classes")) {
+        const std::size_t at = methods.size();
+        methods.push_back(
+            parse_method(source, at < own_zone_only.size() && own_zone_only[at].get<bool>()));
+    }
+    return methods;
+}
 
-DeploymentSettings parse_deployment_settings(const json& profile) {
-    const json family = part_of(profile, "family_info");
-    const json rules = part_of(profile, "rules");
-    const json local = value_or(family, "stays_local", json::array());
-    DeploymentSettings settings;
-    for (const auto& from : value_or(profile, "classes", json::array())) {
-        const std::size_t at = settings.methods.size();
-        settings.methods.push_back(method_of(from, at < local.size() && local[at].get<bool>()));
+AdmissionKind parse_admission_kind(const json& family) {
+    const auto kind = value_or<std::string>(family, "admission", "none");
+    if (kind == "share") {
+        return AdmissionKind::fraction;
     }
-    settings.zone_count = static_cast<int>(value_or(profile, "zones", json::array()).size());
-    settings.proxy_count = value_or(family, "data_plane_size", 1);
-    settings.planner_count = std::max(value_or(profile, "instances", 1), 1);
+    return kind == "rate" ? AdmissionKind::rate : AdmissionKind::none;
+}
+
+/// The control channel from planners to proxies.
+void parse_channel(const json& family, DeploymentSettings& settings) {
     settings.channel_lines_per_second = value_or(family, "channel_rate", 1.0);
     settings.overhead_lines_per_message = value_or(family, "head", 0.0);
     settings.max_pending_lines = value_or(family, "queue_cap", 0.0);
     settings.max_messages_per_proxy = value_or(family, "pushes_allowed", 0);
-    settings.message_limit_window = span_or(family, "messages_over_us");
-    settings.report_interval = std::max(span_or(family, "report_every_us"), Duration{1});
-    settings.max_message_delay = span_or(family, "transit_max_us");
-    settings.drain_grace = span_or(rules, "stop_sending_within_us");
-    settings.warm_up_duration = span_or(rules, "warm_after_us");
+    settings.message_limit_window = duration_or_zero(family, "messages_over_us");
+    settings.report_interval = std::max(duration_or_zero(family, "report_every_us"), Duration{1});
+    settings.max_message_delay = duration_or_zero(family, "transit_max_us");
+}
+
+/// What holds of servers as they start, drain and are overloaded.
+void parse_server_rules(const json& rules, DeploymentSettings& settings) {
+    settings.drain_grace = duration_or_zero(rules, "stop_sending_within_us");
+    settings.warm_up_duration = duration_or_zero(rules, "warm_after_us");
     settings.cold_capacity_fraction = value_or(rules, "start_capacity", 1.0);
     settings.overload_factor = value_or(rules, "fall_multiple", 1.0);
-    settings.overload_window = span_or(rules, "fall_us");
+    settings.overload_window = duration_or_zero(rules, "fall_us");
     settings.unlisted_may_serve = value_or(rules, "dropped_stay_open", false);
-    const auto admission = value_or<std::string>(family, "admission", "none");
-    settings.admission_kind = admission == "share"  ? AdmissionKind::fraction
-                              : admission == "rate" ? AdmissionKind::rate
-                                                    : AdmissionKind::none;
-    const int base_mode = value_or(family, "base_mode", 0);
-    settings.default_retry_policy = static_cast<RetryPolicy>(std::clamp(base_mode, 0, 3));
-    settings.subscription_required =
-        value_or<std::string>(profile, "registry_mode", "automatic") == "subscribe";
+}
+
+void parse_slices(const json& family, DeploymentSettings& settings) {
     settings.slice_count = value_or(family, "slices", 0);
     settings.single_owner = value_or(family, "exclusive", false);
-    settings.owner_lease = span_or(family, "lease_us");
-    settings.write_lifetime = span_or(family, "write_life_us");
+    settings.owner_lease = duration_or_zero(family, "lease_us");
+    settings.write_lifetime = duration_or_zero(family, "write_life_us");
+}
+
+}  // namespace
+
+DeploymentSettings parse_deployment_settings(const json& profile) {
+    const json family = object_or_empty(profile, "family_info");
+    const json rules = object_or_empty(profile, "rules");
+    DeploymentSettings settings;
+    settings.methods = parse_methods(profile, family);
+    settings.zone_count = static_cast<int>(array_or_empty(profile, "zones").size());
+    settings.proxy_count = value_or(family, "data_plane_size", 1);
+    settings.planner_count = std::max(value_or(profile, "instances", 1), 1);
+    parse_channel(family, settings);
+    parse_server_rules(rules, settings);
+    settings.admission_kind = parse_admission_kind(family);
+    const int retry_policy = value_or(family, "base_mode", 0);
+    settings.default_retry_policy = static_cast<RetryPolicy>(std::clamp(retry_policy, 0, 3));
+    settings.subscription_required =
+        value_or<std::string>(profile, "registry_mode", "automatic") == "subscribe";
+    parse_slices(family, settings);
     return settings;
 }
 
 SymbolTable parse_symbol_table(const json& profile) {
     SymbolTable names;
-    for (const auto& from : value_or(profile, "classes", json::array())) {
-        names.methods.push_back(value_or<std::string>(from, "name", ""));
+    for (const json& method : array_or_empty(profile, "classes")) {
+        names.methods.push_back(value_or<std::string>(method, "name", ""));
     }
     names.zones = value_or(profile, "zones", std::vector<std::string>{});
     names.kinds = value_or(profile, "kinds", std::vector<std::string>{});
--- a/src/updates/update_builder.cpp
+++ b/src/updates/update_builder.cpp
@@ -93,7 +93,7 @@
     std::vector<ProxyUpdate> updates;
     for (auto& [number, update] : std::exchange(drafts_, {})) {
         if (update.nonce) {
-            await_acknowledgement(update);
+            await_acknowledgement(update, *update.nonce);
         }
         updates.push_back(std::move(update));
     }
@@ -305,8 +305,8 @@
     }
 }
 
-void UpdateBuilder::await_acknowledgement(const ProxyUpdate& update) {
-    SentUpdate sent{*update.nonce, {}};
+void UpdateBuilder::await_acknowledgement(const ProxyUpdate& update, Nonce nonce) {
+    SentUpdate sent{nonce, {}};
     for (const auto& [server, withdrawn] : update.withdrawn) {
         sent.servers.insert(server);
     }
--- a/src/updates/update_builder.hpp
+++ b/src/updates/update_builder.hpp
@@ -113,7 +113,7 @@
     void set_admission(ProxyId number, const Proxy& proxy, MethodId method);
     void notify(ProxyId number, Proxy& proxy, const ServerId& server, bool withdrawn);
     void reinstate_unless_open(ProxyId number, Proxy& proxy, const ServerId& server);
-    void await_acknowledgement(const ProxyUpdate& update);
+    void await_acknowledgement(const ProxyUpdate& update, Nonce nonce);
 
     // The state as ordered.
     void bind_method(ProxyId number, Proxy& proxy, MethodId method, TableId table);
