--- a/src/decision/admission_controller.cpp
+++ b/src/decision/admission_controller.cpp
@@ -107,7 +107,7 @@
     window_seconds_ += seconds(context_.step);
 
     // Proxies of other planners, or of none, are taken to announce as much as those here.
-    const double joined = std::max(1.0, 1.0 * announced_rates_.size());
+    const double joined = std::max(1.0, static_cast<double>(announced_rates_.size()));
     const double all_announced =
         announced_rate_ * std::max(1.0, context_.settings.proxy_count / joined);
     const double average_announced =
