--- a/src/decision/planner.cpp
+++ b/src/decision/planner.cpp
@@ -86,9 +86,11 @@
                 continue;
             }
             listed.insert(entry.server);
-            const auto [place, added] = trackers_.try_emplace(entry.server, context_, optimizer_,
-                                                              slice_assigner_, admission_);
-            post(place->second, EndpointListed{entry, !has_list_});
+            const auto tracker =
+                trackers_
+                    .try_emplace(entry.server, context_, optimizer_, slice_assigner_, admission_)
+                    .first;
+            post(tracker->second, EndpointListed{entry, !has_list_});
         }
         has_list_ = true;
         if (list.form == event::EndpointListUpdate::Form::incremental) {
@@ -124,12 +126,12 @@
 
     // More failures than attempts are taken for as many; reports on unknown servers are dropped.
     void dispatch(event::EndpointLoadReport& report) {
-        const auto place = trackers_.find(report.server);
+        const auto found = trackers_.find(report.server);
         report.failures = std::min(report.failures, report.attempts);
-        if (place == trackers_.end() || !is_valid(report)) {
+        if (found == trackers_.end() || !is_valid(report)) {
             return;
         }
-        post(place->second, report);
+        post(found->second, report);
         scheduler_.mailbox.post(report);
     }
 
