--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -49,18 +49,18 @@
 /// bytes (and one message more), kMaxAcknowledgements messages of a proxy that the core has not
 /// taken, and as many reports of a collector as Inbox allows.
 ///
-/// States, from left to right; what ends it stands on the arrows to `closing`:
+/// States, from left to right, and what leads from one to the next:
 ///
-///                  .-- ProxyJoined ---------> proxy ------ peer ends, invalid input, close() --.
-///                  |                                                                           v
-///     unidentified +-- CollectorIdentified -> collector -- the same, idle timeout --------->
-///     closing
-///                  |                                                                           ^
-///                  +-- invalid input -------> lingering -- the same, linger timeout or bytes --+
-///                  '-- peer ends, join timeout, close(), close_if_idle() ----------------------'
+///                  .-- ProxyJoined ---------> proxy ------ peer ends, bad input, close() --.
+///                  |                                                                       |
+///     unidentified +-- CollectorIdentified -> collector -- the same, idle timeout ---------+
+///                  |                                                                       |
+///                  +-- invalid input -------> lingering -- the same, linger timeout -------+
+///                  |                                                                       v
+///                  '-- peer ends, join timeout, close(), close_if_idle() ------------> closing
 ///
-/// The first two columns but `lingering` are the Role, which stays known when the connection ends;
-/// `lingering` and `closing` are the State.
+/// `unidentified`, `proxy` and `collector` are the Role, which stays known when the connection
+/// ends; `lingering` and `closing` are the State.
 class Connection {
  public:
     using TimePoint = std::chrono::steady_clock::time_point;
--- a/src/net/health_prober.cpp
+++ b/src/net/health_prober.cpp
@@ -3,8 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "net/http_status.hpp"
-#include "net/socket.hpp"
+#include "net/health_check_connection.hpp"
 #include "protocol/http.hpp"
 
 namespace micaroad::net {
@@ -101,39 +100,22 @@
     if (!address) {
         return false;
     }
-    Socket socket = Socket::unconnected(*address);
-    if (!socket.is_open()) {
-        return false;
-    }
-    const ActiveSockets::Registration registration(sockets_, socket);
-    if (!registration.listed()) {
-        return false;
-    }
-    const auto timeout = timeout_of(check.rule);
+    const routing::HealthRule& rule = check.rule;
+    HealthCheckConnection connection(sockets_, *address);
+    const auto timeout = timeout_of(rule);
     const auto deadline = std::chrono::steady_clock::now() + timeout;
-    if (!socket.connect(*address, timeout)) {
+    if (!connection.connect(timeout)) {
         return false;
     }
-    // A socket that is shut down before it is connected may not notice.
-    if (sockets_.stopped()) {
-        return false;
-    }
-    if (check.rule.kind == routing::HealthRule::Kind::connect) {
+    if (rule.kind == routing::HealthRule::Kind::connect) {
         return true;
     }
-    socket.set_receive_timeout(timeout);
-    return has_http_status(check, socket, deadline);
-}
-
-bool HealthProber::has_http_status(const Check& check, const Socket& socket,
-                                   std::chrono::steady_clock::time_point deadline) const {
-    const routing::HealthRule& rule = check.rule;
     const std::string& host = rule.http_host.empty() ? check.address : rule.http_host;
-    if (!socket.send_all(protocol::http_request(rule.http_method, host, rule.http_path))) {
+    if (!connection.send(protocol::http_request(rule.http_method, host, rule.http_path), timeout)) {
         return false;
     }
     char buffer[kResponseBuffer];
-    const auto status = receive_http_status(socket, buffer, ResponsePart::status_line, deadline);
+    const auto status = connection.receive_status(buffer, ResponsePart::status_line, deadline);
     return status && *status >= rule.status_least && *status <= rule.status_most;
 }
 
--- a/src/net/health_prober.hpp
+++ b/src/net/health_prober.hpp
@@ -51,8 +51,6 @@
     void run();
     void run_check(const Check& check);
     [[nodiscard]] bool is_healthy(const Check& check);
-    [[nodiscard]] bool has_http_status(const Check& check, const Socket& socket,
-                                       std::chrono::steady_clock::time_point deadline) const;
 
     const Clock clock_;
     const OnList on_list_;
--- a/src/net/prober.cpp
+++ b/src/net/prober.cpp
@@ -1,6 +1,6 @@
 #include "net/prober.hpp"
 
-#include "net/http_status.hpp"
+#include "net/health_check_connection.hpp"
 #include "protocol/http.hpp"
 
 namespace micaroad::net {
@@ -34,25 +34,11 @@
 }
 
 bool Prober::is_healthy(const Address& address, const std::string& host) {
-    Socket socket = Socket::unconnected(address);
-    if (!socket.is_open()) {
+    HealthCheckConnection connection(sockets_, address, sync_);
+    if (!connection.connect(kTimeout)) {
         return false;
     }
-    const ActiveSockets::Registration registration(sockets_, socket);
-    if (!registration.listed()) {
-        return false;
-    }
-    reach(sync_, SyncPoint::probe_registered);
-    if (!socket.connect(address, kTimeout)) {
-        return false;
-    }
-    reach(sync_, SyncPoint::probe_connected);
-    // A socket that is shut down before it is connected may not notice.
-    if (sockets_.stopped()) {
-        return false;
-    }
-    socket.set_receive_timeout(kTimeout);
-    if (!socket.send_all(protocol::http_get(host, "/ping"))) {
+    if (!connection.send(protocol::http_get(host, "/ping"), kTimeout)) {
         return false;
     }
     const auto deadline = std::chrono::steady_clock::now() + kTimeout;
@@ -60,7 +46,7 @@
     if (!buffer) {
         return false;
     }
-    return receive_http_status(socket, *buffer, ResponsePart::headers, deadline) == kHealthyStatus;
+    return connection.receive_status(*buffer, ResponsePart::headers, deadline) == kHealthyStatus;
 }
 
 }  // namespace micaroad::net
--- a/src/net/watch_end.cpp
+++ b/src/net/watch_end.cpp
@@ -31,8 +31,7 @@
         case WatchEndCause::malformed_list:
             return "malformed list";
         case WatchEndCause::list_too_long:
-            return fmt::format("list over {} bytes, the bound by the memory limit",
-                               end.list_bytes);
+            return fmt::format("list over {} bytes, the bound by the memory limit", end.list_bytes);
     }
     return "unknown cause";
 }
--- a/src/net/watch_end.hpp
+++ b/src/net/watch_end.hpp
@@ -12,8 +12,8 @@
     not_connected,
     interrupted,  ///< superseded, stopped, or the complete list is wanted
     reset,
-    silent,       ///< no byte came in time
-    line_late,    ///< no complete line came in time
+    silent,     ///< no byte came in time
+    line_late,  ///< no complete line came in time
     peer_closed,
     response_complete,
     bad_status,
