--- a/src/net/discovery_watch.hpp
+++ b/src/net/discovery_watch.hpp
@@ -56,16 +56,16 @@
 ///
 /// It ends with stop(): sockets are shut down, pauses are broken off, threads are waited for.
 ///
-/// A source's thread goes through these phases (the Phase of a connection and the pauses around
-/// it):
+/// A source's thread goes through these phases; all but `backoff` are the WatchPhase of a
+/// connection:
 ///
-///          .------------------------------- backoff <-----------------------------------.
-///          v                                                                            |
-///     connecting --connected, request sent--> requested --first line--> following ------+
-///          |                                      |                         |      end, fault,
-///          '----------------- fault, timeout -----+-------------------------'      timeout
+///     connecting -- request sent --> requested -- first line --> following
+///       ^    |                           |                           |
+///       |    '---------------------------+---------------------------'
+///       |                                |  end, fault, timeout
+///       '----------- backoff <-----------'
 ///
-/// From any of them it goes to the end once it is superseded or the watch stops, and from
+/// From any of them it goes to its end once it is superseded or the watch stops, and from
 /// `following` at once to `connecting` when the complete list is wanted.
 class DiscoveryWatch {
  public:
