--- a/src/command/explain_request.cpp
+++ b/src/command/explain_request.cpp
@@ -80,6 +80,7 @@
 tl::expected<std::string, OptionError> find_listener(const ExplainOptions& options,
                                                      const routing::Plan& plan) {
     std::vector<std::string> names;
+    names.reserve(plan.listeners.size());
     for (const routing::Listener& listener : plan.listeners) {
         names.push_back(listener.name);
     }
--- a/src/command/planner_service.cpp
+++ b/src/command/planner_service.cpp
@@ -97,7 +97,7 @@
     std::unique_ptr<record::Recorder> recorder_;
 };
 
-PlannerService::PlannerService(const routing::Plan& plan, Clock clock, Log& log)
+PlannerService::PlannerService(const routing::Plan& plan, const Clock& clock, Log& log)
     : PlannerService(plan, make_start_configuration(plan, clock()), clock, log) {}
 
 PlannerService::PlannerService(const routing::Plan& plan, const StartConfiguration& start,
--- a/src/command/planner_service.hpp
+++ b/src/command/planner_service.hpp
@@ -19,7 +19,7 @@
  public:
     /// The log must outlive the service. Throws ConfigurationError where the plan's service can't
     /// be used.
-    PlannerService(const routing::Plan& plan, Clock clock, Log& log);
+    PlannerService(const routing::Plan& plan, const Clock& clock, Log& log);
     PlannerService(const PlannerService&) = delete;
     PlannerService& operator=(const PlannerService&) = delete;
     ~PlannerService();
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -72,7 +72,8 @@
         std::thread signal_thread([&] { handle_signals(signals, service, log); });
         const int code = service.run();
         if (code != 0) {
-            // It ended by itself, so no signal has ended the thread.
+            // It ended by itself, so no signal has ended the thread, which waits for one.
+            // NOLINTNEXTLINE(bugprone-bad-signal-to-kill-thread): blocked, and taken by sigwait.
             pthread_kill(signal_thread.native_handle(), SIGTERM);
         }
         signal_thread.join();
--- a/src/operators/text_parser.cpp
+++ b/src/operators/text_parser.cpp
@@ -80,6 +80,7 @@
 // All messages of the file, nested ones too.
 std::vector<const pb::Descriptor*> message_types(const pb::FileDescriptor& file) {
     std::vector<const pb::Descriptor*> types;
+    types.reserve(static_cast<std::size_t>(file.message_type_count()));
     for (int i = 0; i < file.message_type_count(); ++i) {
         types.push_back(file.message_type(i));
     }
