--- a/src/protocol/line_words.cpp
+++ b/src/protocol/line_words.cpp
@@ -10,6 +10,7 @@
 namespace {
 
 constexpr std::size_t kMostWords = 32;
+constexpr std::size_t kUsualWords = 8;  // of the longest message of the protocol
 constexpr std::size_t kLongestQuotedWord = 40;
 // Sums of numbers up to this stay exact enough and far from any overflow.
 constexpr double kLargestNumber = 1e9;
@@ -26,6 +27,7 @@
 }
 
 LineWords::LineWords(std::string_view line) {
+    words_.reserve(kUsualWords);
     while (!line.empty() && !error_) {
         const std::string_view word = cut_word(line);
         if (!word.empty()) {
