--- a/src/operators/file.hpp
+++ b/src/operators/file.hpp
@@ -27,14 +27,14 @@
     bool operator==(const Fault&) const = default;
 };
 
-/// What a file holds. All faults are told at once; a plan with faults is not to be used.
+/// What a file holds. All faults are reported at once; a plan with faults is not to be used.
 struct Reading {
     routing::Plan plan;
     std::vector<Fault> faults;         ///< by place, kMostFaults at most
     std::vector<std::string> notices;  ///< what is valid and yet worth a look
 };
 
-/// More faults are not told.
+/// More faults are not reported.
 constexpr std::size_t kMostFaults = 200;
 /// Bytes of a file, at most.
 constexpr std::size_t kLongestFile = std::size_t{64} << 20;
--- a/src/operators/health_reader.cpp
+++ b/src/operators/health_reader.cpp
@@ -68,7 +68,7 @@
     }
 }
 
-// Of a chain through several servers, an unknown one is told at the server that names it.
+// Of a chain through several servers, an unknown one is reported at the server that names it.
 void HealthChains::check(const Follower& follower) const {
     std::set<std::string> passed;
     std::string server = follower.full_name;
--- a/src/operators/located_message.hpp
+++ b/src/operators/located_message.hpp
@@ -21,7 +21,7 @@
  public:
     using Places = google::protobuf::TextFormat::ParseInfoTree;
 
-    /// `places` may be null: all faults are then told at `place`, that of the message itself.
+    /// `places` may be null: all faults are then reported at `place`, that of the message itself.
     LocatedMessage(const google::protobuf::Message& message, const Places* places, Fault place,
                    std::vector<Fault>& faults);
 
