--- a/src/command/command.cpp
+++ b/src/command/command.cpp
@@ -213,7 +213,7 @@
         view.servers[name].up = false;
     }
     for (const auto& name : draining) {
-        view.servers[name].told = routing::State::draining,
+        view.servers[name].state_override = routing::State::draining,
         view.servers[name].draining_since = view.now;
     }
 
--- a/src/routing/endpoint_registry.cpp
+++ b/src/routing/endpoint_registry.cpp
@@ -16,7 +16,7 @@
     endpoint.kind = kind;
     endpoint.phase = draining ? EndpointPhase::draining : EndpointPhase::ready;
     endpoint.size = std::max(server.weight, 1);
-    const ServerNow& state = view.server(name);
+    const ServerState& state = view.server(name);
     if (server.slow_start > Duration{} && state.up_since != TimePoint{}) {
         endpoint.last_start = state.up_since;
     }
--- a/src/routing/health_checked_endpoints.cpp
+++ b/src/routing/health_checked_endpoints.cpp
@@ -16,6 +16,7 @@
 
 std::vector<std::string> pool_names(const Plan& plan) {
     std::vector<std::string> names;
+    names.reserve(plan.pools.size());
     for (const Pool& pool : plan.pools) {
         names.push_back(pool.name);
     }
@@ -37,11 +38,11 @@
     plan_ = std::make_unique<Plan>(std::move(plan));
     registry_ = std::make_unique<EndpointRegistry>(*plan_);
     std::map<std::string, HealthTracker> trackers;
-    std::map<std::string, ServerNow> servers;
+    std::map<std::string, ServerState> servers;
     for (const Pool& pool : plan_->pools) {
         HealthTracker tracker(pool, now);
         for (const Server& server : pool.servers) {
-            const ServerNow state = carried_over(pool, server, now);
+            const ServerState state = carried_over(pool, server, now);
             if (!state.up) {
                 tracker.set_down(server.name);
             }
@@ -54,10 +55,10 @@
 }
 
 // What is known of a server, as far as it holds in the new plan.
-ServerNow HealthCheckedEndpoints::carried_over(const Pool& pool, const Server& server,
-                                               TimePoint now) const {
+ServerState HealthCheckedEndpoints::carried_over(const Pool& pool, const Server& server,
+                                                 TimePoint now) const {
     const auto known = view_.servers.find(full_name(pool, server));
-    ServerNow state = known == view_.servers.end() ? ServerNow{} : known->second;
+    ServerState state = known == view_.servers.end() ? ServerState{} : known->second;
     if (server.state != State::draining) {
         state.draining_since.reset();
     } else if (!state.draining_since) {
@@ -120,7 +121,7 @@
         return std::nullopt;
     }
     change->server = server;
-    ServerNow& state = view_.servers[server];
+    ServerState& state = view_.servers[server];
     state.up = change->up;
     if (change->up) {
         state.up_since = now;
--- a/src/routing/health_checked_endpoints.hpp
+++ b/src/routing/health_checked_endpoints.hpp
@@ -58,8 +58,8 @@
 
  private:
     void install(Plan plan, TimePoint now);
-    [[nodiscard]] ServerNow carried_over(const Pool& pool, const Server& server,
-                                         TimePoint now) const;
+    [[nodiscard]] ServerState carried_over(const Pool& pool, const Server& server,
+                                           TimePoint now) const;
 
     std::unique_ptr<Plan> plan_;  // the registry refers to it
     std::unique_ptr<EndpointRegistry> registry_;
--- a/src/routing/limiter.cpp
+++ b/src/routing/limiter.cpp
@@ -127,10 +127,8 @@
         if (server == queued.servers.end()) {
             continue;
         }
-        const RpcNumber rpc = queued.rpc;
-        const std::string name = *server;  // dequeue() frees what it stands in
+        admissions.push_back(admit(queued.rpc, *server));
         dequeue(position);
-        admissions.push_back(admit(rpc, name));
     }
     return admissions;
 }
--- a/src/routing/match.cpp
+++ b/src/routing/match.cpp
@@ -28,15 +28,13 @@
     const UsableCount& usable_count;
 
     bool operator()(const AllOf& all) const {
-        return std::all_of(all.of.begin(), all.of.end(), [this](const Match& match) {
-            return fits(match, rpc, usable_count);
-        });
+        return std::all_of(all.of.begin(), all.of.end(),
+                           [this](const Match& match) { return fits(match, rpc, usable_count); });
     }
 
     bool operator()(const AnyOf& any) const {
-        return std::any_of(any.of.begin(), any.of.end(), [this](const Match& match) {
-            return fits(match, rpc, usable_count);
-        });
+        return std::any_of(any.of.begin(), any.of.end(),
+                           [this](const Match& match) { return fits(match, rpc, usable_count); });
     }
 
     bool operator()(const Not& negated) const {
--- a/src/routing/match.hpp
+++ b/src/routing/match.hpp
@@ -1,5 +1,5 @@
-/// Whether an RPC matches a condition of a route: the plain answer, which the index (route_index.hpp)
-/// only narrows down. All functions are pure and may be called by any thread.
+/// Whether an RPC matches a condition of a route: the plain answer, which the index
+/// (route_index.hpp) only narrows down. All functions are pure and may be called by any thread.
 #pragma once
 
 #include <functional>
--- a/src/routing/server_selector.cpp
+++ b/src/routing/server_selector.cpp
@@ -28,7 +28,7 @@
 }
 
 // The fraction of its weight that a server may use so long after it came up, 1/16 to 1.
-double slow_start_fraction(const Server& server, const ServerNow& state, TimePoint now) {
+double slow_start_fraction(const Server& server, const ServerState& state, TimePoint now) {
     if (server.slow_start <= Duration{} || state.up_since == TimePoint{}) {
         return 1;
     }
@@ -61,11 +61,11 @@
 
 // What a server's state forbids; absent: nothing. `shared`: it is asked for the sake of another
 // server, which shares its health.
-std::optional<ServerStatus> status_by_state(const Server& server, const ServerNow& now,
+std::optional<ServerStatus> status_by_state(const Server& server, const ServerState& now,
                                             const View& view, bool shared) {
     using Availability = ServerAvailability;
     using Reason = AvailabilityReason;
-    const State state = now.told.value_or(server.state);
+    const State state = now.state_override.value_or(server.state);
     if (state == State::disabled) {
         return ServerStatus{Availability::unavailable, Reason::disabled};
     }
@@ -203,7 +203,7 @@
             continue;
         }
         const Server& server = *candidate.server;
-        const ServerNow& state = view.server(full_name(pool, server));
+        const ServerState& state = view.server(full_name(pool, server));
         const double weight = server.weight * slow_start_fraction(server, state, view.now);
         split.shares.push_back({server.name, weight});
         total_weight += weight;
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -166,7 +166,7 @@
     CHECK(shares(plan, now) == Shares{{"a", 0.25}, {"b", 0.75}});
     now.servers["web/b"].up = false;
     CHECK(shares(plan, now) == Shares{{"a", 1}});
-    now.servers["web/a"].told = State::maintenance;
+    now.servers["web/a"].state_override = State::maintenance;
     CHECK(shares(plan, now) == Shares{{"s1", 1}});
     plan.pools[0].all_backups = true;
     CHECK(shares(plan, now) == Shares{{"s1", 0.1}, {"s2", 0.9}});
@@ -211,7 +211,7 @@
     }
     plan.listeners = {{"in", {}, 0, {}, "web"}};
     View now = view();
-    now.servers["web/leaving"].told = State::draining,
+    now.servers["web/leaving"].state_override = State::draining,
     now.servers["web/leaving"].draining_since = kNow - s(1);
     const auto stuck = [&](const char* mark) {
         Rpc rpc;
@@ -234,7 +234,8 @@
     CHECK(stuck("old") == "a");
     plan.pools[0].servers[0].mark = "a";
     now.servers["web/a"].up = true;
-    now.servers["web/old"].told = State::disabled;  // preference ends where the operator says so
+    now.servers["web/old"].state_override =
+        State::disabled;  // preference ends where the operator says so
     CHECK(stuck("old").empty());
 }
 
@@ -247,9 +248,9 @@
     CHECK(shares(plan, now).size() == 3);
     now.servers["web/a"].up = false;
     CHECK(shares(plan, now).empty());
-    now.servers["web/a"].up = true, now.servers["web/b"].told = State::maintenance;
+    now.servers["web/a"].up = true, now.servers["web/b"].state_override = State::maintenance;
     CHECK(shares(plan, now) == Shares{{"a", 1}});
-    now.servers["web/b"].told.reset();
+    now.servers["web/b"].state_override.reset();
     plan.pools[0].servers[0].weight = 0,
     plan.pools[0].servers[0].state = State::draining;  // its own matter
     CHECK(shares(plan, now).size() == 2);
@@ -551,7 +552,7 @@
     REQUIRE(open(0).size() == 1);
     CHECK(open(0).begin()->first == "web/s");
     // One drains: it is told so, not dropped.
-    at.servers.clear(), at.servers["web/a"].told = State::draining,
+    at.servers.clear(), at.servers["web/a"].state_override = State::draining,
                         at.servers["web/a"].draining_since = now;
     const auto list = registry.list(at);
     CHECK(std::any_of(list.servers.begin(), list.servers.end(), [](const auto& e) {
--- a/tests/spread_test.cpp
+++ b/tests/spread_test.cpp
@@ -127,12 +127,13 @@
 bool bring_about(Case which, const routing::Pool& pool, Original::Pool& original,
                  routing::View& view) {
     view.now = TimePoint{Duration{100'000'000}};
-    const auto touch = [&](const routing::Server& server,
-                           const std::function<void(routing::ServerNow&, Original::Node&)>& what) {
-        const auto node = std::find_if(original.nodes.begin(), original.nodes.end(),
-                                       [&](const auto& at) { return at.name == server.name; });
-        what(view.servers[pool.name + "/" + server.name], *node);
-    };
+    const auto touch =
+        [&](const routing::Server& server,
+            const std::function<void(routing::ServerState&, Original::Node&)>& what) {
+            const auto node = std::find_if(original.nodes.begin(), original.nodes.end(),
+                                           [&](const auto& at) { return at.name == server.name; });
+            what(view.servers[pool.name + "/" + server.name], *node);
+        };
     const auto first = std::find_if(pool.servers.begin(), pool.servers.end(), [](const auto& s) {
         return s.tier == routing::Tier::active && s.state == routing::State::ready;
     });
@@ -157,7 +158,8 @@
             break;
         case Case::one_draining:
             touch(*first, [&](auto& now, auto& node) {
-                now.told = routing::State::draining, now.draining_since = view.now, node.weight = 0;
+                now.state_override = routing::State::draining, now.draining_since = view.now,
+                node.weight = 0;
             });
             break;
         case Case::slow_start:
