--- a/src/routing/network.cpp
+++ b/src/routing/network.cpp
@@ -30,8 +30,9 @@
 
 std::optional<int> parse_prefix_length(std::string_view text) {
     int length = 0;
-    const char* const end = text.data() + text.size();
-    const std::from_chars_result parsed = std::from_chars(text.data(), end, length);
+    const char* const begin = text.data();
+    const char* const end = begin + text.size();
+    const std::from_chars_result parsed = std::from_chars(begin, end, length);
     if (parsed.ec != std::errc{} || parsed.ptr != end) {
         return std::nullopt;
     }
--- a/src/routing/plan.hpp
+++ b/src/routing/plan.hpp
@@ -1,15 +1,16 @@
-// What an operator has laid down about routes, pools and servers, whatever file it was read from:
-// the operator's own (src/operators/) or another program's (src/haproxy/). Plain values without
-// behaviour; src/routing/router.hpp decides by them.
-//
-// SymbolTable are the operator's. A server's full name is "pool/server". Times are Spans (tenths of
-// a millisecond).
+/// What an operator has configured about routes, pools and servers, whatever file it was read from:
+/// the operator's own (src/operators/) or another program's (src/haproxy/). Plain values; the
+/// reader of the file checks them, and src/routing/router.hpp decides by them.
+///
+/// All names are the operator's. A server's full name is "pool/server".
 #pragma once
 
-#include <cstdint>
+#include <algorithm>
+#include <chrono>
 #include <map>
 #include <optional>
 #include <string>
+#include <utility>
 #include <variant>
 #include <vector>
 
@@ -18,12 +19,11 @@
 
 namespace micaroad::routing {
 
-// ---- What an RPC must look like
-// -----------------------------------------------------------------------------
+// Conditions of a route.
 
 enum class TextWay { exact, prefix, suffix, contains, present };
 
-// One text against some values, any of which will do. `present` needs no value.
+/// A condition on a text: any of the values matches. `present` needs no value.
 struct TextMatch {
     TextWay way = TextWay::exact;
     std::vector<std::string> values;
@@ -34,45 +34,62 @@
 struct Match;
 using Matches = std::vector<Match>;
 
+/// Without conditions it always matches.
 struct AllOf {
     Matches of;
     bool operator==(const AllOf&) const = default;
-};  // of none: always
+};
+
+/// Without conditions it never matches.
 struct AnyOf {
     Matches of;
     bool operator==(const AnyOf&) const = default;
-};  // of none: never
+};
+
+/// Has exactly one condition.
 struct Not {
     Matches of;
     bool operator==(const Not&) const = default;
-};  // of exactly one
+};
+
+/// The host without its port, in any case.
 struct HostIs {
     TextMatch text;
     bool operator==(const HostIs&) const = default;
-};  // without port, any case
+};
+
+/// The path without its query.
 struct PathIs {
     TextMatch text;
     bool operator==(const PathIs&) const = default;
-};  // without query
+};
+
+/// The method is one of these.
 struct MethodIs {
     std::vector<std::string> names;
     bool operator==(const MethodIs&) const = default;
 };
-// Any of the fields of that name; "host" is the host as the client names it, with its port.
+
+/// Any of the header fields with that name; "host" is the host as the client names it, with its
+/// port.
 struct HeaderIs {
     std::string name;
     TextMatch text;
     bool operator==(const HeaderIs&) const = default;
 };
+
+/// The client's address is in one of these networks.
 struct SourceIn {
     std::vector<Network> networks;
     bool operator==(const SourceIn&) const = default;
 };
-// How many servers of a pool can be sent new RPCs: those of the tier in use that are up, ready and
-// weigh over 0.
+
+/// How many servers of a pool can be sent new RPCs: those of the tier in use that are up, ready and
+/// have a weight over 0.
 struct UsableServers {
     std::string pool;
-    int least = 0, most = 1'000'000;
+    int least = 0;
+    int most = 1'000'000;
     bool operator==(const UsableServers&) const = default;
 };
 
@@ -81,17 +98,19 @@
     bool operator==(const Match&) const = default;
 };
 
-// ---- What is done with it
-// -----------------------------------------------------------------------------------
+// What a route does with an RPC.
 
 struct ToPool {
     std::string pool;
     bool operator==(const ToPool&) const = default;
 };
+
+/// Rejects the RPC at once; the answer is final.
 struct TurnAway {
     int status = 403;
     bool operator==(const TurnAway&) const = default;
-};  // at once, a final answer
+};
+
 struct Redirect {
     std::string location;
     int status = 302;
@@ -107,92 +126,111 @@
 
 struct Listener {
     std::string name;
-    std::vector<std::string> addresses;  // "host:port", as the operator has them; "*" is any host
-    int connections_most = 0;            // 0: no limit
-    std::vector<Route> routes;           // the first that matches holds
-    std::string default_pool;            // empty: what no route takes is turned away
+    std::vector<std::string> addresses;  ///< "host:port", as the operator has them; "*" is any host
+    int connections_most = 0;            ///< 0: no limit
+    std::vector<Route> routes;           ///< the first that matches is taken
+    std::string default_pool;            ///< empty: what matches no route is rejected
     bool operator==(const Listener&) const = default;
 };
 
-// ---- Pools
-// --------------------------------------------------------------------------------------------------
+// Pools.
 
+/// A server's state as the operator sets it.
 enum class State { ready, draining, disabled, maintenance };
 enum class Tier { active, backup };
 
 struct Server {
-    std::string name, address;  // "10.0.0.1:80", "[::1]:80"
-    int weight = 1;             // 0..256, as listed; 0 sends nothing new
+    std::string name;
+    std::string address;  ///< "10.0.0.1:80", "[::1]:80"
+    int weight = 1;       ///< 0 to 256, as listed; with 0 it gets no new RPCs
     Tier tier = Tier::active;
     State state = State::ready;
-    int connections_most = 0;  // at once; 0: no limit
-    int queue_most = 0;        // RPCs that wait for it alone; 0: no limit
-    Duration slow_start{};     // after it comes up its ceiling rises over this time; zero: at once
-    std::string health_of;     // "pool/server" whose health is taken for its own; empty: its own
-    std::string mark;          // what a stuck RPC's cookie says of it
-    bool checked = false;      // by the pool's health rule
+    int connections_most = 0;  ///< RPCs at once; 0: no limit
+    int queue_most = 0;        ///< RPCs in its own queue; 0: no limit
+    Duration slow_start{};     ///< time over which its weight rises once it is up; zero: at once
+    std::string health_of;     ///< full name of the server whose health it shares; empty: its own
+    std::string mark;          ///< its name in the cookies of sticky RPCs
+    bool checked = false;      ///< by the pool's health rule
     bool operator==(const Server&) const = default;
 };
 
-// What keeps RPCs that belong together on one server while it may be used. A preference: whoever
-// drains is left when the grace ends, whoever is down or in maintenance at once.
+/// What keeps RPCs that belong together on one server while that may be used. A preference: a
+/// draining server is left when the grace ends, one that is down or in maintenance at once.
 struct Stickiness {
     enum class By { none, source, path, header, query, cookie, request_hash } by = By::none;
-    std::string name;     // of the header, query parameter or cookie
-    int path_depth = 0;   // directories of the path that count; 0: all
-    int path_length = 0;  // characters of the path that count; 0: all
-    bool with_query = false;
-    bool keeps_down = false;  // a stuck RPC goes to its server although that is down
+    std::string name;         ///< of the header, query parameter or cookie
+    int path_depth = 0;       ///< directories of the path that count; 0: all
+    int path_length = 0;      ///< characters of the path that count; 0: all
+    bool with_query = false;  ///< the query counts as a part of the path
+    bool keeps_down = false;  ///< a sticky RPC goes to its server even if that is down
     bool operator==(const Stickiness&) const = default;
 };
 
-// When an RPC that failed may be tried again. What may have run is tried again only where it is
-// idempotent.
+/// When a failed RPC may be retried. What may have been executed is retried only where it is
+/// idempotent, whatever stands here.
 struct FurtherTries {
-    int most = 0;
+    int most = 0;  ///< retries of one RPC
     enum class Proof { never_ran, pushed_back, any_failure } proof = Proof::never_ran;
     enum class Where { same, other_at_last, other } where = Where::other_at_last;
     bool operator==(const FurtherTries&) const = default;
 };
 
 struct HealthRule {
-    Duration every{20'000}, every_in_doubt{}, every_while_down{}, patience{};  // zero: as `every`
-    int rise = 2, fall = 3;
+    Duration every{20'000};       ///< interval of health checks
+    Duration every_in_doubt{};    ///< after a result that contradicts the state; zero: as `every`
+    Duration every_while_down{};  ///< zero: as `every`
+    Duration patience{};          ///< timeout of a health check; zero: as `every`
+    int rise = 2;                 ///< successes in a row before a server counts as up
+    int fall = 3;                 ///< failures in a row before it counts as down
     enum class Kind { connect, http } kind = Kind::connect;
-    std::string http_method = "OPTIONS", http_path = "/", http_host;
-    int status_least = 200, status_most = 399;
-    int errors_most =
-        0;  // RPCs in a row that failed at a server before it counts as down; 0: RPCs don't count
+    std::string http_method = "OPTIONS";
+    std::string http_path = "/";
+    std::string http_host;   ///< empty: the server's address
+    int status_least = 200;  ///< the lowest HTTP status that is a success
+    int status_most = 399;   ///< the highest
+    int errors_most = 0;     ///< RPCs in a row that failed before a server counts as down; 0: RPCs
+                             ///< don't count
     bool operator==(const HealthRule&) const = default;
 };
 
 struct Pool {
     std::string name;
     std::vector<Server> servers;
-    bool all_backups = false;  // or the first that can be used
-    int connections_most = 0;
-    Duration queue_patience{50'000};
-    Duration connect_within{50'000}, answer_within{300'000};
+    bool all_backups = false;         ///< backups are used together, or only the first usable one
+    int connections_most = 0;         ///< RPCs at once; 0: no limit
+    Duration queue_patience{50'000};  ///< the longest time in a queue
+    Duration connect_within{50'000};
+    Duration answer_within{300'000};
     FurtherTries further;
     Stickiness stickiness;
     HealthRule health;
     bool operator==(const Pool&) const = default;
 };
 
-// The planner that serves the plan, and the channel to its proxies; proto/operators.proto tells
-// what each figure means.
+/// The planner that serves the plan, and the channel to its proxies; proto/operators.proto says
+/// what each figure means.
 struct Service {
-    std::string name = "planner-0", listen = "127.0.0.1:3000";
-    int proxies = 64, lines_per_second = 1'600, lines_per_message = 3, lines_waiting_most = 1'600;
-    Duration report_every{5'000}, message_longest{4'500}, drain_grace{20'000};
-    int memory_mb = 64, sockets = 1'024;
+    std::string name = "planner-0";
+    std::string listen = "127.0.0.1:3000";
+    int proxies = 64;
+    int lines_per_second = 1'600;
+    int lines_per_message = 3;
+    int lines_waiting_most = 1'600;
+    Duration report_every{5'000};
+    Duration message_longest{4'500};
+    Duration drain_grace{20'000};
+    int memory_mb = 64;
+    int sockets = 1'024;
     bool operator==(const Service&) const = default;
 };
 
-// What is kept of the planner's events and orders; no path: nothing.
+/// How the planner's events and orders are recorded; without a path they are not.
 struct Recording {
     std::string path;
-    int segment_mb = 8, all_mb = 512, kib_per_second = 1'024, processor_percent = 5;
+    int segment_mb = 8;
+    int all_mb = 512;
+    int kib_per_second = 1'024;
+    int processor_percent = 5;
     Duration keep = std::chrono::hours(72);
     bool operator==(const Recording&) const = default;
 };
@@ -204,27 +242,29 @@
     Recording recording;
     bool operator==(const Plan&) const = default;
 
-    const Pool* pool(const std::string& name) const {
-        for (const Pool& pool : pools) {
-            if (pool.name == name) {
-                return &pool;
-            }
-        }
-        return nullptr;
+    /// Null if there is no such pool.
+    [[nodiscard]] const Pool* pool(const std::string& name) const {
+        const auto found = std::find_if(pools.begin(), pools.end(), [&name](const Pool& candidate) {
+            return candidate.name == name;
+        });
+        return found == pools.end() ? nullptr : &*found;
     }
 };
 
-// ---- An RPC, as far as it can be told before it is sent
-// ------------------------------------------------------
-
+/// An RPC, as far as it is known before it is forwarded.
 struct Rpc {
-    std::string method = "GET", host, path = "/", query;
-    std::vector<std::pair<std::string, std::string>> headers;  // names in lower case
+    std::string method = "GET";
+    std::string host;
+    std::string path = "/";
+    std::string query;
+    std::vector<std::pair<std::string, std::string>> headers;  ///< names in lower case
     std::map<std::string, std::string> cookies;
     Address source;
-    bool idempotent() const {
+
+    /// RFC 9110, section 9.2.2.
+    [[nodiscard]] bool idempotent() const {
         return method == "GET" || method == "HEAD" || method == "OPTIONS" || method == "PUT" ||
-               method == "DELETE" || method == "TRACE";  // RFC 9110, 9.2.2
+               method == "DELETE" || method == "TRACE";
     }
 };
 
