--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -1,6 +1,6 @@
 // Recordings: every kind of event and order there and back, blocks under cuts, flips and doubles, a
-// recorder over a disk whose calls fail, holes, ages and sizes, and replays that tell the first
-// decision that differs. Then whose turn background work has.
+// recorder over a directory whose calls fail, gaps, ages and sizes, and replays that report the
+// first decision that differs. Then whose turn background work has.
 #include <unistd.h>
 
 #include <catch2/catch.hpp>
@@ -339,7 +339,8 @@
 }
 
 TEST_CASE(
-    "what finds no room is counted and shows as a hole; what was kept before it still replays") {
+    "a turn that finds the queue full is counted and shows as a gap; what precedes it still "
+    "replays") {
     Memory disk;
     Day day(disk, 9);
     day.run(5);
@@ -366,7 +367,9 @@
            result.replayed_turns + result.skipped_turns == summary.turns));
 }
 
-TEST_CASE("whichever call of the disk fails, the core goes on and all that is kept can be read") {
+TEST_CASE(
+    "whichever call of the directory fails, the core goes on and all that was written can be "
+    "read") {
     int most = 0;
     for (const bool stays : {false, true}) {
         for (const bool half : {false, true}) {
@@ -389,7 +392,7 @@
                 if (!half) {
                     REQUIRE(summary.faults.empty());
                 }
-                // What was read whole up to the first hole replays.
+                // What was read whole up to the first gap replays.
                 REQUIRE(replay(disk).matches());
                 most = std::max(most, disk.calls);
             }
@@ -438,7 +441,7 @@
     CHECK((aged.files.size() >= 4 && aged.files.size() <= 8));
 }
 
-TEST_CASE("a newer schema is refused, a folder that is none is said, and names tell sequences") {
+TEST_CASE("a newer schema is rejected, and segment names hold sequence numbers") {
     Memory disk;
     Day day(disk, 2);
     day.recorder.close();
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -1,4 +1,4 @@
-// Routes over the index against the plain list, pools in every state, limits, further tries, health
+// Routes over the index against the plain list, pools in every state, limits, retries, health
 // and the registry.
 #include <fmt/format.h>
 
@@ -202,7 +202,7 @@
     CHECK((decision.kind == Decision::Kind::wait && decision.queue_timeout == s(5)));
 }
 
-TEST_CASE("weight 0 and drains: nothing new, what is stuck stays until the grace ends") {
+TEST_CASE("weight 0 and drains: no new RPCs, sticky ones stay until the grace ends") {
     Plan plan;
     plan.pools = {pool({server("a"), server("old", 0), server("leaving", 5)})};
     plan.pools[0].stickiness.by = Stickiness::By::cookie, plan.pools[0].stickiness.name = "SRV";
@@ -315,7 +315,7 @@
     CHECK(by_path(0, 3, "/a/b") == "/a/");
 }
 
-TEST_CASE("limits: a server's, a pool's, queues in order of coming, and patience") {
+TEST_CASE("limits: a server's, a pool's, queues in order of arrival, and the queue timeout") {
     Pool web = pool({server("a"), server("b")});
     web.servers[0].connections_most = 1, web.servers[0].queue_most = 1,
     web.servers[1].connections_most = 1;
@@ -428,7 +428,8 @@
 }
 
 TEST_CASE(
-    "what may have run is tried again only where it is idempotent, whatever the file asks for") {
+    "what may have been executed is retried only where it is idempotent, whatever the file asks "
+    "for") {
     Pool web = pool({server("a"), server("b")});
     Rpc get, post;
     post.method = "POST";
