--- a/src/command/explain_request.cpp
+++ b/src/command/explain_request.cpp
@@ -141,8 +141,8 @@
         if (!name) {
             return tl::unexpected(name.error());
         }
-        routing::ServerNow& server = view.servers[*name];
-        server.told = routing::State::draining;
+        routing::ServerState& server = view.servers[*name];
+        server.state_override = routing::State::draining;
         server.draining_since = view.now;
     }
     return view;
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -1,4 +1,4 @@
-// Routes over the index against the plain list, pools in every state, limits, further tries, health
+// Routes over the index against the plain list, pools in every state, limits, retries, health
 // and the registry.
 #include <fmt/format.h>
 
@@ -166,7 +166,7 @@
     CHECK(shares(plan, now) == Shares{{"a", 0.25}, {"b", 0.75}});
     now.servers["web/b"].up = false;
     CHECK(shares(plan, now) == Shares{{"a", 1}});
-    now.servers["web/a"].told = State::maintenance;
+    now.servers["web/a"].state_override = State::maintenance;
     CHECK(shares(plan, now) == Shares{{"s1", 1}});
     plan.pools[0].all_backups = true;
     CHECK(shares(plan, now) == Shares{{"s1", 0.1}, {"s2", 0.9}});
@@ -202,7 +202,7 @@
     CHECK((decision.kind == Decision::Kind::wait && decision.queue_timeout == s(5)));
 }
 
-TEST_CASE("weight 0 and drains: nothing new, what is stuck stays until the grace ends") {
+TEST_CASE("weight 0 and drains: no new RPCs, sticky ones stay until the grace ends") {
     Plan plan;
     plan.pools = {pool({server("a"), server("old", 0), server("leaving", 5)})};
     plan.pools[0].stickiness.by = Stickiness::By::cookie, plan.pools[0].stickiness.name = "SRV";
@@ -211,7 +211,7 @@
     }
     plan.listeners = {{"in", {}, 0, {}, "web"}};
     View now = view();
-    now.servers["web/leaving"].told = State::draining,
+    now.servers["web/leaving"].state_override = State::draining,
     now.servers["web/leaving"].draining_since = kNow - s(1);
     const auto stuck = [&](const char* mark) {
         Rpc rpc;
@@ -234,7 +234,8 @@
     CHECK(stuck("old") == "a");
     plan.pools[0].servers[0].mark = "a";
     now.servers["web/a"].up = true;
-    now.servers["web/old"].told = State::disabled;  // preference ends where the operator says so
+    now.servers["web/old"].state_override =
+        State::disabled;  // preference ends where the operator says so
     CHECK(stuck("old").empty());
 }
 
@@ -247,9 +248,9 @@
     CHECK(shares(plan, now).size() == 3);
     now.servers["web/a"].up = false;
     CHECK(shares(plan, now).empty());
-    now.servers["web/a"].up = true, now.servers["web/b"].told = State::maintenance;
+    now.servers["web/a"].up = true, now.servers["web/b"].state_override = State::maintenance;
     CHECK(shares(plan, now) == Shares{{"a", 1}});
-    now.servers["web/b"].told.reset();
+    now.servers["web/b"].state_override.reset();
     plan.pools[0].servers[0].weight = 0,
     plan.pools[0].servers[0].state = State::draining;  // its own matter
     CHECK(shares(plan, now).size() == 2);
@@ -314,7 +315,7 @@
     CHECK(by_path(0, 3, "/a/b") == "/a/");
 }
 
-TEST_CASE("limits: a server's, a pool's, queues in order of coming, and patience") {
+TEST_CASE("limits: a server's, a pool's, queues in order of arrival, and the queue timeout") {
     Pool web = pool({server("a"), server("b")});
     web.servers[0].connections_most = 1, web.servers[0].queue_most = 1,
     web.servers[1].connections_most = 1;
@@ -427,7 +428,8 @@
 }
 
 TEST_CASE(
-    "what may have run is tried again only where it is idempotent, whatever the file asks for") {
+    "what may have been executed is retried only where it is idempotent, whatever the file asks "
+    "for") {
     Pool web = pool({server("a"), server("b")});
     Rpc get, post;
     post.method = "POST";
@@ -551,7 +553,7 @@
     REQUIRE(open(0).size() == 1);
     CHECK(open(0).begin()->first == "web/s");
     // One drains: it is told so, not dropped.
-    at.servers.clear(), at.servers["web/a"].told = State::draining,
+    at.servers.clear(), at.servers["web/a"].state_override = State::draining,
                         at.servers["web/a"].draining_since = now;
     const auto list = registry.list(at);
     CHECK(std::any_of(list.servers.begin(), list.servers.end(), [](const auto& e) {
