--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -44,7 +44,7 @@
         }
     }
     void close(StreamId) override {}
-    void probe(const ServerId&, const std::string&) override {}
+    void check_health(const ServerId&, const std::string&) override {}
     void fetch_list() override {}
     void follow(const std::string&) override {}
 };
--- a/bench/scale/core_run.cpp
+++ b/bench/scale/core_run.cpp
@@ -81,7 +81,7 @@
         aside += processor_seconds() - before;
     }
     void close(StreamId) override {}
-    void probe(const ServerId&, const std::string&) override {}
+    void check_health(const ServerId&, const std::string&) override {}
     void fetch_list() override {}
     void follow(const std::string&) override {}
 
--- a/src/command/planner_service.cpp
+++ b/src/command/planner_service.cpp
@@ -65,8 +65,8 @@
         : directory_(record::open_directory(settings.path)),
           worker_({kBytesPerKib * settings.kib_per_second, settings.processor_percent / kPercent},
                   clock) {
-        const auto head =
-            record::make_header(start.settings, start.names, start.seed, start.name, kVersion, clock());
+        const auto head = record::make_header(start.settings, start.names, start.seed, start.name,
+                                              kVersion, clock());
         recorder_ = std::make_unique<record::Recorder>(*directory_, retention_of(settings), head,
                                                        [this] { worker_.wake(job_); });
         job_ = worker_.add(kPriority, [this] { return recorder_->work(); });
--- a/src/command/planner_service.hpp
+++ b/src/command/planner_service.hpp
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "daemon/planner_process.hpp"
-#include "net/health_prober.hpp"
+#include "net/health_checker.hpp"
 #include "routing/plan.hpp"
 
 namespace micaroad::command {
@@ -47,7 +47,7 @@
     std::int64_t list_version_ = 0;
     std::unique_ptr<RecordingService> recording_;  // empty: the plan asks for none
     PlannerProcess planner_;
-    net::HealthProber health_;
+    net::HealthChecker health_;
 };
 
 }  // namespace micaroad::command
--- a/src/command/replay.cpp
+++ b/src/command/replay.cpp
@@ -59,13 +59,13 @@
         nlohmann::json faults = nlohmann::json::array();
         for (const auto& fault : read.faults) {
             faults.push_back({{"segment", fault.segment},
-                                {"at", fault.offset},
-                                {"bytes", fault.bytes},
-                                {"what", fault.description}});
+                              {"at", fault.offset},
+                              {"bytes", fault.bytes},
+                              {"what", fault.description}});
         }
-        nlohmann::json report{{"records", read.records}, {"turns", read.turns},
-                              {"events", read.events},   {"orders", read.orders},
-                              {"bytes", read.bytes},     {"lives", read.headers},
+        nlohmann::json report{{"records", read.records},       {"turns", read.turns},
+                              {"events", read.events},         {"orders", read.orders},
+                              {"bytes", read.bytes},           {"lives", read.headers},
                               {"missing", read.missing_turns}, {"troubles", faults}};
         if (verify_) {
             report["replayed"] = result.replayed_turns;
@@ -79,9 +79,9 @@
 
     void print_text(const record::ReplayResult& result, std::ostream& out) const {
         const record::ReadSummary& read = result.summary;
-        fmt::print(out,
-                   "{} turns with {} events and {} orders, {} bytes, {} lives, {} turns missing\n",
-                   read.turns, read.events, read.orders, read.bytes, read.headers, read.missing_turns);
+        fmt::print(
+            out, "{} turns with {} events and {} orders, {} bytes, {} lives, {} turns missing\n",
+            read.turns, read.events, read.orders, read.bytes, read.headers, read.missing_turns);
         for (const auto& fault : read.faults) {
             fmt::print(out, "{}: at {}: {} bytes: {}\n", fault.segment, fault.offset, fault.bytes,
                        fault.description);
--- a/src/daemon/planner_process.cpp
+++ b/src/daemon/planner_process.cpp
@@ -58,7 +58,7 @@
       acceptor_({start_.names, start_.bounds, read_buffers_, line_buffers_, update_buffers_, inbox_,
                  log_, sync},
                 limits_.max_connections, limits_.max_unidentified),
-      prober_(read_buffers_, inbox_, clock_, sync),
+      health_checks_(read_buffers_, inbox_, clock_, sync),
       watch_(start_.discovery,
              start_.discovery.empty() ? net::Address{} : parse_discovery_address(start_.discovery),
              start_.names, start_.known.version, limits_.max_list_bytes, read_buffers_, inbox_,
@@ -166,9 +166,9 @@
 void PlannerProcess::stop_drivers() {
     acceptor_.begin_shutdown();
     watch_.begin_stop();
-    prober_.begin_stop();
+    health_checks_.begin_stop();
     watch_.stop();
-    prober_.stop();
+    health_checks_.stop();
     acceptor_.shutdown();
 }
 
@@ -185,8 +185,8 @@
     acceptor_.close(stream);
 }
 
-void PlannerProcess::probe(const ServerId& server, const std::string& address) {
-    prober_.ask(server, address);
+void PlannerProcess::check_health(const ServerId& server, const std::string& address) {
+    health_checks_.ask(server, address);
 }
 
 void PlannerProcess::fetch_list() {
--- a/src/daemon/planner_process.hpp
+++ b/src/daemon/planner_process.hpp
@@ -10,7 +10,7 @@
 #include "log/log.hpp"
 #include "net/acceptor.hpp"
 #include "net/discovery_watch.hpp"
-#include "net/prober.hpp"
+#include "net/health_check_runner.hpp"
 #include "planner/core.hpp"
 
 namespace micaroad {
@@ -75,7 +75,7 @@
 
     void write(StreamId stream, std::string_view message) override;
     void close(StreamId stream) override;
-    void probe(const ServerId& server, const std::string& address) override;
+    void check_health(const ServerId& server, const std::string& address) override;
     void fetch_list() override;
     void follow(const std::string& discovery) override;
 
@@ -97,7 +97,7 @@
     protocol::BufferPool update_buffers_;
     Inbox inbox_;
     net::Acceptor acceptor_;
-    net::Prober prober_;
+    net::HealthCheckRunner health_checks_;
     net::DiscoveryWatch watch_;
     Core core_;
     std::atomic<bool> core_failed_{false};
--- a/src/decision/messages.hpp
+++ b/src/decision/messages.hpp
@@ -34,8 +34,8 @@
 /// Discovery is to be asked for lists once more.
 struct RenewSubscription {};
 
-/// What an endpoint tracker knows of its endpoint. The evidence sums keep the part `kEvidenceRetention` from
-/// one optimizer step to the next.
+/// What an endpoint tracker knows of its endpoint. The evidence sums keep the part
+/// `kEvidenceRetention` from one optimizer step to the next.
 struct EndpointStatus {
     ListedEndpoint listed;                  ///< the entry of the last list that named the endpoint
     bool open = false;                      ///< may get traffic
--- a/src/net/health_check_connection.cpp
+++ b/src/net/health_check_connection.cpp
@@ -24,11 +24,11 @@
     if (!socket_.is_open() || !registration_.listed()) {
         return false;
     }
-    reach(sync_, SyncPoint::probe_registered);
+    reach(sync_, SyncPoint::health_check_registered);
     if (!socket_.connect(address_, timeout)) {
         return false;
     }
-    reach(sync_, SyncPoint::probe_connected);
+    reach(sync_, SyncPoint::health_check_connected);
     // A socket that is shut down before it is connected may not notice.
     return !sockets_.stopped();
 }
--- a/src/net/prober.cpp
+++ b/src/net/health_check_runner.cpp
@@ -1,4 +1,4 @@
-#include "net/prober.hpp"
+#include "net/health_check_runner.hpp"
 
 #include "net/health_check_connection.hpp"
 #include "protocol/http.hpp"
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-void Prober::ask(const ServerId& server, const std::string& address) {
+void HealthCheckRunner::ask(const ServerId& server, const std::string& address) {
     const TimePoint begun = clock_();
     const auto complete = [this, server, begun](bool healthy) {
         inbox_.put(core_event::HealthCheckCompleted{{server, healthy, clock_() - begun}});
@@ -28,12 +28,12 @@
     }
 }
 
-void Prober::stop() {
+void HealthCheckRunner::stop() {
     begin_stop();
     threads_.wait();
 }
 
-bool Prober::is_healthy(const Address& address, const std::string& host) {
+bool HealthCheckRunner::is_healthy(const Address& address, const std::string& host) {
     HealthCheckConnection connection(sockets_, address, sync_);
     if (!connection.connect(kTimeout)) {
         return false;
--- a/src/net/prober.hpp
+++ b/src/net/health_check_runner.hpp
@@ -17,19 +17,20 @@
 /// inbox for each: healthy if the status is 200.
 ///
 /// Threads: ask(), begin_stop() and stop() by any. Each check runs on a thread of its own, which
-/// the prober owns. Bounds: kMaxChecks at a time, and kTimeout to connect, and again to answer.
-/// It ends with stop(): checks that are under way are broken off, count as failed, and are waited
-/// for.
-class Prober {
+/// the health_checks owns. Bounds: kMaxChecks at a time, and kTimeout to connect, and again to
+/// answer. It ends with stop(): checks that are under way are broken off, count as failed, and are
+/// waited for.
+class HealthCheckRunner {
  public:
     static constexpr std::size_t kMaxChecks = 16;
     static constexpr std::chrono::milliseconds kTimeout{1'000};
 
-    Prober(protocol::BufferPool& pool, Inbox& inbox, Clock clock, SyncPoints* sync = nullptr)
+    HealthCheckRunner(protocol::BufferPool& pool, Inbox& inbox, Clock clock,
+                      SyncPoints* sync = nullptr)
         : pool_(pool), inbox_(inbox), clock_(std::move(clock)), sync_(sync) {}
-    ~Prober() { stop(); }
-    Prober(const Prober&) = delete;
-    Prober& operator=(const Prober&) = delete;
+    ~HealthCheckRunner() { stop(); }
+    HealthCheckRunner(const HealthCheckRunner&) = delete;
+    HealthCheckRunner& operator=(const HealthCheckRunner&) = delete;
 
     /// Starts a check. It counts as failed at once if the address cannot be parsed or kMaxChecks
     /// are under way.
--- a/src/net/health_prober.cpp
+++ b/src/net/health_checker.cpp
@@ -1,4 +1,4 @@
-#include "net/health_prober.hpp"
+#include "net/health_checker.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -10,7 +10,7 @@
 
 namespace {
 
-// The longest time without a turn of the keeper, in which slow starts move by steps.
+// The longest time between two looks at the health checks, in which slow starts move by steps.
 constexpr Duration kMaxSleep = std::chrono::seconds(1);
 // Of a response only the status line counts.
 constexpr std::size_t kResponseBuffer = 2'048;
@@ -26,31 +26,31 @@
 
 }  // namespace
 
-HealthProber::HealthProber(routing::Plan plan, Clock clock, OnList on_list, Log& log)
+HealthChecker::HealthChecker(routing::Plan plan, Clock clock, OnList on_list, Log& log)
     : clock_(std::move(clock)),
       on_list_(std::move(on_list)),
       log_(log),
-      keeper_(std::move(plan), clock_()) {}
+      endpoints_(std::move(plan), clock_()) {}
 
-bool HealthProber::start() {
-    return keeper_thread_.start([this] { run(); });
+bool HealthChecker::start() {
+    return thread_.start([this] { run(); });
 }
 
-void HealthProber::stop() {
+void HealthChecker::stop() {
     {
         const std::lock_guard lock(mutex_);
         stopping_ = true;
         sockets_.stop();
     }
     wake_.notify_all();
-    keeper_thread_.wait();
+    thread_.wait();
     check_threads_.wait();
 }
 
-bool HealthProber::replace(routing::Plan plan) {
+bool HealthChecker::replace(routing::Plan plan) {
     {
         const std::lock_guard lock(mutex_);
-        if (!keeper_.replace(std::move(plan), clock_())) {
+        if (!endpoints_.replace(std::move(plan), clock_())) {
             return false;
         }
         replaced_ = true;
@@ -59,32 +59,33 @@
     return true;
 }
 
-void HealthProber::run() {
+void HealthChecker::run() {
     std::unique_lock lock(mutex_);
     while (!stopping_) {
         const TimePoint now = clock_();
         for (const CheckResult& result : std::exchange(results_, {})) {
-            const std::string change = keeper_.probed(result.server, result.healthy, now);
-            if (!change.empty()) {
+            const std::optional<routing::HealthChange> change =
+                endpoints_.on_check_result(result.server, result.healthy, now);
+            if (change) {
                 log_.info("health_check: state changed server={} detail=\"{}\"", result.server,
-                          change);
+                          routing::describe(*change));
             }
         }
         replaced_ = false;
-        if (auto list = keeper_.changed(now)) {
-            on_list_(std::move(*list), keeper_.addresses());
+        if (auto list = endpoints_.take_changed_list(now)) {
+            on_list_(std::move(*list), endpoints_.addresses());
         }
-        for (Check& check : keeper_.take_due(now)) {
+        for (Check& check : endpoints_.take_due(now)) {
             (void)check_threads_.start([this, check = std::move(check)] { run_check(check); });
         }
         const TimePoint latest = now + kMaxSleep;
-        const TimePoint due = std::min(keeper_.next_due().value_or(latest), latest);
+        const TimePoint due = std::min(endpoints_.next_due().value_or(latest), latest);
         wake_.wait_for(lock, std::max(due - clock_(), Duration{1}),
                        [this] { return stopping_ || replaced_ || !results_.empty(); });
     }
 }
 
-void HealthProber::run_check(const Check& check) {
+void HealthChecker::run_check(const Check& check) {
     const bool healthy = is_healthy(check);
     {
         const std::lock_guard lock(mutex_);
@@ -95,7 +96,7 @@
     wake_.notify_all();
 }
 
-bool HealthProber::is_healthy(const Check& check) {
+bool HealthChecker::is_healthy(const Check& check) {
     const auto address = address_of(check.address);
     if (!address) {
         return false;
--- a/src/net/health_prober.hpp
+++ b/src/net/health_checker.hpp
@@ -13,27 +13,27 @@
 #include "net/active_sockets.hpp"
 #include "net/thread_group.hpp"
 #include "planner/inbox.hpp"
-#include "routing/keeper.hpp"
+#include "routing/health_checked_endpoints.hpp"
 
 namespace micaroad::net {
 
-/// Drives a routing::Keeper, which decides whom to check and when: makes the checks, gives it the
-/// results, and passes on each endpoint list that comes of them.
+/// Drives routing::HealthCheckedEndpoints, which decides whom to check and when: makes the checks,
+/// gives it the results, and passes on each endpoint list that comes of them.
 ///
-/// Threads: start() once; replace() and stop() by any. One thread of its own drives the keeper and
+/// Threads: start() once; replace() and stop() by any. One thread of its own drives it and
 /// calls `on_list`, with the mutex held; each check runs on another. Bounds: kMaxChecks at a time;
 /// a check that finds no thread is left out and comes with its server's next turn. It ends with
 /// stop(), which breaks off checks that are under way and waits for them.
-class HealthProber {
+class HealthChecker {
  public:
     static constexpr std::size_t kMaxChecks = 16;
     using OnList =
         std::function<void(event::EndpointListUpdate, std::map<ServerId, std::string> addresses)>;
 
-    HealthProber(routing::Plan plan, Clock clock, OnList on_list, Log& log);
-    ~HealthProber() { stop(); }
-    HealthProber(const HealthProber&) = delete;
-    HealthProber& operator=(const HealthProber&) = delete;
+    HealthChecker(routing::Plan plan, Clock clock, OnList on_list, Log& log);
+    ~HealthChecker() { stop(); }
+    HealthChecker(const HealthChecker&) = delete;
+    HealthChecker& operator=(const HealthChecker&) = delete;
 
     /// False if there is no thread for it.
     [[nodiscard]] bool start();
@@ -42,7 +42,7 @@
     [[nodiscard]] bool replace(routing::Plan plan);
 
  private:
-    using Check = routing::Keeper::Probe;
+    using Check = routing::HealthCheck;
     struct CheckResult {
         std::string server;
         bool healthy;
@@ -60,14 +60,14 @@
     // Guards what follows up to the threads.
     std::mutex mutex_;
     std::condition_variable wake_;
-    routing::Keeper keeper_;
-    std::vector<CheckResult> results_;  // that the keeper has not been given
+    routing::HealthCheckedEndpoints endpoints_;
+    std::vector<CheckResult> results_;  // that were not passed on yet
     bool stopping_ = false;
     bool replaced_ = false;
 
-    static constexpr std::size_t kKeeperStack = 256 * 1024;
+    static constexpr std::size_t kStackBytes = 256 * 1024;
     ThreadGroup check_threads_{kMaxChecks};
-    ThreadGroup keeper_thread_{1, kKeeperStack};
+    ThreadGroup thread_{1, kStackBytes};
 };
 
 }  // namespace micaroad::net
--- a/src/planner/core.cpp
+++ b/src/planner/core.cpp
@@ -226,7 +226,7 @@
     }
     const bool started = health_checks_.insert(order.server).second;
     if (started) {
-        transport_.probe(order.server, endpoint->address);
+        transport_.check_health(order.server, endpoint->address);
     }
 }
 
--- a/src/planner/ports.hpp
+++ b/src/planner/ports.hpp
@@ -57,7 +57,7 @@
 /// Discovery's watch is lost; the list stays as it is.
 struct WatchLost {};
 
-/// A health check that Transport::probe() started has ended, with or without an answer.
+/// A health check that Transport::check_health() started has ended, with or without an answer.
 struct HealthCheckCompleted {
     event::HealthCheckResult result;
 };
@@ -90,7 +90,7 @@
     /// Ends the stream. Ignored if it has ended.
     virtual void close(StreamId stream) = 0;
     /// Starts a health check of the server at `address`. Its result comes as HealthCheckCompleted.
-    virtual void probe(const ServerId& server, const std::string& address) = 0;
+    virtual void check_health(const ServerId& server, const std::string& address) = 0;
     /// Asks discovery for the complete list, which comes as EndpointListReceived.
     virtual void fetch_list() = 0;
     /// Follows discovery at another address from now on.
--- a/src/planner/sync_points.hpp
+++ b/src/planner/sync_points.hpp
@@ -17,9 +17,9 @@
     watch_connected,      ///< DiscoveryWatch: the socket is connected, nothing was requested yet
     watch_asked,          ///< DiscoveryWatch: requested, and no answer was read
     watch_answered,       ///< DiscoveryWatch: an answer has ended or broken off, not evaluated yet
-    probe_registered,     ///< Prober: as watch_registered
-    probe_connected,      ///< Prober: as watch_connected
-    core_heard_stop,      ///< PlannerProcess: the core has ended, its drivers still serve
+    health_check_registered,  ///< HealthCheckRunner: as watch_registered
+    health_check_connected,   ///< HealthCheckRunner: as watch_connected
+    core_heard_stop,          ///< PlannerProcess: the core has ended, its drivers still serve
 };
 
 class SyncPoints {
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -21,7 +21,7 @@
     std::vector<StreamId> closed;
     void write(StreamId stream, std::string_view message) override { written[stream] += message; }
     void close(StreamId stream) override { closed.push_back(stream); }
-    void probe(const ServerId&, const std::string&) override {}
+    void check_health(const ServerId&, const std::string&) override {}
     int fetched = 0;
     std::string followed;
     void fetch_list() override { ++fetched; }
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -5,7 +5,7 @@
 #include <cstdio>
 #include <fstream>
 
-#include "net/prober.hpp"
+#include "net/health_check_runner.hpp"
 #include "net_helpers.hpp"
 #include "program_helpers.hpp"
 
@@ -571,17 +571,18 @@
 // ---- probes
 
 TEST_CASE_METHOD(Base, "the end is heard between any two lines of a probe, whatever hangs") {
-    const SyncPoint point = GENERATE(SyncPoint::probe_registered, SyncPoint::probe_connected);
+    const SyncPoint point =
+        GENERATE(SyncPoint::health_check_registered, SyncPoint::health_check_connected);
     Discovery mute({""});
     mute.begin();
-    Prober prober(pool, inbox, clock_now(), &sync);
+    HealthCheckRunner health_checks(pool, inbox, clock_now(), &sync);
     sync.hold(point);
-    prober.ask({"s-1"}, text_of(mute.listener.local()));
+    health_checks.ask({"s-1"}, text_of(mute.listener.local()));
     sync.await(point);
-    prober.begin_stop();
+    health_checks.begin_stop();
     const auto begun = steady_clock::now();
     sync.let_go(point);
-    prober.stop();
+    health_checks.stop();
     CHECK(steady_clock::now() - begun < 300ms);
     CHECK(!next<core_event::HealthCheckCompleted>().result.healthy);
 }
--- a/tests/drain_oracle_test.cpp
+++ b/tests/drain_oracle_test.cpp
@@ -226,7 +226,7 @@
             yard.send(*this, stream, std::string(message));
         }
         void close(StreamId stream) override { yard.closed(*this, stream); }
-        void probe(const ServerId&, const std::string&) override {}
+        void check_health(const ServerId&, const std::string&) override {}
         void fetch_list() override {
             yard.after(s(0.1), [this] { arrivals.push_back(yard.whole_list(*this)); });
         }
--- a/tests/golden_orders_test.cpp
+++ b/tests/golden_orders_test.cpp
@@ -483,7 +483,7 @@
         recording_.add_message(stream.value, message);
     }
     void close(StreamId) override {}
-    void probe(const ServerId& server, const std::string&) override {
+    void check_health(const ServerId& server, const std::string&) override {
         tell(core_event::HealthCheckCompleted{{server, true, ms(5)}});
     }
     void fetch_list() override { must_fetch_ = true; }
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -68,7 +68,7 @@
 struct NoTransport : Transport {
     void write(StreamId, std::string_view) override {}
     void close(StreamId) override {}
-    void probe(const ServerId&, const std::string&) override {}
+    void check_health(const ServerId&, const std::string&) override {}
     void fetch_list() override {}
     void follow(const std::string&) override {}
 };
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -16,7 +16,7 @@
 #include "net/acceptor.hpp"
 #include "net/discovery_watch.hpp"
 #include "net/event_loop.hpp"
-#include "net/prober.hpp"
+#include "net/health_check_runner.hpp"
 #include "net_helpers.hpp"
 
 using namespace micaroad;
@@ -315,12 +315,12 @@
     Discovery server(
         {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 503 Busy\r\n\r\n!", "!"});
     server.begin();
-    Prober prober(pool, inbox, clock_now());
+    HealthCheckRunner health_checks(pool, inbox, clock_now());
     for (const bool ok : {true, false, false}) {
-        prober.ask({"s-1"}, text_of(server.listener.local()));
+        health_checks.ask({"s-1"}, text_of(server.listener.local()));
         CHECK(next<core_event::HealthCheckCompleted>().result.healthy == ok);
     }
-    prober.ask({"s-1"}, "no address");
+    health_checks.ask({"s-1"}, "no address");
     CHECK(!next<core_event::HealthCheckCompleted>().result.healthy);
     CHECK(server.all_asked().at(0) == "GET /ping HTTP/1.1");
 }
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -87,7 +87,7 @@
     std::mt19937_64 chance;
     void write(StreamId, std::string_view) override {}
     void close(StreamId) override {}
-    void probe(const ServerId&, const std::string&) override {}
+    void check_health(const ServerId&, const std::string&) override {}
     void fetch_list() override {}
     void follow(const std::string&) override {}
 
--- a/tests/short_days_test.cpp
+++ b/tests/short_days_test.cpp
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <fstream>
 
-#include "net/prober.hpp"
+#include "net/health_check_runner.hpp"
 #include "proxy_stand_in.hpp"
 
 using namespace micaroad;
@@ -214,12 +214,12 @@
 TEST_CASE_METHOD(Base, "a server that resets right after accept has not answered its probe") {
     const Socket server = Socket::listen(*address_of("127.0.0.1:0")).value();
     REQUIRE(server.is_open());
-    Prober prober(pool, inbox, clock_now(), &sync);
-    sync.hold(SyncPoint::probe_connected);
-    prober.ask({"s-1"}, text_of(server.local()));
-    sync.await(SyncPoint::probe_connected);
+    HealthCheckRunner health_checks(pool, inbox, clock_now(), &sync);
+    sync.hold(SyncPoint::health_check_connected);
+    health_checks.ask({"s-1"}, text_of(server.local()));
+    sync.await(SyncPoint::health_check_connected);
     reset(Socket(::accept(server.fd(), nullptr, nullptr)));
-    sync.let_go(SyncPoint::probe_connected);
+    sync.let_go(SyncPoint::health_check_connected);
     CHECK(!next<core_event::HealthCheckCompleted>().result.healthy);
 }
 
