--- a/include/micaroad/event.hpp
+++ b/include/micaroad/event.hpp
@@ -25,8 +25,8 @@
     KindId kind;
     CellId cell;
     EndpointPhase phase = EndpointPhase::ready;
-    double size = 1;                        ///< capacity relative to other servers
-    std::optional<TimePoint> last_start{};  ///< absent: so long ago that the server is warm
+    double size = 1;                      ///< capacity relative to other servers
+    std::optional<TimePoint> last_start;  ///< absent: so long ago that the server is warm
 };
 
 namespace event {
--- a/include/micaroad/types.hpp
+++ b/include/micaroad/types.hpp
@@ -67,11 +67,11 @@
 
 /// What the deployment says of one RPC method.
 struct Method {
-    Duration soft_deadline{};          ///< a later answer is worth less
-    double criticality = 1;            ///< priority weight: the least critical is shed first
-    bool own_zone_only = false;        ///< proxies send it to servers of their own zone only
-    std::vector<KindId> only_kinds{};  ///< kinds of servers that execute it; empty: any
-    std::vector<ZoneId> only_zones{};  ///< zones of servers that execute it; empty: any
+    Duration soft_deadline{};        ///< a later answer is worth less
+    double criticality = 1;          ///< priority weight: the least critical is shed first
+    bool own_zone_only = false;      ///< proxies send it to servers of their own zone only
+    std::vector<KindId> only_kinds;  ///< kinds of servers that execute it; empty: any
+    std::vector<ZoneId> only_zones;  ///< zones of servers that execute it; empty: any
 };
 
 /// What a deployment tells a planner once, at its start. Only what the planner reads.
--- a/src/routing/endpoint_registry.cpp
+++ b/src/routing/endpoint_registry.cpp
@@ -106,7 +106,8 @@
     std::map<ServerId, std::string> addresses;
     for (const Pool& pool : plan_.pools) {
         for (const Server& server : pool.servers) {
-            addresses[{full_name(pool, server)}] = server.address;
+            const ServerId id{full_name(pool, server)};
+            addresses[id] = server.address;
         }
     }
     return addresses;
