--- a/src/command/planner_service.cpp
+++ b/src/command/planner_service.cpp
@@ -128,7 +128,7 @@
     }
     if (!health_.start()) {
         log_.error(
-            "health: checks not started reason=\"no thread\" endpoint_states=\"as in the file\"");
+            "health_check: not started reason=\"no thread\" endpoint_states=\"as in the file\"");
     }
     const int code = planner_.run();
     health_.stop();
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -32,15 +32,17 @@
 void reload(const std::string& file, PlannerService& service, Log& log) {
     const operators::Reading reading = operators::read_file(file);
     for (const operators::Fault& fault : reading.faults) {
-        log.error("reload: fault in file text=\"{}\"", fault.text());
+        log.error("configuration: fault in file text=\"{}\"", fault.text());
     }
     if (!reading.faults.empty()) {
-        log.error("reload: rejected file={} reason=\"faults in the file\"", file);
+        log.error("configuration: reload rejected file={} reason=\"faults in the file\"", file);
     } else if (!service.replace(reading.plan)) {
-        log.error("reload: rejected file={} reason=\"its pools differ, which needs a restart\"",
-                  file);
+        log.error(
+            "configuration: reload rejected file={} reason=\"its pools differ, which needs a "
+            "restart\"",
+            file);
     } else {
-        log.info("reload: applied file={}", file);
+        log.info("configuration: reloaded file={}", file);
     }
 }
 
--- a/src/daemon/limits.hpp
+++ b/src/daemon/limits.hpp
@@ -1,5 +1,5 @@
 /// How many connections and buffers the program may hold, derived from its memory and its sockets;
-/// docs/architecture.md adds them up.
+/// docs/limits.md adds them up.
 #pragma once
 
 #include <cstddef>
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -17,7 +17,7 @@
 ///
 /// The design has a thread for each reader and writer. A planner of the whole fleet has two
 /// thousand connections, and processes may not have two threads for each of these everywhere
-/// (docs/architecture.md has what was seen); a planner has one core, so one thread loses nothing.
+/// (docs/limits.md has what was seen); a planner has one core, so one thread loses nothing.
 /// The sockets stay blocking: they are read and written only as far as they can be without waiting.
 ///
 /// Threads: add() and stop() from any; run() on a thread of its own, which alone calls the
