--- a/src/haproxy/lexer.cpp
+++ b/src/haproxy/lexer.cpp
@@ -2,51 +2,323 @@
 
 #include <fmt/format.h>
 
-#include <algorithm>
+#include <optional>
 #include <utility>
 
 namespace micaroad::haproxy {
 namespace {
 
-bool is_blank(char c) {
-    return c == ' ' || c == '\t' || c == '\v' || c == '\f';
+constexpr std::string_view kByteOrderMark = "\xef\xbb\xbf";
+
+// Characters that a backslash protects outside quotes and within weak ones.
+constexpr std::string_view kProtectable = " #\\\"'";
+
+bool is_blank(char character) {
+    return character == ' ' || character == '\t' || character == '\v' || character == '\f';
 }
-bool begins_name(char c) {
-    return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '_' || c == '.';
+
+bool begins_name(char character) {
+    const bool is_lower = character >= 'a' && character <= 'z';
+    const bool is_upper = character >= 'A' && character <= 'Z';
+    return is_lower || is_upper || character == '_' || character == '.';
 }
-bool in_name(char c) {
-    return begins_name(c) || (c >= '0' && c <= '9');
+
+bool continues_name(char character) {
+    return begins_name(character) || (character >= '0' && character <= '9');
 }
-int hex_of(char c) {
-    if (c >= '0' && c <= '9') {
-        return c - '0';
+
+std::optional<int> hex_digit(char character) {
+    if (character >= '0' && character <= '9') {
+        return character - '0';
     }
-    if (c >= 'a' && c <= 'f') {
-        return c - 'a' + 10;
+    if (character >= 'a' && character <= 'f') {
+        return character - 'a' + 10;
     }
-    if (c >= 'A' && c <= 'F') {
-        return c - 'A' + 10;
+    if (character >= 'A' && character <= 'F') {
+        return character - 'A' + 10;
     }
-    return -1;
+    return std::nullopt;
 }
 
-constexpr std::string_view kByteOrderMark = "\xef\xbb\xbf";
+// The control character that a backslash and this letter name.
+std::optional<char> named_character(char letter) {
+    switch (letter) {
+        case 'n':
+            return '\n';
+        case 'r':
+            return '\r';
+        case 't':
+            return '\t';
+        default:
+            return std::nullopt;
+    }
+}
+
+// Splits one line (with the lines joined to it) into words.
+//
+//   bare --"--> weak --"--> bare        bare --'--> strong --'--> bare
+//
+// The bytes are taken one after the other; each step moves `position_` past what it has read. Words
+// that ended before an error stay in the line.
+class WordSplitter {
+ public:
+    using Lookup = std::function<std::string(std::string_view name)>;
+
+    WordSplitter(std::string_view text, Lookup lookup, Line& line)
+        : text_(text), lookup_(std::move(lookup)), line_(line) {}
+
+    // False: the line ends in a backslash and goes on in the next one. An error is written to the
+    // line, which then counts as complete.
+    [[nodiscard]] bool split() {
+        Step step = Step::proceed;
+        while (step == Step::proceed && position_ < text_.size()) {
+            step = read_one();
+        }
+        if (step == Step::continued) {
+            return false;
+        }
+        if (step == Step::failed) {
+            return true;
+        }
+        if (quote_ != Quote::none) {
+            fail(column_ > 0 ? static_cast<std::size_t>(column_ - 1) : 0,
+                 "a quote without its end");
+            return true;
+        }
+        end_word();
+        return true;
+    }
+
+ private:
+    enum class Quote { none, weak, strong };
+    enum class Step { proceed, end_of_line, continued, failed };
+
+    struct Variable {
+        std::string value;
+        bool splits = false;  // "[*]": blanks in the value part words
+    };
+
+    [[nodiscard]] char peek(std::size_t offset = 0) const {
+        const std::size_t index = position_ + offset;
+        return index < text_.size() ? text_[index] : '\0';
+    }
+
+    Step read_one() {
+        const char character = text_[position_];
+        if (character == '\0') {
+            return fail(position_, "a NUL byte");
+        }
+        if (character == '\n') {  // put there by Lexer::finish()
+            return Step::end_of_line;
+        }
+        if (quote_ == Quote::strong) {
+            return read_in_strong_quotes(character);
+        }
+        if (character == '\\') {
+            return read_escape();
+        }
+        if (character == '"') {
+            begin_word(position_);
+            quote_ = quote_ == Quote::weak ? Quote::none : Quote::weak;
+            ++position_;
+            return Step::proceed;
+        }
+        if (quote_ == Quote::none) {
+            return read_bare(character);
+        }
+        if (character == '$') {
+            return read_variable();
+        }
+        word_ += character;
+        ++position_;
+        return Step::proceed;
+    }
+
+    Step read_in_strong_quotes(char character) {
+        if (character == '\'') {
+            quote_ = Quote::none;
+        } else {
+            word_ += character;
+        }
+        ++position_;
+        return Step::proceed;
+    }
+
+    Step read_bare(char character) {
+        if (character == '#') {
+            return Step::end_of_line;
+        }
+        if (is_blank(character) || character == '\r') {
+            end_word();
+        } else {
+            begin_word(position_);
+            if (character == '\'') {
+                quote_ = Quote::strong;
+            } else {
+                word_ += character;
+            }
+        }
+        ++position_;
+        return Step::proceed;
+    }
+
+    Step read_escape() {
+        if (position_ + 1 == text_.size()) {
+            return Step::continued;
+        }
+        const char next = text_[position_ + 1];
+        begin_word(position_);
+        if (next == '\n') {
+            return fail(position_, "a backslash at the end of the file");
+        }
+        if (next == 'x') {
+            return read_hex_escape();
+        }
+        const bool is_protected = kProtectable.find(next) != std::string_view::npos ||
+                                  (quote_ == Quote::weak && next == '$');
+        if (const auto named = named_character(next)) {
+            word_ += *named;
+            position_ += 2;
+        } else if (is_protected) {
+            word_ += next;
+            position_ += 2;
+        } else {
+            word_ += '\\';  // it stands for itself
+            ++position_;
+        }
+        return Step::proceed;
+    }
+
+    Step read_hex_escape() {
+        const auto high = hex_digit(peek(2));
+        const auto low = hex_digit(peek(3));
+        if (!high || !low) {
+            return fail(position_, "\\x without two hexadecimal digits");
+        }
+        const int code = *high * 16 + *low;
+        if (code == 0) {
+            return fail(position_, "a NUL byte");
+        }
+        word_ += static_cast<char>(code);
+        position_ += 4;
+        return Step::proceed;
+    }
+
+    // $NAME, ${NAME}, ${NAME-default}, ${NAME[*]} and ${NAME[*]-default}.
+    Step read_variable() {
+        const std::size_t start = position_;
+        ++position_;
+        const bool in_braces = peek() == '{';
+        if (in_braces) {
+            ++position_;
+        }
+        const std::string_view name = read_name();
+        if (name.empty()) {
+            return fail(start, "$ without a variable's name");
+        }
+        Variable variable{lookup_(name)};
+        if (in_braces && !read_rest_of_braces(variable)) {
+            return fail(start, "${ without its }");
+        }
+        append(variable, start);
+        return Step::proceed;
+    }
+
+    std::string_view read_name() {
+        const std::size_t start = position_;
+        if (begins_name(peek())) {
+            while (continues_name(peek())) {
+                ++position_;
+            }
+        }
+        return text_.substr(start, position_ - start);
+    }
+
+    // What stands between the name and the closing brace. False: the brace is missing.
+    bool read_rest_of_braces(Variable& variable) {
+        if (text_.substr(position_).starts_with("[*]")) {
+            variable.splits = true;
+            position_ += 3;
+        }
+        if (peek() == '-') {
+            const std::size_t close = text_.find('}', position_);
+            if (close == std::string_view::npos) {
+                return false;
+            }
+            if (variable.value.empty()) {
+                variable.value = text_.substr(position_ + 1, close - position_ - 1);
+            }
+            position_ = close;
+        }
+        if (peek() != '}') {
+            return false;
+        }
+        ++position_;
+        return true;
+    }
+
+    void append(const Variable& variable, std::size_t start) {
+        if (!variable.splits) {
+            word_ += variable.value;
+            return;
+        }
+        for (const char character : variable.value) {
+            if (is_blank(character)) {
+                end_word();
+            } else {
+                begin_word(start);
+                word_ += character;
+            }
+        }
+    }
+
+    void begin_word(std::size_t offset) {
+        if (in_word_) {
+            return;
+        }
+        in_word_ = true;
+        column_ = static_cast<int>(offset) + 1;
+    }
+
+    void end_word() {
+        if (!in_word_) {
+            return;
+        }
+        in_word_ = false;
+        line_.words.push_back({std::exchange(word_, ""), column_});
+    }
+
+    Step fail(std::size_t offset, std::string message) {
+        line_.trouble = std::move(message);
+        line_.trouble_column = static_cast<int>(offset) + 1;
+        return Step::failed;
+    }
+
+    std::string_view text_;
+    Lookup lookup_;
+    Line& line_;
+    std::size_t position_ = 0;
+    Quote quote_ = Quote::none;
+    bool in_word_ = false;
+    std::string word_;
+    int column_ = 0;  // where the current or the last word began, from 1; 0: none has
+};
 
 }  // namespace
 
-Lexer::Lexer(std::string file, const Environment& environment, Taken taken)
-    : file_(std::move(file)), environment_(environment), taken_(std::move(taken)) {}
+Lexer::Lexer(std::string file, const Environment& environment, LineHandler on_line)
+    : file_(std::move(file)), environment_(environment), on_line_(std::move(on_line)) {}
 
 void Lexer::feed(std::string_view bytes) {
     while (!bytes.empty()) {
         const std::size_t end = bytes.find('\n');
         const std::string_view part = bytes.substr(0, end);
-        if (held_.size() + part.size() > kLongestLine) {
+        if (pending_.size() + part.size() > kLongestLine) {
             too_long_ = true;
         } else {
-            held_ += part;
+            pending_ += part;
         }
-        begun_ = true;
+        has_input_ = true;
         if (end == std::string_view::npos) {
             return;
         }
@@ -56,35 +328,38 @@
 }
 
 void Lexer::finish() {
-    if (!begun_) {
+    if (!has_input_) {
         return;
     }
     // A backslash before the end of the file joins nothing.
-    held_ += '\n';
+    pending_ += '\n';
     end_line();
-    begun_ = false;
+    has_input_ = false;
 }
 
 void Lexer::end_line() {
-    ++number_;
-    if (first_ == 0) {
-        first_ = number_;
+    ++lines_ended_;
+    if (first_line_ == 0) {
+        first_line_ = lines_ended_;
     }
-    if (first_ == 1 && held_.starts_with(kByteOrderMark)) {
-        held_.erase(0, kByteOrderMark.size());
+    if (first_line_ == 1 && pending_.starts_with(kByteOrderMark)) {
+        pending_.erase(0, kByteOrderMark.size());
     }
-    if (held_.ends_with('\r')) {
-        held_.pop_back();
+    if (pending_.ends_with('\r')) {
+        pending_.pop_back();
     }
-    Line line{file_, first_, {}, "", 0};
+    Line line{file_, first_line_, {}, "", 0};
     if (too_long_) {
         line.trouble = fmt::format("a line over {} bytes", kLongestLine);
     } else if (!split(line)) {
-        held_.pop_back();  // the backslash; the next line follows
+        pending_.pop_back();  // the backslash; the next line follows
         return;
     }
-    held_.clear(), too_long_ = false, begun_ = false, first_ = 0;
-    taken_(std::move(line));
+    pending_.clear();
+    too_long_ = false;
+    has_input_ = false;
+    first_line_ = 0;
+    on_line_(std::move(line));
 }
 
 std::string Lexer::value_of(std::string_view name) const {
@@ -92,149 +367,15 @@
         return file_;
     }
     if (name == ".LINE") {
-        return std::to_string(first_);
+        return std::to_string(first_line_);
     }
-    const auto at = environment_.find(std::string(name));
-    return at == environment_.end() ? "" : at->second;
+    const auto variable = environment_.find(std::string(name));
+    return variable == environment_.end() ? "" : variable->second;
 }
 
-bool Lexer::split(Line& line) {
-    const std::string& text = held_;
-    std::string word;
-    bool in_word = false, weak = false, strong = false;
-    int column = 0;
-    const auto trouble = [&](std::size_t at, std::string says) {
-        line.trouble = std::move(says), line.trouble_column = static_cast<int>(at) + 1;
-        return true;
-    };
-    const auto begin = [&](std::size_t at) {
-        if (!std::exchange(in_word, true)) {
-            column = static_cast<int>(at) + 1;
-        }
-    };
-    const auto end = [&] {
-        if (std::exchange(in_word, false)) {
-            line.words.push_back({std::exchange(word, ""), column});
-        }
-    };
-    for (std::size_t i = 0; i < text.size(); ++i) {
-        const char c = text[i];
-        if (c == '\0') {
-            return trouble(i, "a NUL byte");
-        }
-        if (c == '\n') {
-            break;  // put there by finish()
-        }
-        if (strong) {
-            c == '\'' ? (void)(strong = false) : (void)(word += c);
-            continue;
-        }
-        if (c == '\\') {
-            if (i + 1 == text.size()) {
-                return false;
-            }
-            const char next = text[i + 1];
-            begin(i);
-            if (next == '\n') {
-                return trouble(i, "a backslash at the end of the file");
-            }
-            if (next == 'x') {
-                const int high = i + 2 < text.size() ? hex_of(text[i + 2]) : -1;
-                const int low = i + 3 < text.size() ? hex_of(text[i + 3]) : -1;
-                if (high < 0 || low < 0) {
-                    return trouble(i, "\\x without two hexadecimal digits");
-                }
-                if (high + low == 0) {
-                    return trouble(i, "a NUL byte");
-                }
-                word += static_cast<char>(high * 16 + low), i += 3;
-                continue;
-            }
-            static constexpr std::pair<char, char> kNamed[] = {
-                {'n', '\n'}, {'r', '\r'}, {'t', '\t'}};
-            const auto named = std::find_if(std::begin(kNamed), std::end(kNamed),
-                                            [next](auto& pair) { return pair.first == next; });
-            if (named != std::end(kNamed)) {
-                word += named->second, ++i;
-            } else if (std::string_view(" #\\\"'").find(next) != std::string_view::npos ||
-                       (weak && next == '$')) {
-                word += next, ++i;
-            } else {
-                word += c;  // it stands for itself
-            }
-            continue;
-        }
-        if (c == '"') {
-            begin(i);
-            weak = !weak;
-            continue;
-        }
-        if (weak && c == '$') {
-            std::size_t at = i + 1;
-            const bool braces = at < text.size() && text[at] == '{';
-            if (braces) {
-                ++at;
-            }
-            const std::size_t from = at;
-            if (at < text.size() && begins_name(text[at])) {
-                while (at < text.size() && in_name(text[at])) {
-                    ++at;
-                }
-            }
-            if (at == from) {
-                return trouble(i, "$ without a variable's name");
-            }
-            const std::string name = text.substr(from, at - from);
-            std::string value = value_of(name);
-            bool many = false;
-            if (braces) {
-                if (text.compare(at, 3, "[*]") == 0) {
-                    many = true, at += 3;
-                }
-                if (at < text.size() && text[at] == '-') {
-                    const auto close = text.find('}', at);
-                    if (value.empty() && close != std::string::npos) {
-                        value = text.substr(at + 1, close - at - 1);
-                    }
-                    at = close == std::string::npos ? text.size() : close;
-                }
-                if (at >= text.size() || text[at] != '}') {
-                    return trouble(i, "${ without its }");
-                }
-                ++at;
-            }
-            if (many) {  // blanks in the value part words
-                for (const char v : value) {
-                    if (is_blank(v)) {
-                        end();
-                    } else {
-                        begin(i), word += v;
-                    }
-                }
-            } else {
-                word += value;
-            }
-            i = at - 1;
-            continue;
-        }
-        if (weak) {
-            word += c;
-        } else if (is_blank(c) || c == '\r') {
-            end();
-        } else if (c == '\'') {
-            begin(i), strong = true;
-        } else if (c == '#') {
-            break;
-        } else {
-            begin(i), word += c;
-        }
-    }
-    if (weak || strong) {
-        return trouble(static_cast<std::size_t>(column > 0 ? column - 1 : 0),
-                       "a quote without its end");
-    }
-    end();
-    return true;
+bool Lexer::split(Line& line) const {
+    const auto lookup = [this](std::string_view name) { return value_of(name); };
+    return WordSplitter(pending_, lookup, line).split();
 }
 
 }  // namespace micaroad::haproxy
