--- a/src/haproxy/tree.cpp
+++ b/src/haproxy/tree.cpp
@@ -3,183 +3,258 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <cctype>
 #include <charconv>
+#include <compare>
+#include <optional>
 #include <set>
+#include <utility>
 
 namespace micaroad::haproxy {
 namespace {
 
+// Bytes of a section's name.
+constexpr std::size_t kLongestName = 128;
+
+// Words that begin a section.
 const std::set<std::string> kSections{"global",      "defaults", "frontend",    "backend",
                                       "listen",      "peers",    "resolvers",   "userlist",
                                       "program",     "cache",    "ring",        "mailers",
                                       "http-errors", "fcgi-app", "log-forward", "crt-store"};
-// Those whose header needs a name.
-const std::set<std::string> kNamed{"frontend",    "backend",  "listen",     "peers", "resolvers",
-                                   "userlist",    "program",  "cache",      "ring",  "mailers",
-                                   "http-errors", "fcgi-app", "log-forward"};
-
-bool sound_name(const std::string& name) {
-    return !name.empty() && name.size() <= 128 &&
-           std::all_of(name.begin(), name.end(), [](unsigned char c) {
-               return std::isalnum(c) || c == '-' || c == '_' || c == '.' || c == ':';
+// Sections whose header needs a name.
+const std::set<std::string> kNamedSections{
+    "frontend", "backend", "listen",  "peers",       "resolvers", "userlist",   "program",
+    "cache",    "ring",    "mailers", "http-errors", "fcgi-app",  "log-forward"};
+
+bool is_valid_name(const std::string& name) {
+    return !name.empty() && name.size() <= kLongestName &&
+           std::all_of(name.begin(), name.end(), [](unsigned char character) {
+               return std::isalnum(character) != 0 || character == '-' || character == '_' ||
+                      character == '.' || character == ':';
            });
 }
 
-// Conditions: terms joined by && and ||, with ! and parentheses.
-class Condition {
+// A release of the original; builds and pre-releases count as the release itself.
+struct Version {
+    int major_number = 0;
+    int minor_number = 0;
+
+    static Version of(std::string_view text) {
+        Version version;
+        const char* const begin = text.data();
+        const char* const end = begin + text.size();
+        const auto parsed = std::from_chars(begin, end, version.major_number);
+        if (parsed.ptr != end && *parsed.ptr == '.') {
+            std::from_chars(parsed.ptr + 1, end, version.minor_number);
+        }
+        return version;
+    }
+    [[nodiscard]] auto operator<=>(const Version&) const = default;
+};
+
+// Whether the version whose manual is followed is this one or a later one.
+bool version_is_at_least(std::string_view text) {
+    return Version::of(kVersion) >= Version::of(text);
+}
+
+// Recursive descent over a condition: terms joined by && and ||, with ! and parentheses. The first
+// error stops the parser. A value is absent once there is an error.
+class ConditionParser {
  public:
-    Condition(const std::string& text, const Environment& environment)
+    ConditionParser(std::string_view text, const Environment& environment)
         : text_(text), environment_(environment) {}
 
-    std::optional<bool> value(std::string& why) {
-        const auto value = any();
-        skip();
-        if (why_.empty() && at_ != text_.size()) {
-            why_ = fmt::format("'{}' is not understood", text_.substr(at_));
+    ConditionResult parse() {
+        const auto value = disjunction();
+        skip_blanks();
+        if (error_.empty() && position_ != text_.size()) {
+            error_ = fmt::format("'{}' is not understood", text_.substr(position_));
+        }
+        if (!error_.empty()) {
+            return tl::make_unexpected(ConditionError{error_});
         }
-        why = why_;
-        return why_.empty() ? value : std::nullopt;
+        return value.value_or(false);
     }
 
  private:
-    void skip() {
-        while (at_ < text_.size() && text_[at_] == ' ') {
-            ++at_;
+    static constexpr int kDeepestNesting = 100;
+
+    using Value = std::optional<bool>;
+
+    void skip_blanks() {
+        while (position_ < text_.size() && text_[position_] == ' ') {
+            ++position_;
         }
     }
-    bool take(std::string_view word) {
-        skip();
-        if (text_.compare(at_, word.size(), word) != 0) {
+
+    bool consume(std::string_view token) {
+        skip_blanks();
+        if (!text_.substr(position_).starts_with(token)) {
             return false;
         }
-        at_ += word.size();
+        position_ += token.size();
         return true;
     }
-    std::optional<bool> any() {
-        auto value = all();
-        while (why_.empty() && take("||")) {
-            const auto next = all();
-            value = value && next ? std::optional(*value || *next) : std::nullopt;
+
+    Value disjunction() {
+        Value value = conjunction();
+        while (error_.empty() && consume("||")) {
+            const Value next = conjunction();
+            value = value && next ? Value(*value || *next) : std::nullopt;
         }
         return value;
     }
-    std::optional<bool> all() {
-        auto value = one();
-        while (why_.empty() && take("&&")) {
-            const auto next = one();
-            value = value && next ? std::optional(*value && *next) : std::nullopt;
+
+    Value conjunction() {
+        Value value = term();
+        while (error_.empty() && consume("&&")) {
+            const Value next = term();
+            value = value && next ? Value(*value && *next) : std::nullopt;
         }
         return value;
     }
-    std::optional<bool> one() {
-        if (++depth_ > 100) {
-            return unknown("it is nested too deep");
+
+    Value term() {
+        ++depth_;
+        if (depth_ > kDeepestNesting) {
+            return fail("it is nested too deep");
         }
-        const auto value = one_of();
+        const Value value = term_at_depth();
         --depth_;
         return value;
     }
-    std::optional<bool> one_of() {
-        if (take("!")) {
-            const auto value = one();
-            return value ? std::optional(!*value) : std::nullopt;
+
+    Value term_at_depth() {
+        if (consume("!")) {
+            const Value value = term();
+            return value ? Value(!*value) : std::nullopt;
         }
-        if (take("(")) {
-            const auto value = any();
-            if (why_.empty() && !take(")")) {
-                return unknown("a ) is missing");
+        if (consume("(")) {
+            const Value value = disjunction();
+            if (error_.empty() && !consume(")")) {
+                return fail("a ) is missing");
             }
             return value;
         }
-        skip();
-        const std::size_t from = at_;
-        while (at_ < text_.size() &&
-               (std::isalnum(static_cast<unsigned char>(text_[at_])) || text_[at_] == '_')) {
-            ++at_;
+        const std::string word = read_word();
+        if (!consume("(")) {
+            return number(word);
         }
-        const std::string word = text_.substr(from, at_ - from);
-        if (!take("(")) {
-            int number = 0;
-            const auto [end, wrong] =
-                std::from_chars(word.data(), word.data() + word.size(), number);
-            if (word.empty()) {
-                return at_ == text_.size() ? std::optional(false) : unknown("a term is missing");
-            }
-            if (wrong != std::errc{} || end != word.data() + word.size()) {
-                return unknown(fmt::format("'{}' is not known", word));
-            }
-            return number != 0;
+        const std::size_t close = text_.find(')', position_);
+        if (close == std::string_view::npos) {
+            return fail("a ) is missing");
+        }
+        const auto arguments = split_arguments(text_.substr(position_, close - position_));
+        position_ = close + 1;
+        return call(word, arguments);
+    }
+
+    std::string read_word() {
+        skip_blanks();
+        const std::size_t start = position_;
+        while (position_ < text_.size() && in_word(text_[position_])) {
+            ++position_;
+        }
+        return std::string(text_.substr(start, position_ - start));
+    }
+
+    static bool in_word(char character) {
+        return std::isalnum(static_cast<unsigned char>(character)) != 0 || character == '_';
+    }
+
+    Value number(const std::string& word) {
+        if (word.empty()) {
+            return position_ == text_.size() ? Value(false) : fail("a term is missing");
         }
-        const std::size_t close = text_.find(')', at_);
-        if (close == std::string::npos) {
-            return unknown("a ) is missing");
+        int value = 0;
+        const char* const end = word.data() + word.size();
+        const auto parsed = std::from_chars(word.data(), end, value);
+        if (parsed.ec != std::errc{} || parsed.ptr != end) {
+            return fail(fmt::format("'{}' is not known", word));
         }
+        return value != 0;
+    }
+
+    // At least one, which may be empty.
+    static std::vector<std::string> split_arguments(std::string_view text) {
         std::vector<std::string> arguments{""};
-        for (; at_ < close; ++at_) {
-            text_[at_] == ',' ? arguments.emplace_back() : arguments.back() += text_[at_];
+        for (const char character : text) {
+            if (character == ',') {
+                arguments.emplace_back();
+            } else {
+                arguments.back() += character;
+            }
         }
-        ++at_;
-        return call(word, arguments);
+        return arguments;
     }
-    std::optional<bool> call(const std::string& word, const std::vector<std::string>& with) {
-        const auto second = [&with] { return with.size() > 1 ? with[1] : std::string(); };
-        if (word == "defined") {
-            return environment_.contains(with[0]);
+
+    Value call(const std::string& function, const std::vector<std::string>& arguments) {
+        const std::string& first = arguments[0];
+        const std::string second = arguments.size() > 1 ? arguments[1] : "";
+        if (function == "defined") {
+            return environment_.contains(first);
         }
-        if (word == "streq") {
-            return with[0] == second();
+        if (function == "streq") {
+            return first == second;
         }
-        if (word == "strneq") {
-            return with[0] != second();
+        if (function == "strneq") {
+            return first != second;
         }
-        if (word == "strstr") {
-            return with[0].find(second()) != std::string::npos;
+        if (function == "strstr") {
+            return first.find(second) != std::string::npos;
         }
-        if (word == "version_atleast") {
-            return at_least(with[0]);
+        if (function == "version_atleast") {
+            return version_is_at_least(first);
         }
-        if (word == "version_before") {
-            return !at_least(with[0]);
+        if (function == "version_before") {
+            return !version_is_at_least(first);
         }
-        return unknown(fmt::format("{}() asks for what only the original knows", word));
-    }
-    // Against the version whose manual is followed; builds and pre-releases count as the version
-    // itself.
-    static bool at_least(const std::string& version) {
-        const auto parts = [](const std::string& text) {
-            int major = 0, minor = 0;
-            const char* end = text.data() + text.size();
-            const auto first = std::from_chars(text.data(), end, major);
-            if (first.ptr != end && *first.ptr == '.') {
-                std::from_chars(first.ptr + 1, end, minor);
-            }
-            return std::pair(major, minor);
-        };
-        return parts(kVersion) >= parts(version);
+        return fail(fmt::format("{}() asks for what only the original knows", function));
     }
-    std::optional<bool> unknown(std::string why) {
-        if (why_.empty()) {
-            why_ = std::move(why);
+
+    // The first error is the one that is told.
+    Value fail(std::string message) {
+        if (error_.empty()) {
+            error_ = std::move(message);
         }
         return std::nullopt;
     }
 
-    const std::string& text_;
+    std::string_view text_;
     const Environment& environment_;
-    std::size_t at_ = 0;
+    std::size_t position_ = 0;
     int depth_ = 0;
-    std::string why_;
+    std::string error_;
 };
 
+bool is_message(const std::string& word) {
+    return word == ".diag" || word == ".notice" || word == ".warning" || word == ".alert";
+}
+
+bool changes_environment(const std::string& word) {
+    return word == "setenv" || word == "presetenv" || word == "unsetenv" || word == "resetenv";
+}
+
+// The words behind a macro's name, joined by single blanks.
+std::string text_behind_first_word(const Line& line) {
+    std::string text;
+    for (std::size_t index = 1; index < line.words.size(); ++index) {
+        if (index > 1) {
+            text += ' ';
+        }
+        text += line.words[index].text;
+    }
+    return text;
+}
+
 }  // namespace
 
 std::string Trouble::text() const {
     return fmt::format("{}:{}:{}: {}", file, line, std::max(column, 1), says);
 }
 
-std::optional<bool> condition_of(const std::string& text, const Environment& environment,
-                                 std::string& why) {
-    return Condition(text, environment).value(why);
+ConditionResult evaluate_condition(std::string_view text, const Environment& environment) {
+    return ConditionParser(text, environment).parse();
 }
 
 void TreeBuilder::add(const std::string& file, std::string_view text) {
@@ -190,99 +265,114 @@
     for (const Line& open : opened_) {
         tree_.troubles.push_back({file, open.number, 1, ".if without its .endif"});
     }
-    opened_.clear(), branches_.clear();
+    opened_.clear();
+    branches_.clear();
 }
 
 Tree TreeBuilder::finish() {
     return std::move(tree_);
 }
 
-bool TreeBuilder::macro(const Line& line, std::size_t number) {
+void TreeBuilder::fail(const Place& place, int column, std::string message) {
+    tree_.findings.say(place.number, Verdict::refused, message);
+    tree_.troubles.push_back({place.file, place.line, column, std::move(message)});
+}
+
+bool TreeBuilder::in_taken_branch() const {
+    return branches_.empty() || branches_.back() == Branch::taken;
+}
+
+TreeBuilder::Branch TreeBuilder::judge_condition(const Line& line, std::size_t number) {
+    const auto value = evaluate_condition(text_behind_first_word(line), environment_);
+    if (!value) {
+        tree_.findings.say(
+            number, Verdict::refused,
+            fmt::format("the condition can't be told here: {}; keep the branch that is meant",
+                        value.error().message));
+        return Branch::unknown;
+    }
+    tree_.findings.say(number, Verdict::translated,
+                       *value ? "holds: its lines count" : "does not hold: its lines don't count");
+    return *value ? Branch::taken : Branch::not_yet;
+}
+
+void TreeBuilder::open_branch(const Line& line, std::size_t number) {
+    const bool counts = in_taken_branch();
+    opened_.push_back(line);
+    if (counts) {
+        branches_.push_back(judge_condition(line, number));
+        return;
+    }
+    branches_.push_back(Branch::over);
+    tree_.findings.say(number, Verdict::no_effect, "in a branch that is not taken");
+}
+
+void TreeBuilder::switch_branch(const Line& line, std::size_t number) {
+    Branch& branch = branches_.back();
+    Findings& findings = tree_.findings;
+    if (branch == Branch::unknown) {
+        findings.say(number, Verdict::refused, "of a condition that can't be told here");
+    } else if (branch != Branch::not_yet) {
+        branch = Branch::over;
+        findings.say(number, Verdict::no_effect, "in a branch that is not taken");
+    } else if (line.word(0) == ".else") {
+        branch = Branch::taken;
+        findings.say(number, Verdict::translated, "its lines count");
+    } else {
+        branch = judge_condition(line, number);
+    }
+}
+
+bool TreeBuilder::take_macro(const Line& line, std::size_t number) {
     const std::string& word = line.word(0);
-    auto& findings = tree_.findings;
-    const auto trouble = [&](const char* says) {
-        tree_.troubles.push_back({line.file, line.number, 1, says});
-        findings.say(number, Verdict::refused, says);
-    };
-    std::string text, why;
-    for (std::size_t i = 1; i < line.words.size(); ++i) {
-        text += (i > 1 ? " " : "") + line.words[i].text;
-    }
-    const bool outer = branches_.empty() || branches_.back() == Branch::taken;
-    const auto judge = [&] {
-        const auto value = condition_of(text, environment_, why);
-        if (!value) {
-            findings.say(
-                number, Verdict::refused,
-                fmt::format("the condition can't be told here: {}; keep the branch that is meant",
-                            why));
-            return Branch::unknown;
-        }
-        findings.say(number, Verdict::translated,
-                     *value ? "holds: its lines count" : "does not hold: its lines don't count");
-        return *value ? Branch::taken : Branch::not_yet;
-    };
+    const Place place{line.file, line.number, number};
     if (word == ".if") {
-        opened_.push_back(line);
-        if (outer) {
-            return branches_.push_back(judge()), true;
-        }
-        branches_.push_back(Branch::over);
-        findings.say(number, Verdict::no_effect, "in a branch that is not taken");
-    } else if (word == ".elif" || word == ".else") {
+        open_branch(line, number);
+        return true;
+    }
+    if (word == ".elif" || word == ".else" || word == ".endif") {
         if (branches_.empty()) {
-            return trouble("no .if is open"), true;
-        }
-        Branch& branch = branches_.back();
-        if (branch == Branch::unknown) {
-            findings.say(number, Verdict::refused, "of a condition that can't be told here");
-        } else if (branch != Branch::not_yet) {
-            branch = Branch::over;
-            findings.say(number, Verdict::no_effect, "in a branch that is not taken");
-        } else if (word == ".else") {
-            branch = Branch::taken;
-            findings.say(number, Verdict::translated, "its lines count");
+            fail(place, 1, "no .if is open");
+        } else if (word == ".endif") {
+            branches_.pop_back();
+            opened_.pop_back();
+            tree_.findings.say(number, Verdict::translated, "");
         } else {
-            branch = judge();
-        }
-    } else if (word == ".endif") {
-        if (branches_.empty()) {
-            return trouble("no .if is open"), true;
+            switch_branch(line, number);
         }
-        branches_.pop_back(), opened_.pop_back();
-        findings.say(number, Verdict::translated, "");
-    } else if (word == ".diag" || word == ".notice" || word == ".warning" || word == ".alert") {
-        if (word == ".alert" && outer) {
-            return trouble("the file itself stops here (.alert)"), true;
-        }
-        findings.say(number, Verdict::no_effect, "a message to whoever starts the original");
-    } else {
+        return true;
+    }
+    if (!is_message(word)) {
         return false;
     }
+    if (word == ".alert" && in_taken_branch()) {
+        fail(place, 1, "the file itself stops here (.alert)");
+    } else {
+        tree_.findings.say(number, Verdict::no_effect, "a message to whoever starts the original");
+    }
     return true;
 }
 
 void TreeBuilder::set_environment(const Statement& statement) {
     const std::string& word = statement.word(0);
-    const auto say = [&](Verdict verdict, const char* says) {
-        tree_.findings.say(statement.number, verdict, says);
-    };
     if (word == "setenv") {
         environment_[statement.word(1)] = statement.word(2);
     } else if (word == "presetenv") {
         environment_.emplace(statement.word(1), statement.word(2));
     } else if (word == "unsetenv") {
-        for (std::size_t i = 1; i < statement.size(); ++i) {
-            environment_.erase(statement.word(i));
+        for (std::size_t index = 1; index < statement.size(); ++index) {
+            environment_.erase(statement.word(index));
         }
     } else {
         std::set<std::string> kept;
-        for (std::size_t i = 1; i < statement.size(); ++i) {
-            kept.insert(statement.word(i));
+        for (std::size_t index = 1; index < statement.size(); ++index) {
+            kept.insert(statement.word(index));
         }
-        std::erase_if(environment_, [&kept](const auto& at) { return !kept.contains(at.first); });
+        std::erase_if(environment_,
+                      [&kept](const auto& variable) { return !kept.contains(variable.first); });
     }
-    say(Verdict::translated, "heeded in the quotes of the lines that follow");
+    tree_.findings.say(statement.number, Verdict::translated,
+                       "heeded in the quotes of the lines that follow");
 }
 
 void TreeBuilder::take(Line&& line) {
@@ -293,65 +383,85 @@
         return;
     }
     const std::size_t number = tree_.findings.line(line, line.word(0));
-    const auto say = [&](Verdict verdict, const std::string& says) {
-        tree_.findings.say(number, verdict, says);
-    };
-    const auto trouble = [this, &say, file = line.file, at = line.number](int column,
-                                                                          std::string says) {
-        say(Verdict::refused, says);
-        tree_.troubles.push_back({file, at, column, std::move(says)});
-    };
+    const Place place{line.file, line.number, number};
     if (!line.trouble.empty()) {
-        return trouble(line.trouble_column, line.trouble);
+        fail(place, line.trouble_column, line.trouble);
+        return;
     }
-    if (line.word(0).starts_with('.') && macro(line, number)) {
+    if (line.word(0).starts_with('.') && take_macro(line, number)) {
         return;
     }
-    if (!branches_.empty() && branches_.back() != Branch::taken) {
-        if (std::find(branches_.begin(), branches_.end(), Branch::unknown) != branches_.end()) {
-            return say(Verdict::refused, "behind a condition that can't be told here");
-        }
-        return say(Verdict::no_effect, "in a branch that is not taken");
+    if (!in_taken_branch()) {
+        skip_line(number);
+        return;
     }
     if (line.words.size() > kMostWords) {
-        return trouble(
-            line.words[kMostWords].column,
-            fmt::format("over {} words in a line, which the original refuses", kMostWords));
+        fail(place, line.words[kMostWords].column,
+             fmt::format("over {} words in a line, which the original refuses", kMostWords));
+        return;
     }
-    const std::string kind = line.word(0);
     Statement statement{std::move(line), number, false};
-    if (kSections.contains(kind)) {
-        Section section{kind, statement.word(1), "", statement, {}};
-        std::size_t at = 2;
-        if (kind == "defaults" && section.name == "from") {
-            section.name.clear(), at = 1;
-        }
-        if (statement.word(at) == "from") {
-            section.from = statement.word(at + 1), at += 2;
-        }
-        const auto column = [&](std::size_t i) {
-            return i < statement.size() ? statement.line.words[i].column : 1;
-        };
-        if (kNamed.contains(kind) && section.name.empty()) {
-            trouble(1, fmt::format("{} without a name", kind));
-        } else if (!section.name.empty() && kind != "global" && !sound_name(section.name)) {
-            trouble(column(1), fmt::format("'{}' is no name: letters, digits and -_.:, 128 at most",
-                                           section.name));
-        } else if ((kind == "frontend" || kind == "listen" || kind == "backend") &&
-                   at < statement.size()) {
-            trouble(column(at),
-                    fmt::format("'{}' is not known behind {}", statement.word(at), kind));
-        }
-        tree_.sections.push_back(std::move(section));
-        return;
+    if (kSections.contains(statement.word(0))) {
+        begin_section(statement);
+    } else {
+        add_statement(std::move(statement));
+    }
+}
+
+void TreeBuilder::skip_line(std::size_t number) {
+    if (std::find(branches_.begin(), branches_.end(), Branch::unknown) != branches_.end()) {
+        tree_.findings.say(number, Verdict::refused, "behind a condition that can't be told here");
+    } else {
+        tree_.findings.say(number, Verdict::no_effect, "in a branch that is not taken");
     }
+}
+
+void TreeBuilder::begin_section(const Statement& statement) {
+    const std::string& kind = statement.word(0);
+    Section section{kind, statement.word(1), "", statement, {}};
+    std::size_t next = 2;  // the first word that has not been read
+    if (kind == "defaults" && section.name == "from") {
+        section.name.clear();
+        next = 1;
+    }
+    if (statement.word(next) == "from") {
+        section.from = statement.word(next + 1);
+        next += 2;
+    }
+    check_header(section, next);
+    tree_.sections.push_back(std::move(section));
+}
+
+void TreeBuilder::check_header(const Section& section, std::size_t next) {
+    const Statement& header = section.header;
+    const std::string& kind = section.kind;
+    const Place place{header.line.file, header.line.number, header.number};
+    const auto column = [&header](std::size_t index) {
+        return index < header.size() ? header.line.words[index].column : 1;
+    };
+    const bool takes_no_more = kind == "frontend" || kind == "listen" || kind == "backend";
+    if (kNamedSections.contains(kind) && section.name.empty()) {
+        fail(place, 1, fmt::format("{} without a name", kind));
+    } else if (!section.name.empty() && kind != "global" && !is_valid_name(section.name)) {
+        fail(place, column(1),
+             fmt::format("'{}' is no name: letters, digits and -_.:, 128 at most", section.name));
+    } else if (takes_no_more && next < header.size()) {
+        fail(place, column(next),
+             fmt::format("'{}' is not known behind {}", header.word(next), kind));
+    }
+}
+
+void TreeBuilder::add_statement(Statement statement) {
+    const std::string kind = statement.word(0);
     if (tree_.sections.empty()) {
-        return trouble(1, fmt::format("'{}' before any section", kind));
+        const Place place{statement.line.file, statement.line.number, statement.number};
+        fail(place, 1, fmt::format("'{}' before any section", kind));
+        return;
     }
     Section& section = tree_.sections.back();
-    if (section.kind == "global" &&
-        (kind == "setenv" || kind == "presetenv" || kind == "unsetenv" || kind == "resetenv")) {
-        return set_environment(statement);
+    if (section.kind == "global" && changes_environment(kind)) {
+        set_environment(statement);
+        return;
     }
     if ((kind == "no" || kind == "default") && statement.size() > 1) {
         statement.no = kind == "no";
