--- a/src/haproxy/units.cpp
+++ b/src/haproxy/units.cpp
@@ -3,52 +3,213 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <array>
+#include <cctype>
 #include <charconv>
+#include <tl/expected.hpp>
+#include <utility>
 
 #include "routing/network.hpp"
 
 namespace micaroad::haproxy {
 
+namespace {
+
+constexpr std::int64_t kHighestPort = 65'535;
+constexpr std::int64_t kLongestTimerMs = 2'147'483'647;  // as in the original
+
+// A part of the text that names the family or transport of an address.
+struct AddressPrefix {
+    enum class Meaning { any_family, ipv4, ipv6, other_transport };
+    std::string_view text;
+    Meaning meaning;
+};
+
+using Meaning = AddressPrefix::Meaning;
+
+constexpr std::array kAddressPrefixes{
+    AddressPrefix{"ipv4@", Meaning::ipv4},
+    AddressPrefix{"ipv6@", Meaning::ipv6},
+    AddressPrefix{"tcp@", Meaning::any_family},
+    AddressPrefix{"tcp4@", Meaning::ipv4},
+    AddressPrefix{"tcp6@", Meaning::ipv6},
+    AddressPrefix{"udp@", Meaning::other_transport},
+    AddressPrefix{"fd@", Meaning::other_transport},
+    AddressPrefix{"sockpair@", Meaning::other_transport},
+    AddressPrefix{"quic4@", Meaning::other_transport},
+    AddressPrefix{"quic6@", Meaning::other_transport},
+    AddressPrefix{"rhttp@", Meaning::other_transport},
+    AddressPrefix{"ip@", Meaning::any_family},
+};
+
+template <class T>
+Or<T> failure(std::string message) {
+    return {std::nullopt, std::move(message)};
+}
+
+Or<Endpoint> bad_endpoint(std::string_view text, std::string_view reason) {
+    return failure<Endpoint>(fmt::format("'{}' {}", text, reason));
+}
+
+// Microseconds of a unit of time; milliseconds where there is none.
+std::optional<std::int64_t> microseconds_in(std::string_view unit) {
+    if (unit == "us") {
+        return 1;
+    }
+    if (unit.empty() || unit == "ms") {
+        return 1'000;
+    }
+    if (unit == "s") {
+        return 1'000'000;
+    }
+    if (unit == "m") {
+        return 60'000'000;
+    }
+    if (unit == "h") {
+        return 3'600'000'000;
+    }
+    if (unit == "d") {
+        return 86'400'000'000;
+    }
+    return std::nullopt;
+}
+
+const AddressPrefix* prefix_of(std::string_view text) {
+    const auto* const found =
+        std::find_if(kAddressPrefixes.begin(), kAddressPrefixes.end(),
+                     [text](const AddressPrefix& prefix) { return text.starts_with(prefix.text); });
+    return found == kAddressPrefixes.end() ? nullptr : found;
+}
+
+bool is_unix_path(std::string_view text) {
+    return text.starts_with("unix@") || text.starts_with("abns@") || text.starts_with('/');
+}
+
+bool is_host_name(std::string_view text) {
+    return std::all_of(text.begin(), text.end(), [](unsigned char character) {
+        return std::isalnum(character) != 0 || character == '-' || character == '.' ||
+               character == '_';
+    });
+}
+
+// The text of an address in its two parts, neither of them looked at yet.
+struct HostAndPort {
+    std::string_view host;
+    std::string_view port;  // empty: none
+};
+
+// "HOST:PORT", "[HOST]:PORT" or "HOST"; an IPv6 address without brackets has no port.
+tl::expected<HostAndPort, std::string_view> split_host_and_port(std::string_view text) {
+    if (!text.starts_with('[')) {
+        const std::size_t colon = text.rfind(':');
+        if (colon == std::string_view::npos || routing::address_of(text)) {
+            return HostAndPort{text, {}};
+        }
+        return HostAndPort{text.substr(0, colon), text.substr(colon + 1)};
+    }
+    const std::size_t close = text.find(']');
+    if (close == std::string_view::npos) {
+        return tl::make_unexpected(std::string_view{"lacks a ]"});
+    }
+    std::string_view port = text.substr(close + 1);
+    if (!port.empty() && !port.starts_with(':')) {
+        return tl::make_unexpected(std::string_view{"has more behind its ]"});
+    }
+    if (!port.empty()) {
+        port.remove_prefix(1);
+    }
+    return HostAndPort{text.substr(1, close - 1), port};
+}
+
+struct PortError {
+    std::string message;
+};
+
+// Sets the port of an endpoint.
+tl::expected<void, PortError> read_port(std::string_view text, Endpoint& endpoint) {
+    if (text.starts_with('+') || text.starts_with('-')) {
+        const auto offset = number_of(text.substr(1), 0, kHighestPort);
+        if (!offset) {
+            return tl::make_unexpected(PortError{offset.wrong});
+        }
+        endpoint.relative_port = true;
+        return {};
+    }
+    if (text.empty()) {
+        return {};
+    }
+    const auto number = number_of(text, 1, kHighestPort);
+    if (!number) {
+        return tl::make_unexpected(PortError{"port " + number.wrong});
+    }
+    endpoint.port = static_cast<int>(*number);
+    return {};
+}
+
+// What a host is, or why it can't be one.
+tl::expected<Endpoint::Kind, std::string_view> kind_of_host(std::string_view host,
+                                                            Meaning meaning) {
+    if (host.empty() || host == "*") {
+        return Endpoint::Kind::any_host;
+    }
+    const auto address = routing::address_of(host);
+    if (!address) {
+        if (!is_host_name(host)) {
+            return tl::make_unexpected(std::string_view{"is no address"});
+        }
+        return Endpoint::Kind::needs_look_up;
+    }
+    const bool is_other_family =
+        (meaning == Meaning::ipv4 && !address->v4) || (meaning == Meaning::ipv6 && address->v4);
+    if (is_other_family) {
+        return tl::make_unexpected(std::string_view{"is of the other family"});
+    }
+    return Endpoint::Kind::literal;
+}
+
+}  // namespace
+
 Or<std::int64_t> number_of(std::string_view text, std::int64_t least, std::int64_t most) {
     std::int64_t number = 0;
-    const auto [end, wrong] = std::from_chars(text.data(), text.data() + text.size(), number);
-    const bool whole = end == text.data() + text.size() && !text.empty();
-    if (wrong == std::errc::result_out_of_range ||
-        (wrong == std::errc{} && whole && (number < least || number > most))) {
-        return {std::nullopt, fmt::format("'{}' is not from {} to {}", text, least, most)};
+    const char* const begin = text.data();
+    const char* const end = begin + text.size();
+    const auto parsed = std::from_chars(begin, end, number);
+    const bool is_whole = parsed.ptr == end && !text.empty();
+    const bool overflows = parsed.ec == std::errc::result_out_of_range;
+    const bool is_number = parsed.ec == std::errc{} && is_whole;
+    if (overflows || (is_number && (number < least || number > most))) {
+        return failure<std::int64_t>(fmt::format("'{}' is not from {} to {}", text, least, most));
     }
-    if (wrong != std::errc{} || !whole) {
-        return {std::nullopt, fmt::format("'{}' is no whole number", text)};
+    if (!is_number) {
+        return failure<std::int64_t>(fmt::format("'{}' is no whole number", text));
     }
     return {number, ""};
 }
 
 Or<Duration> time_of(std::string_view text) {
     std::int64_t number = 0;
-    const auto [end, wrong] = std::from_chars(text.data(), text.data() + text.size(), number);
-    if (wrong == std::errc::result_out_of_range) {
-        return {std::nullopt, fmt::format("'{}' is longer than a timer holds", text)};
-    }
-    if (wrong != std::errc{} || number < 0) {
-        return {std::nullopt, fmt::format("'{}' is no time", text)};
-    }
-    const std::string_view unit = text.substr(static_cast<std::size_t>(end - text.data()));
-    const std::int64_t micros = unit == "us"                   ? 1
-                                : unit.empty() || unit == "ms" ? 1'000
-                                : unit == "s"                  ? 1'000'000
-                                : unit == "m"                  ? 60'000'000
-                                : unit == "h"                  ? 3'600'000'000
-                                : unit == "d"                  ? 86'400'000'000
-                                                               : 0;
-    if (micros == 0) {
-        return {std::nullopt, fmt::format("'{}' has no unit of time: us, ms, s, m, h, d", text)};
-    }
-    constexpr std::int64_t kLongest = 2'147'483'647LL * 1'000;  // microseconds
-    if (number > kLongest / micros) {
-        return {std::nullopt,
-                fmt::format("'{}' is longer than a timer holds (2147483647 ms)", text)};
-    }
-    return {Duration{(number * micros + 99) / 100}, ""};
+    const char* const begin = text.data();
+    const auto parsed = std::from_chars(begin, begin + text.size(), number);
+    if (parsed.ec == std::errc::result_out_of_range) {
+        return failure<Duration>(fmt::format("'{}' is longer than a timer holds", text));
+    }
+    if (parsed.ec != std::errc{} || number < 0) {
+        return failure<Duration>(fmt::format("'{}' is no time", text));
+    }
+    const auto unit_begins = static_cast<std::size_t>(parsed.ptr - begin);
+    const auto unit = microseconds_in(text.substr(unit_begins));
+    if (!unit) {
+        return failure<Duration>(fmt::format("'{}' has no unit of time: us, ms, s, m, h, d", text));
+    }
+    constexpr std::int64_t kLongestTimerUs = kLongestTimerMs * 1'000;
+    if (number > kLongestTimerUs / *unit) {
+        return failure<Duration>(
+            fmt::format("'{}' is longer than a timer holds ({} ms)", text, kLongestTimerMs));
+    }
+    // A Duration counts tenths of a millisecond.
+    constexpr std::int64_t kMicrosecondsPerTick = 100;
+    const std::int64_t ticks = (number * *unit + kMicrosecondsPerTick - 1) / kMicrosecondsPerTick;
+    return {Duration{ticks}, ""};
 }
 
 std::string Endpoint::text() const {
@@ -60,78 +221,40 @@
 }
 
 Or<Endpoint> endpoint_of(std::string_view text) {
-    const auto wrong = [&](const char* why) {
-        return Or<Endpoint>{std::nullopt, fmt::format("'{}' {}", text, why)};
-    };
     Endpoint endpoint;
-    std::string_view rest = text;
-    if (rest.starts_with("unix@") || rest.starts_with("abns@") || rest.starts_with('/')) {
-        endpoint.kind = Endpoint::Kind::unix_path, endpoint.host = rest;
+    if (is_unix_path(text)) {
+        endpoint.kind = Endpoint::Kind::unix_path;
+        endpoint.host = text;
         return {endpoint, ""};
     }
-    bool v4 = false, v6 = false;
-    for (const std::string_view prefix : {"ipv4@", "ipv6@", "tcp@", "tcp4@", "tcp6@", "udp@", "fd@",
-                                          "sockpair@", "quic4@", "quic6@", "rhttp@", "ip@"}) {
-        if (!rest.starts_with(prefix)) {
-            continue;
-        }
-        v4 = prefix == "ipv4@" || prefix == "tcp4@", v6 = prefix == "ipv6@" || prefix == "tcp6@";
-        if (!v4 && !v6 && prefix != "tcp@" && prefix != "ip@") {
-            endpoint.kind = Endpoint::Kind::other, endpoint.host = text;
-            return {endpoint, ""};
-        }
-        rest.remove_prefix(prefix.size());
-        break;
+    std::string_view address = text;
+    Meaning meaning = Meaning::any_family;
+    if (const AddressPrefix* const prefix = prefix_of(text)) {
+        meaning = prefix->meaning;
+        address.remove_prefix(prefix->text.size());
     }
-    if (rest.empty()) {
-        return wrong("is no address");
+    if (meaning == Meaning::other_transport) {
+        endpoint.kind = Endpoint::Kind::other;
+        endpoint.host = text;
+        return {endpoint, ""};
     }
-    std::string_view host = rest, port;
-    if (rest.starts_with('[')) {
-        const auto close = rest.find(']');
-        if (close == std::string_view::npos) {
-            return wrong("lacks a ]");
-        }
-        host = rest.substr(1, close - 1);
-        port = rest.substr(close + 1);
-        if (!port.empty() && !port.starts_with(':')) {
-            return wrong("has more behind its ]");
-        }
-        if (!port.empty()) {
-            port.remove_prefix(1);
-        }
-    } else if (const auto colon = rest.rfind(':');
-               colon != std::string_view::npos && !routing::address_of(rest)) {
-        host = rest.substr(0, colon), port = rest.substr(colon + 1);
-    }
-    if (port.starts_with('+') || port.starts_with('-')) {
-        const auto by = number_of(port.substr(1), 0, 65'535);
-        if (!by) {
-            return {std::nullopt, by.wrong};
-        }
-        endpoint.relative_port = true;
-    } else if (!port.empty()) {
-        const auto number = number_of(port, 1, 65'535);
-        if (!number) {
-            return {std::nullopt, "port " + number.wrong};
-        }
-        endpoint.port = static_cast<int>(*number);
+    if (address.empty()) {
+        return bad_endpoint(text, "is no address");
     }
-    endpoint.host = host;
-    const auto address = routing::address_of(host);
-    if (host.empty() || host == "*") {
-        endpoint.kind = Endpoint::Kind::any_host;
-    } else if (!address) {
-        const bool name = std::all_of(host.begin(), host.end(), [](unsigned char c) {
-            return std::isalnum(c) || c == '-' || c == '.' || c == '_';
-        });
-        if (!name) {
-            return wrong("is no address");
-        }
-        endpoint.kind = Endpoint::Kind::needs_look_up;
-    } else if ((v4 && !address->v4) || (v6 && address->v4)) {
-        return wrong("is of the other family");
+    const auto parts = split_host_and_port(address);
+    if (!parts) {
+        return bad_endpoint(text, parts.error());
+    }
+    const auto port = read_port(parts->port, endpoint);
+    if (!port) {
+        return failure<Endpoint>(port.error().message);
+    }
+    const auto kind = kind_of_host(parts->host, meaning);
+    if (!kind) {
+        return bad_endpoint(text, kind.error());
     }
+    endpoint.kind = *kind;
+    endpoint.host = parts->host;
     return {endpoint, ""};
 }
 
