--- a/src/haproxy/section.cpp
+++ b/src/haproxy/section.cpp
@@ -15,7 +15,8 @@
  public:
     Reader(const Section& section, const Settings& taken_over, Findings& findings)
         : findings_(findings) {
-        draft_.section = &section, draft_.settings = taken_over;
+        draft_.section = &section;
+        draft_.settings = taken_over;
     }
 
     Draft read() {
@@ -101,126 +102,13 @@
         draft_.settings.mode.set(word(1), at_->number);
     }
     void balance() {
-        Balance to;
-        const std::string text = word(1);
-        const auto open = text.find('(');
-        to.kind = text.substr(0, open);
-        if (open != std::string::npos && text.ends_with(')')) {
-            to.argument = text.substr(open + 1, text.size() - open - 2);
-        }
-        static const char* const kBegin =
-            "shares begin at the weights; what the planner learns moves them, none under a "
-            "twentieth of its "
-            "listed part";
-        static const char* const kHash =
-            "one key keeps to one server while that may be used, and keys spread by weight; which "
-            "server a "
-            "key gets is another one than in the original";
-        Verdict verdict = Verdict::translated;
-        std::string says = kBegin;
-        if (to.kind == "roundrobin") {
-        } else if (to.kind == "static-rr") {
-            says += "; slow starts have no effect in it, nor here";
-        } else if (to.kind == "random") {
-            if (!to.argument.empty()) {
-                const auto draws = number_of(to.argument, 1, kInt);
-                if (!draws) {
-                    return say(Verdict::refused, draws.wrong);
-                }
-                to.draws = static_cast<int>(*draws);
-            }
-            if (to.draws > 1) {
-                verdict = Verdict::changed,
-                says =
-                    "one server is drawn by weight, not the least busy of "
-                    "several; under even load the parts are the same";
-            }
-        } else if (to.kind == "leastconn") {
-            verdict = Verdict::changed;
-            says =
-                "shares begin at the weights and follow answer times, not open connections; "
-                "servers of equal "
-                "speed get the same parts within a tenth";
-        } else if (to.kind == "first") {
-            verdict = Verdict::changed, says =
-                                            "all servers share the RPCs by weight at once; they "
-                                            "are not filled one behind the other";
-        } else if (to.kind == "source") {
-            verdict = Verdict::changed, says = kHash;
-        } else if (to.kind == "uri") {
-            for (std::size_t i = 2; i < at_->size(); ++i) {
-                if (word(i) == "whole") {
-                    to.whole = true;
-                } else if (word(i) == "path-only") {
-                    to.path_only = true;
-                } else if (word(i) == "depth" || word(i) == "len") {
-                    const auto value = number(i + 1, 1, 65'536);
-                    if (!value) {
-                        return;
-                    }
-                    (word(i) == "depth" ? to.depth : to.length) = *value, ++i;
-                } else {
-                    return say(Verdict::refused,
-                               fmt::format("balance uri: '{}' is not known", word(i)));
-                }
-            }
-            verdict = Verdict::changed, says = kHash;
-        } else if (to.kind == "url_param") {
-            to.argument = word(2);
-            if (to.argument.empty()) {
-                return say(Verdict::refused, "balance url_param lacks the parameter's name");
-            }
-            verdict = Verdict::changed, says = kHash;
-            if (word(3) == "check_post") {
-                says += "; bodies are not searched for it";
-            }
-        } else if (to.kind == "hdr") {
-            if (to.argument.empty()) {
-                return say(Verdict::refused, "balance hdr() lacks the header's name");
-            }
-            verdict = Verdict::changed, says = kHash;
-            if (word(2) == "use_domain_only") {
-                says += "; the whole value counts";
-            }
-        } else if (to.kind == "hash") {
-            to.argument = word(2);
-            if (!hash_of(to)) {
-                return say(Verdict::refused,
-                           fmt::format("balance hash: '{}' has no equal here", to.argument));
-            }
-            verdict = Verdict::changed, says = kHash;
-        } else {
-            return say(
-                Verdict::refused,
-                fmt::format("balance {} has no equal here; the pool spreads by weight", to.kind));
-        }
-        setting(verdict, says);
-        draft_.settings.balance.set(std::move(to), at_->number);
-    }
-    // `hash` takes any expression; those that have a kind of their own are taken for it.
-    static bool hash_of(Balance& balance) {
-        std::string text = balance.argument;
-        text = text.substr(0, text.find(','));
-        const auto open = text.find('(');
-        const std::string name = text.substr(0, open);
-        const std::string argument = open != std::string::npos && text.ends_with(')')
-                                         ? text.substr(open + 1, text.size() - open - 2)
-                                         : "";
-        if (name == "src") {
-            balance.kind = "source", balance.argument.clear();
-        } else if (name == "path") {
-            balance.kind = "uri", balance.argument.clear();
-        } else if (name == "pathq" || name == "url") {
-            balance.kind = "uri", balance.whole = true, balance.argument.clear();
-        } else if ((name == "url_param" || name == "urlp") && !argument.empty()) {
-            balance.kind = "url_param", balance.argument = argument;
-        } else if ((name == "hdr" || name == "req.hdr" || name == "req.fhdr") &&
-                   !argument.empty()) {
-            balance.kind = "hdr", balance.argument = argument;
-        } else {
-            return false;
+        auto reading = read_balance(*at_);
+        if (!reading) {
+            say(Verdict::refused, reading.error().message);
+            return;
         }
-        return true;
+        setting(reading->verdict, reading->says);
+        draft_.settings.balance.set(std::move(reading->balance), at_->number);
     }
     void hash_type() {
         setting(Verdict::changed,
