--- a/src/haproxy/section.hpp
+++ b/src/haproxy/section.hpp
@@ -11,6 +11,7 @@
 #include <vector>
 
 #include "haproxy/balance.hpp"
+#include "haproxy/http_check.hpp"
 #include "haproxy/server_line.hpp"
 #include "haproxy/tree.hpp"
 
@@ -53,16 +54,6 @@
     int interval = -1;  ///< -1: the last try goes to another server; 1: each does
 };
 
-/// `option httpchk` with what `http-check` adds to it.
-struct Check {
-    bool http = false;  ///< false: a connection is enough
-    std::string method = "OPTIONS";
-    std::string path = "/";
-    std::string host;
-    int status_least = 200;
-    int status_most = 399;
-};
-
 /// What a section has set or has taken over.
 struct Settings {
     Setting<std::string> mode;
