--- a/src/haproxy/http_check.cpp
+++ b/src/haproxy/http_check.cpp
@@ -46,8 +46,8 @@
 CheckResult read_expect(const Statement& statement, Check check) {
     const std::size_t index = skip_expect_options(statement);
     if (statement.word(index) != "status") {
-        return refuse(fmt::format("http-check expect {}: only 'status' is looked at",
-                                  statement.word(index)));
+        return refuse(
+            fmt::format("http-check expect {}: only 'status' is looked at", statement.word(index)));
     }
     const std::string& range = statement.word(index + 1);
     const std::size_t dash = range.find('-');
--- a/src/haproxy/keywords.hpp
+++ b/src/haproxy/keywords.hpp
@@ -1,5 +1,6 @@
-// Keywords whose verdict does not depend on their values. docs/haproxy-import.md prints these
-// tables.
+/// @file
+/// Keywords whose verdict does not depend on their values. docs/haproxy-import.md prints these
+/// tables.
 #pragma once
 
 #include <optional>
@@ -9,15 +10,23 @@
 
 namespace micaroad::haproxy {
 
+/// A verdict with its explanation, which lives as long as the program.
 struct FixedVerdict {
     Verdict verdict;
     const char* says;
 };
 
-std::optional<FixedVerdict> fixed_verdict(
-    const Statement& statement);  // of frontends, backends, listens, defaults
-std::optional<FixedVerdict> fixed_option(const std::string& name);  // `option NAME`
-FixedVerdict global_verdict(const Statement& statement);
-FixedVerdict other_section_verdict(const std::string& kind);  // peers, resolvers, userlist, ...
+/// Of a statement in a frontend, backend, listen or defaults section. Absent: its keyword is
+/// unknown or has to be looked into.
+[[nodiscard]] std::optional<FixedVerdict> fixed_verdict(const Statement& statement);
+
+/// Of `option NAME` in such a section; absent as above.
+[[nodiscard]] std::optional<FixedVerdict> fixed_option(const std::string& name);
+
+/// Of a statement in the global section.
+[[nodiscard]] FixedVerdict global_verdict(const Statement& statement);
+
+/// Of all lines of a section of another kind: peers, resolvers, userlist and so on.
+[[nodiscard]] FixedVerdict other_section_verdict(const std::string& kind);
 
 }  // namespace micaroad::haproxy
