--- a/src/haproxy/section.cpp
+++ b/src/haproxy/section.cpp
@@ -76,12 +76,14 @@
     void say(Verdict verdict, const std::string& says = "") {
         findings_.say(statement_->number, verdict, says);
     }
-    // The verdict holds where some section goes by the line.
-    void setting(Verdict verdict, const std::string& says = "") {
+
+    // The verdict holds if some section goes by the line; else it has no effect.
+    void say_of_setting(Verdict verdict, const std::string& says = "") {
         say(verdict, says);
         findings_.set_aside(statement_->number,
                             "no section goes by it: overridden, or of no use there");
     }
+
     bool is_defaults() const { return draft_.section->kind == "defaults"; }
     std::optional<int> number(std::size_t index, std::int64_t least, std::int64_t most) {
         const auto value = number_of(word(index), least, most);
@@ -91,6 +93,7 @@
         say(Verdict::refused, value.wrong);
         return std::nullopt;
     }
+
     static constexpr std::int64_t kHighestInt = 2'147'483'647;
 
     void mode() {
@@ -104,31 +107,37 @@
         }
         draft_.settings.mode.set(word(1), statement_->number);
     }
+
     void balance() {
         auto reading = read_balance(*statement_);
         if (!reading) {
             say(Verdict::refused, reading.error().message);
             return;
         }
-        setting(reading->verdict, reading->says);
+        say_of_setting(reading->verdict, reading->says);
         draft_.settings.balance.set(std::move(reading->balance), statement_->number);
     }
+
     void hash_type() {
-        setting(Verdict::changed,
-                "keys are spread by weighted rendezvous hashing: a server that leaves takes only "
-                "its own keys along");
+        say_of_setting(
+            Verdict::changed,
+            "keys are spread by weighted rendezvous hashing: a server that leaves takes only "
+            "its own keys along");
         draft_.settings.hash_type.set(word(1), statement_->number);
     }
+
     void retries() {
         const auto value = number(1, 0, 100);
         if (!value) {
             return;
         }
-        setting(Verdict::changed,
-                "without the original's wait of a second before the same server is tried again; "
-                "the planner orders fewer while levels are cut");
+        say_of_setting(
+            Verdict::changed,
+            "without the original's wait of a second before the same server is tried again; "
+            "the planner orders fewer while levels are cut");
         draft_.settings.retries.set(*value, statement_->number);
     }
+
     void retry_on() {
         static const std::set<std::string> kKnown{"none",
                                                   "conn-failure",
@@ -160,30 +169,32 @@
             more |= word(index) != "none" && word(index) != "conn-failure";
         }
         if (more) {
-            setting(Verdict::changed,
-                    "after any failure, and only where the RPC is idempotent: nothing that may "
-                    "have run takes effect twice");
+            say_of_setting(
+                Verdict::changed,
+                "after any failure, and only where the RPC is idempotent: nothing that may "
+                "have run takes effect twice");
         } else {
-            setting(Verdict::translated);
+            say_of_setting(Verdict::translated);
         }
         draft_.settings.retry_on.set({any, more}, statement_->number);
     }
+
     void option() {
         const std::string& name = word(1);
         Settings& settings = draft_.settings;
         if (name == "allbackups") {
             settings.all_backups.set(!statement_->no, statement_->number);
-            setting(Verdict::translated);
+            say_of_setting(Verdict::translated);
         } else if (name == "persist") {
             settings.persist.set(!statement_->no, statement_->number);
-            setting(Verdict::translated);
+            say_of_setting(Verdict::translated);
         } else if (name == "redispatch") {
             option_redispatch();
         } else if (name == "httpchk") {
             option_httpchk();
         } else if (name == "tcp-check") {
             settings.check.set({}, statement_->number);
-            setting(Verdict::translated, "a connection is a sign of health");
+            say_of_setting(Verdict::translated, "a connection is a sign of health");
         } else if (const auto fixed = fixed_option(name)) {
             say(fixed->verdict, fixed->says);
         } else {
@@ -201,9 +212,9 @@
             redispatch.interval = *interval;
         }
         if (redispatch.interval == -1 || redispatch.interval == 1) {
-            setting(Verdict::translated);
+            say_of_setting(Verdict::translated);
         } else {
-            setting(Verdict::changed, "only the last try goes to another server");
+            say_of_setting(Verdict::changed, "only the last try goes to another server");
         }
         draft_.settings.redispatch.set(redispatch, statement_->number);
     }
@@ -211,11 +222,11 @@
     void option_httpchk() {
         if (statement_->no) {
             draft_.settings.check.set({}, statement_->number);
-            setting(Verdict::translated);
+            say_of_setting(Verdict::translated);
             return;
         }
         draft_.settings.check.set(read_option_httpchk(*statement_), statement_->number);
-        setting(Verdict::translated, "probes speak HTTP/1.1");
+        say_of_setting(Verdict::translated, "probes speak HTTP/1.1");
     }
 
     void timeout() {
@@ -239,28 +250,32 @@
         if (!value) {
             return say(Verdict::refused, value.wrong);
         }
-        setting(
+        say_of_setting(
             name == "server" ? Verdict::changed : Verdict::translated,
             name == "server" ? "the whole answer is due within it, not each silence of it" : "");
         draft_.settings.timeouts[name].set(*value, statement_->number);
     }
+
     void max_conn() {
         const auto value = number(1, 0, kHighestInt);
         if (!value) {
             return;
         }
-        setting(Verdict::translated);
+        say_of_setting(Verdict::translated);
         draft_.settings.max_conn.set(*value, statement_->number);
     }
+
     void full_conn() {
         const auto value = number(1, 1, kHighestInt);
         if (!value) {
             return;
         }
-        setting(Verdict::changed,
-                "limits of servers do not move with the pool's load: each is maxconn at any time");
+        say_of_setting(
+            Verdict::changed,
+            "limits of servers do not move with the pool's load: each is maxconn at any time");
         draft_.settings.full_conn.set(*value, statement_->number);
     }
+
     void cookie() {
         if (word(1).empty()) {
             return say(Verdict::refused, "cookie lacks its name");
@@ -270,14 +285,15 @@
             makes |= word(index) == "insert" || word(index) == "rewrite" || word(index) == "prefix";
         }
         if (makes) {
-            setting(Verdict::changed,
-                    "an RPC that bears the cookie stays with its server; the proxy, not the "
-                    "planner, is to set it");
+            say_of_setting(Verdict::changed,
+                           "an RPC that bears the cookie stays with its server; the proxy, not the "
+                           "planner, is to set it");
         } else {
-            setting(Verdict::translated);
+            say_of_setting(Verdict::translated);
         }
         draft_.settings.cookie.set({word(1)}, statement_->number);
     }
+
     // On top of what is held, this section's own or taken over; the line that it was set by counts
     // as used wherever this one is.
     void http_check() {
@@ -287,35 +303,41 @@
             say(check.error().verdict, check.error().message);
             return;
         }
-        setting(Verdict::translated);
+        say_of_setting(Verdict::translated);
         check->http = check->http || static_cast<bool>(held);
         held.set(std::move(*check), statement_->number);
     }
+
     void tcp_check() {
         if (word(1) == "connect" && statement_->size() == 2) {
             return say(Verdict::translated, "a connection is a sign of health");
         }
         say(Verdict::refused, "probes connect, or ask by HTTP; scripts have no equal here");
     }
+
     void stick_table() {
         if (word(1) != "type") {
             return say(Verdict::refused, "a table is read from its type on");
         }
-        setting(Verdict::changed,
-                "nothing is stored or counted: keys are spread by hash, so that they need no table "
-                "and no peers");
+        say_of_setting(
+            Verdict::changed,
+            "nothing is stored or counted: keys are spread by hash, so that they need no table "
+            "and no peers");
         draft_.settings.stick_table.set(word(2), statement_->number);
     }
+
     void stick() {
         if (is_defaults()) {
             return say(Verdict::refused, "stick rules belong to a backend");
         }
         draft_.sticks.push_back(statement_);
     }
+
     void default_backend() {
-        setting(Verdict::translated);
+        say_of_setting(Verdict::translated);
         draft_.settings.default_backend.set(word(1), statement_->number);
     }
+
     void default_server() {
         ServerWords words = draft_.settings.default_server;
         read_server_words(*statement_, 1, words, findings_);
@@ -326,46 +348,57 @@
         draft_.settings.default_server_lines.push_back(statement_->number);
         findings_.set_aside(statement_->number, "no server goes by it");
     }
-    bool belongs(bool sound, const char* where) {
+
+    // False, with the line refused: it is in a defaults section, or its section is not of a kind
+    // that takes it, which `where` says.
+    bool may_stand_here(bool takes_it, const char* where) {
         if (is_defaults()) {
             say(Verdict::refused,
                 "in defaults it is not taken over here: put it into the sections");
             return false;
         }
-        if (!sound) {
+        if (!takes_it) {
             say(Verdict::refused, where);
         }
-        return sound;
+        return takes_it;
     }
-    void own(std::vector<const Statement*>& list, bool sound, const char* where) {
-        if (belongs(sound, where)) {
+
+    void file_under(std::vector<const Statement*>& list, bool takes_it, const char* where) {
+        if (may_stand_here(takes_it, where)) {
             list.push_back(statement_);
         }
     }
+
     void server() {
-        if (!belongs(draft_.has_servers(), "only a backend or listen section has servers")) {
+        if (!may_stand_here(draft_.has_servers(), "only a backend or listen section has servers")) {
             return;
         }
         draft_.servers.push_back(
             {statement_, draft_.settings.default_server, draft_.settings.default_server_lines});
     }
-    void acl() { own(draft_.acls, true, ""); }
+
+    void acl() { file_under(draft_.acls, true, ""); }
     void bind() {
-        own(draft_.binds, draft_.listens(), "only a frontend or listen section listens");
+        file_under(draft_.binds, draft_.listens(), "only a frontend or listen section listens");
     }
+
     void use_backend() {
-        own(draft_.use_backends, draft_.listens(), "only a frontend or listen section has routes");
+        file_under(draft_.use_backends, draft_.listens(),
+                   "only a frontend or listen section has routes");
     }
-    void rule() { own(draft_.rules, true, ""); }
+
+    void rule() { file_under(draft_.rules, true, ""); }
     void use_server() {
         say(Verdict::refused,
             "an RPC is not given to one server by a rule: make a pool of that server and a route "
             "to it");
     }
+
     void disabled() {
         draft_.disabled = true;
         say(Verdict::translated, "the whole section counts as disabled");
     }
+
     void enabled() {
         draft_.disabled = false;
         say(Verdict::translated);
