--- a/src/haproxy/section.cpp
+++ b/src/haproxy/section.cpp
@@ -139,29 +139,19 @@
     }
 
     void retry_on() {
-        static const std::set<std::string> kKnown{"none",
-                                                  "conn-failure",
-                                                  "empty-response",
-                                                  "junk-response",
-                                                  "response-timeout",
-                                                  "0rtt-rejected",
-                                                  "all-retryable-errors",
-                                                  "401",
-                                                  "403",
-                                                  "404",
-                                                  "408",
-                                                  "421",
-                                                  "425",
-                                                  "429",
-                                                  "500",
-                                                  "501",
-                                                  "502",
-                                                  "503",
-                                                  "504"};
+        static const std::set<std::string> kEvents{"none",
+                                                   "conn-failure",
+                                                   "empty-response",
+                                                   "junk-response",
+                                                   "response-timeout",
+                                                   "0rtt-rejected",
+                                                   "all-retryable-errors"};
+        static const std::set<std::string> kStatuses{"401", "403", "404", "408", "421", "425",
+                                                     "429", "500", "501", "502", "503", "504"};
         bool any = false;
         bool more = false;
         for (std::size_t index = 1; index < statement_->size(); ++index) {
-            if (!kKnown.contains(word(index))) {
+            if (!kEvents.contains(word(index)) && !kStatuses.contains(word(index))) {
                 return say(Verdict::refused,
                            fmt::format("retry-on '{}' is not known", word(index)));
             }
