--- a/src/haproxy/keywords.cpp
+++ b/src/haproxy/keywords.cpp
@@ -156,6 +156,18 @@
     {"ssl-hello-chk", {kRefused, kServerProbes}},
 };
 
+// By the word behind `timeout`.
+const std::map<std::string, FixedVerdict> kTimeouts{
+    {"client", {kNoEffect, "how long clients may be silent is the proxies' matter"}},
+    {"client-fin", {kNoEffect, "how connections end is the proxies' matter"}},
+    {"client-hs", {kNoEffect, "how connections begin is the proxies' matter"}},
+    {"server-fin", {kNoEffect, "how connections end is the proxies' matter"}},
+    {"http-request", {kNoEffect, "how long a request may take to come is the proxies' matter"}},
+    {"http-keep-alive", {kNoEffect, "how long idle connections stay is the proxies' matter"}},
+    {"tunnel", {kNoEffect, "tunnels are the proxies' matter"}},
+    {"tarpit", {kNoEffect, "nobody is held back: an answer that is final is given at once"}},
+};
+
 // Keywords of the global section that say how HAProxy's process runs.
 const std::set<std::string> kProcessKeywords{"51degrees-data-file",
                                              "busy-polling",
@@ -273,6 +285,10 @@
     return find_verdict(kOptions, name);
 }
 
+std::optional<FixedVerdict> fixed_timeout(const std::string& name) {
+    return find_verdict(kTimeouts, name);
+}
+
 FixedVerdict global_verdict(const Statement& statement) {
     const std::string& word = statement.word(0);
     if (word.starts_with("tune.")) {
--- a/src/haproxy/keywords.hpp
+++ b/src/haproxy/keywords.hpp
@@ -23,6 +23,9 @@
 /// Of `option NAME` in such a section; absent as above.
 [[nodiscard]] std::optional<FixedVerdict> fixed_option(const std::string& name);
 
+/// Of `timeout NAME` in such a section; absent as above.
+[[nodiscard]] std::optional<FixedVerdict> fixed_timeout(const std::string& name);
+
 /// Of a statement in the global section.
 [[nodiscard]] FixedVerdict global_verdict(const Statement& statement);
 
--- a/src/haproxy/section.cpp
+++ b/src/haproxy/section.cpp
@@ -220,18 +220,9 @@
     }
 
     void timeout() {
-        static const std::map<std::string, const char*> kOthers{
-            {"client", "how long clients may be silent is the proxies' matter"},
-            {"client-fin", "how connections end is the proxies' matter"},
-            {"client-hs", "how connections begin is the proxies' matter"},
-            {"server-fin", "how connections end is the proxies' matter"},
-            {"http-request", "how long a request may take to come is the proxies' matter"},
-            {"http-keep-alive", "how long idle connections stay is the proxies' matter"},
-            {"tunnel", "tunnels are the proxies' matter"},
-            {"tarpit", "nobody is held back: an answer that is final is given at once"}};
         const std::string& name = word(1);
-        if (const auto other = kOthers.find(name); other != kOthers.end()) {
-            return say(Verdict::no_effect, other->second);
+        if (const auto fixed = fixed_timeout(name)) {
+            return say(fixed->verdict, fixed->says);
         }
         if (name != "connect" && name != "server" && name != "queue" && name != "check") {
             return say(Verdict::refused, fmt::format("timeout {} is not known", name));
