--- a/src/haproxy/server_line.hpp
+++ b/src/haproxy/server_line.hpp
@@ -1,32 +1,44 @@
-// The words of `server`, `default-server` and `server-template`.
+/// \file
+/// Reads the parameters of HAProxy's `server`, `default-server` and `server-template` lines
+/// (configuration manual 2.8, section 5.2).
 #pragma once
 
-#include <map>
 #include <optional>
 #include <string>
-#include <vector>
 
 #include "haproxy/tree.hpp"
 #include "routing/plan.hpp"
 
 namespace micaroad::haproxy {
 
-// What such a line says of a server; a default-server's words are the beginning of those behind it.
+/// The parameters of one server. Those of a `default-server` line are the starting values of the
+/// servers that follow it. An absent optional means that the line does not set the parameter.
 struct ServerWords {
-    int weight = 1;
-    bool backup = false, disabled = false, check = false;
-    std::optional<Duration> inter, fast_inter, down_inter;
-    std::optional<int> rise, fall, error_limit;
-    bool observes = false;
+    int weight = 1;  // 0 to 256
+    bool backup = false;
+    bool disabled = false;
+    bool check = false;
+    std::optional<Duration> inter;       // between probes
+    std::optional<Duration> fast_inter;  // between probes while the server changes its state
+    std::optional<Duration> down_inter;  // between probes while the server is down
+    std::optional<int> rise;             // successful probes in a row until it is up
+    std::optional<int> fall;             // failed probes in a row until it is down
+    std::optional<int> error_limit;      // failed RPCs in a row until `on_error` applies
+    bool observes = false;               // whether failed RPCs count against the server
     std::string on_error;
-    Duration slow_start{};
-    int max_conn = 0, min_conn = 0, max_queue = 0;
-    std::string track, cookie;
-    bool left_out =
-        false;  // a value that the original itself refuses: no server comes of this line
+    Duration slow_start{};  // in whole seconds
+    int max_conn = 0;       // 0: no limit
+    int min_conn = 0;
+    int max_queue = 0;
+    std::string track;  // "server" or "backend/server" whose health this server shares
+    std::string cookie;
+    /// A value is one that HAProxy itself rejects; the line creates no server.
+    bool left_out = false;
 };
 
-// Reads words from `from` on into `words`, and says of the line what there is to say.
+/// Reads the parameters from word number `from` to the end of the line into `words`, on top of the
+/// values there, and records the line's verdict in `findings`. A parameter with a bad value sets
+/// `left_out`; reading goes on behind it.
 void read_server_words(const Statement& statement, std::size_t from, ServerWords& words,
                        Findings& findings);
 
