--- /dev/null
+++ b/src/haproxy/request_rules.cpp
@@ -0,0 +1,407 @@
+#include "haproxy/request_rules.hpp"
+
+#include <fmt/format.h>
+
+#include <algorithm>
+#include <optional>
+#include <set>
+#include <tl/expected.hpp>
+
+#include "haproxy/units.hpp"
+
+namespace micaroad::haproxy {
+namespace {
+
+using routing::AllOf;
+using routing::Match;
+using routing::Not;
+
+constexpr int kDenyStatus = 403;      // HAProxy's own where the rule names none
+constexpr int kTarpitStatus = 500;    // likewise
+constexpr int kReturnStatus = 200;    // likewise
+constexpr int kRedirectStatus = 302;  // likewise
+constexpr int kLeastErrorStatus = 400;
+
+const std::set<std::string> kDenyingActions{"deny", "tarpit", "reject", "silent-drop", "return"};
+/// They change the address, path or query of the request.
+const std::set<std::string> kRewritingActions{
+    "set-path",     "set-pathq",     "set-uri",     "set-query",     "set-method",
+    "replace-path", "replace-pathq", "replace-uri", "normalize-uri", "set-src",
+    "set-src-port", "set-dst",       "set-dst-port"};
+const std::set<std::string> kHeaderActions{"set-header", "add-header", "del-header",
+                                           "replace-header", "replace-value"};
+/// Only the answer, a log or a counter depends on them.
+const std::set<std::string> kActionsWithoutEffect{"capture",
+                                                  "set-log-level",
+                                                  "set-mark",
+                                                  "set-tos",
+                                                  "set-nice",
+                                                  "early-hint",
+                                                  "set-var",
+                                                  "set-var-fmt",
+                                                  "unset-var",
+                                                  "strict-mode",
+                                                  "set-map",
+                                                  "add-acl",
+                                                  "del-acl",
+                                                  "del-map",
+                                                  "set-fc-mark",
+                                                  "set-fc-tos",
+                                                  "set-bc-mark",
+                                                  "set-bc-tos",
+                                                  "sc-add-gpc",
+                                                  "sc-inc-gpc",
+                                                  "sc-inc-gpc0",
+                                                  "sc-inc-gpc1",
+                                                  "sc-set-gpt",
+                                                  "sc-set-gpt0",
+                                                  "track-sc0",
+                                                  "track-sc1",
+                                                  "track-sc2",
+                                                  "send-spoe-group",
+                                                  "disable-l7-retry",
+                                                  "wait-for-body",
+                                                  "wait-for-handshake",
+                                                  "set-timeout",
+                                                  "set-priority-class",
+                                                  "set-priority-offset",
+                                                  "inspect-delay",
+                                                  "expect-proxy",
+                                                  "expect-netscaler-cip"};
+
+/// HAProxy evaluates all rules of a phase before those of the next.
+enum class Phase { connection, session, content, block, http_request, redirect };
+
+enum class ActionKind {
+    turn_away,
+    allow,
+    redirect,
+    authenticate,
+    rewrite,
+    change_header,
+    no_effect,
+    unknown
+};
+
+struct Rule {
+    const Statement* statement;
+    Phase phase;
+    std::string action;
+    std::size_t arguments;  // the number of the first word behind the action
+    std::size_t condition;  // the number of "if" or "unless"; the line's size if there is none
+};
+
+/// A status that a denial can't have.
+struct StatusError {
+    std::string reason;
+};
+
+Phase phase_of(const Statement& statement) {
+    const std::string& keyword = statement.word(0);
+    if (keyword == "block") {
+        return Phase::block;
+    }
+    if (keyword == "http-request") {
+        return Phase::http_request;
+    }
+    if (keyword != "tcp-request") {
+        return Phase::redirect;
+    }
+    if (statement.word(1) == "connection") {
+        return Phase::connection;
+    }
+    return statement.word(1) == "session" ? Phase::session : Phase::content;
+}
+
+std::size_t find_condition(const Statement& statement, std::size_t from) {
+    for (std::size_t position = from; position < statement.size(); ++position) {
+        if (statement.word(position) == "if" || statement.word(position) == "unless") {
+            return position;
+        }
+    }
+    return statement.size();
+}
+
+Rule read_rule(const Statement& statement) {
+    Rule rule{&statement, phase_of(statement), "", 1, 0};
+    const std::string& keyword = statement.word(0);
+    if (keyword == "block") {
+        rule.action = "deny";
+    } else if (keyword == "redirect") {
+        rule.action = "redirect";
+    } else {
+        const std::size_t action_position = keyword == "http-request" ? 1 : 2;
+        rule.action = statement.word(action_position);
+        rule.arguments = action_position + 1;
+    }
+    if (keyword == "tcp-request" && statement.word(1) == "inspect-delay") {
+        rule.action = "inspect-delay";
+    }
+    rule.condition = find_condition(statement, rule.arguments);
+    return rule;
+}
+
+std::vector<Rule> rules_by_phase(const std::vector<const Statement*>& statements) {
+    std::vector<Rule> rules;
+    rules.reserve(statements.size());
+    for (const Statement* statement : statements) {
+        rules.push_back(read_rule(*statement));
+    }
+    std::ranges::stable_sort(rules, {}, &Rule::phase);
+    return rules;
+}
+
+bool has_no_effect(const std::string& action) {
+    return kActionsWithoutEffect.contains(action) || action.starts_with("set-var(") ||
+           action.starts_with("unset-var(") || action.starts_with("sc-") ||
+           action.starts_with("set-map(");
+}
+
+ActionKind kind_of(const std::string& action) {
+    if (kDenyingActions.contains(action)) {
+        return ActionKind::turn_away;
+    }
+    if (action == "allow" || action == "accept") {
+        return ActionKind::allow;
+    }
+    if (action == "redirect") {
+        return ActionKind::redirect;
+    }
+    if (action == "auth") {
+        return ActionKind::authenticate;
+    }
+    if (kRewritingActions.contains(action)) {
+        return ActionKind::rewrite;
+    }
+    if (kHeaderActions.contains(action)) {
+        return ActionKind::change_header;
+    }
+    return has_no_effect(action) ? ActionKind::no_effect : ActionKind::unknown;
+}
+
+int usual_status(const std::string& action) {
+    if (action == "tarpit") {
+        return kTarpitStatus;
+    }
+    return action == "return" ? kReturnStatus : kDenyStatus;
+}
+
+tl::expected<int, StatusError> read_denial_status(const Rule& rule) {
+    const Statement& statement = *rule.statement;
+    int status = usual_status(rule.action);
+    std::optional<StatusError> error;
+    for (std::size_t position = rule.arguments; position + 1 < rule.condition; ++position) {
+        const std::string& word = statement.word(position);
+        if (word != "deny_status" && word != "status") {
+            continue;
+        }
+        const auto value = number_of(statement.word(position + 1), 100, 599);
+        if (value) {
+            status = static_cast<int>(*value);
+        } else {
+            error = StatusError{value.wrong};
+        }
+    }
+    if (error) {
+        return tl::unexpected(*error);
+    }
+    return status;
+}
+
+routing::Redirect read_redirect(const Rule& rule) {
+    const Statement& statement = *rule.statement;
+    routing::Redirect redirect{"", kRedirectStatus};
+    for (std::size_t position = rule.arguments; position + 1 < rule.condition; ++position) {
+        const std::string& word = statement.word(position);
+        const std::string& argument = statement.word(position + 1);
+        if (word == "location") {
+            redirect.location = argument;
+        } else if (word == "code") {
+            const auto status = number_of(argument, 301, 308);
+            redirect.status = status ? static_cast<int>(*status) : kRedirectStatus;
+        }
+    }
+    return redirect;
+}
+
+/// Goes through the rules of one section.
+class RequestRuleTranslator {
+ public:
+    RequestRuleTranslator(const Draft& draft, Acls& acls, Findings& findings, RouteSink* sink)
+        : draft_(draft), acls_(acls), findings_(findings), sink_(sink) {}
+
+    std::vector<Denial> translate() {
+        std::optional<Phase> phase;
+        for (const Rule& rule : rules_by_phase(draft_.rules)) {
+            if (phase != rule.phase) {
+                // An `allow` ends the evaluation of its own phase alone.
+                not_allowed_ = Match{AllOf{}};
+                allow_refused_ = false;
+                phase = rule.phase;
+            }
+            translate_rule(rule);
+        }
+        return std::move(denials_);
+    }
+
+ private:
+    void translate_rule(const Rule& rule) {
+        switch (kind_of(rule.action)) {
+            case ActionKind::turn_away:
+                return turn_away(rule);
+            case ActionKind::allow:
+                return allow(rule);
+            case ActionKind::redirect:
+                return redirect(rule);
+            case ActionKind::authenticate:
+                return report(rule, Verdict::refused,
+                              "who a client is, is not asked here: what it kept out passes now");
+            case ActionKind::rewrite:
+                return report_rewrite(rule);
+            case ActionKind::change_header:
+                return report_header_change(rule);
+            case ActionKind::no_effect:
+                return report(rule, Verdict::no_effect, "it does not route");
+            case ActionKind::unknown:
+                return report(rule, Verdict::refused,
+                              fmt::format("'{}' has no equal here", rule.action));
+        }
+    }
+
+    void turn_away(const Rule& rule) {
+        const auto status = read_denial_status(rule);
+        const Translated condition = acls_.condition(*rule.statement, rule.condition);
+        if (!status) {
+            return refuse_denial(rule, status.error().reason);
+        }
+        if (!condition.match) {
+            return refuse_denial(rule, condition.says);
+        }
+        if (*status < kLeastErrorStatus) {
+            return refuse_denial(
+                rule, fmt::format("an answer of status {} is the proxies' own", *status));
+        }
+        const Match match = match_both(not_allowed_, *condition.match);
+        denials_.push_back({match, *status});
+        if (sink_ != nullptr) {
+            sink_->routes.push_back(
+                {sink_->names.next("deny", *rule.statement), match, routing::TurnAway{*status}});
+        }
+        report_denial(rule, condition, *status);
+    }
+
+    void refuse_denial(const Rule& rule, const std::string& reason) {
+        report(rule, Verdict::refused,
+               fmt::format("{}; what it answered passes now: answer it at the proxies", reason));
+    }
+
+    void report_denial(const Rule& rule, const Translated& condition, int status) {
+        Verdict verdict = verdict_behind_allow(condition);
+        std::string text =
+            allow_refused_ ? "also what an `allow` before it let past" : condition.says;
+        if (rule.action != "deny") {
+            verdict = std::max(verdict, Verdict::changed);
+            text =
+                fmt::format("turned away at once with {}: nobody is held back or cut off", status);
+        } else if (sink_ == nullptr && text.empty()) {
+            text = "as a route before each that leads to this pool";
+        }
+        report(rule, verdict, text);
+    }
+
+    void allow(const Rule& rule) {
+        const Translated condition = acls_.condition(*rule.statement, rule.condition);
+        if (!condition.match) {
+            allow_refused_ = true;
+            return report(rule, Verdict::refused,
+                          fmt::format("{}; what it let past is turned away by the rules behind it",
+                                      condition.says));
+        }
+        not_allowed_ = match_both(not_allowed_, Match{Not{{*condition.match}}});
+        report(rule, condition.verdict, condition.says);
+    }
+
+    void redirect(const Rule& rule) {
+        const routing::Redirect target = read_redirect(rule);
+        const Translated condition = acls_.condition(*rule.statement, rule.condition);
+        if (!condition.match) {
+            return refuse_redirect(rule, condition.says);
+        }
+        if (sink_ == nullptr) {
+            return refuse_redirect(rule, "a backend's redirect has no equal here");
+        }
+        if (target.location.empty() || target.location.find("%[") != std::string::npos) {
+            return refuse_redirect(rule, "only a location that stands in the line can be told");
+        }
+        sink_->routes.push_back({sink_->names.next("redirect", *rule.statement),
+                                 match_both(not_allowed_, *condition.match), target});
+        report(rule, verdict_behind_allow(condition), condition.says);
+    }
+
+    void refuse_redirect(const Rule& rule, const std::string& reason) {
+        report(rule, Verdict::refused,
+               fmt::format("{}; what it redirected passes now: redirect at the proxies", reason));
+    }
+
+    void report_rewrite(const Rule& rule) {
+        const bool seen_by_rules =
+            !draft_.use_backends.empty() || !draft_.acls.empty() || sink_ == nullptr;
+        if (seen_by_rules) {
+            return report(
+                rule, Verdict::refused,
+                "routes and hashes go by the RPC as it came: rewrite it before it is routed");
+        }
+        report(rule, Verdict::no_effect,
+               "how an RPC is rewritten is the proxies' own; nothing here routes by it");
+    }
+
+    void report_header_change(const Rule& rule) {
+        const std::string call = "(" + rule.statement->word(rule.arguments);
+        const bool seen_by_acl = std::ranges::any_of(draft_.acls, [&call](const Statement* acl) {
+            return acl->word(2).find(call) != std::string::npos;
+        });
+        if (seen_by_acl) {
+            return report(rule, Verdict::refused, "routes go by the header as it came");
+        }
+        report(rule, Verdict::no_effect, "headers for servers are the proxies' own");
+    }
+
+    [[nodiscard]] Verdict verdict_behind_allow(const Translated& condition) const {
+        return std::max(condition.verdict, allow_refused_ ? Verdict::changed : Verdict::translated);
+    }
+
+    void report(const Rule& rule, Verdict verdict, const std::string& text) {
+        findings_.say(rule.statement->number, verdict, text);
+    }
+
+    const Draft& draft_;
+    Acls& acls_;
+    Findings& findings_;
+    RouteSink* sink_;
+    std::vector<Denial> denials_;
+    Match not_allowed_{AllOf{}};  // matches what no `allow` of the phase let past
+    bool allow_refused_ = false;  // an `allow` of the phase could not be translated
+};
+
+}  // namespace
+
+std::string RouteNames::next(const std::string& purpose, const Statement& statement) {
+    const std::string name = fmt::format("{}-{}", purpose, statement.line.number);
+    const int earlier_uses = uses_[name]++;
+    return earlier_uses == 0 ? name : fmt::format("{}.{}", name, earlier_uses + 1);
+}
+
+Match match_both(const Match& first, const Match& second) {
+    const auto* all = std::get_if<AllOf>(&first.is);
+    if (all != nullptr && all->of.empty()) {
+        return second;
+    }
+    return {AllOf{{first, second}}};
+}
+
+std::vector<Denial> translate_request_rules(const Draft& draft, Acls& acls, Findings& findings,
+                                            RouteSink* sink) {
+    return RequestRuleTranslator(draft, acls, findings, sink).translate();
+}
+
+}  // namespace micaroad::haproxy
--- /dev/null
+++ b/src/haproxy/request_rules.hpp
@@ -0,0 +1,49 @@
+/// \file
+/// Translates the rules that act on requests (`tcp-request`, `http-request`, `block` and
+/// `redirect`; configuration manual 2.8, section 4.2) to routes that turn RPCs away or redirect
+/// them.
+#pragma once
+
+#include <map>
+#include <string>
+#include <vector>
+
+#include "haproxy/acl.hpp"
+#include "haproxy/section.hpp"
+#include "routing/plan.hpp"
+
+namespace micaroad::haproxy {
+
+/// RPCs that a section answers itself with an error.
+struct Denial {
+    routing::Match when;
+    int status;  // of HTTP, 400 to 599
+};
+
+/// Makes the names of one listener's routes: a purpose and the line number of the statement, with
+/// a counter where that pair occurs again.
+class RouteNames {
+ public:
+    [[nodiscard]] std::string next(const std::string& purpose, const Statement& statement);
+
+ private:
+    std::map<std::string, int> uses_;
+};
+
+/// Where the routes of a listener go. Both objects outlive this one.
+struct RouteSink {
+    std::vector<routing::Route>& routes;
+    RouteNames& names;
+};
+
+/// Matches what both match.
+[[nodiscard]] routing::Match match_both(const routing::Match& first, const routing::Match& second);
+
+/// Translates the rules of `draft` in the order in which HAProxy evaluates them, and records a
+/// verdict for each in `findings`. Routes for denials and redirects are appended to `sink`; it is
+/// null for a backend, which has no routes of its own: its denials apply wherever a route leads to
+/// it, and its redirects are refused.
+[[nodiscard]] std::vector<Denial> translate_request_rules(const Draft& draft, Acls& acls,
+                                                          Findings& findings, RouteSink* sink);
+
+}  // namespace micaroad::haproxy
--- a/src/haproxy/routes.hpp
+++ b/src/haproxy/routes.hpp
@@ -1,4 +1,5 @@
-// Sections that listen to listeners with ordered routes.
+/// \file
+/// Translates the sections that listen (`frontend` and `listen`) to listeners with ordered routes.
 #pragma once
 
 #include <map>
@@ -7,42 +8,36 @@
 #include <vector>
 
 #include "haproxy/acl.hpp"
+#include "haproxy/request_rules.hpp"
 #include "haproxy/section.hpp"
 #include "routing/plan.hpp"
 
 namespace micaroad::haproxy {
 
+/// Makes the listeners of one configuration. Not thread-safe; `findings` outlives it.
 class RouteMaker {
  public:
-    // What backends turn away is asked for wherever a route leads to them.
+    /// Translates the denials of all backends in `drafts`: each route that leads to a pool comes
+    /// behind those of the pool.
     RouteMaker(const std::vector<Draft>& drafts, Findings& findings);
 
-    routing::Listener listener(const Draft& draft);
+    /// Makes the listener of a section with `draft.listens()`, and records the verdicts of its
+    /// `bind`, rule and `use_backend` lines.
+    [[nodiscard]] routing::Listener listener(const Draft& draft);
 
  private:
-    struct Denial {
-        routing::Match when;
-        int status;
-    };
-    // What a rule comes to: nothing, a way to turn away or redirect, or leave for what follows.
-    struct Rule {
-        int phase = 0;
-        const Statement* statement;
-    };
-    std::vector<Denial> denials_of(const Draft& draft, Acls& acls,
-                                   std::vector<routing::Route>* routes);
-    void to_pool(const std::string& pool, const routing::Match& when, const Statement& statement,
-                 std::vector<routing::Route>& routes);
-    void bind(const Statement& statement, routing::Listener& listener);
-    std::string name_of(const std::string& what, const Statement& statement);
-    void say(const Statement& statement, Verdict verdict, const std::string& says) {
-        findings_.say(statement.number, verdict, says);
+    void translate_bind(const Statement& statement, routing::Listener& listener);
+    void translate_use_backend(const Statement& statement, Acls& acls, RouteSink& sink);
+    void translate_default_pool(const Draft& draft, routing::Listener& listener, RouteNames& names);
+    void add_pool_routes(const std::string& pool, const routing::Match& when,
+                         const Statement& statement, RouteSink& sink);
+    void report(const Statement& statement, Verdict verdict, const std::string& text) {
+        findings_.say(statement.number, verdict, text);
     }
 
     Findings& findings_;
-    std::map<std::string, std::vector<Denial>> denials_;  // by pool
-    std::set<std::string> pools_;                         // that exist
-    std::map<std::string, int> names_;                    // of the listener at hand
+    std::map<std::string, std::vector<Denial>> denials_by_pool_;
+    std::set<std::string> pools_;  // all that exist
 };
 
 }  // namespace micaroad::haproxy
