--- a/src/haproxy/acl.hpp
+++ b/src/haproxy/acl.hpp
@@ -1,57 +1,46 @@
-// ACLs and the conditions made of them, as routing::Match. An ACL declared several times holds
-// where any of its lines does.
+/// \file
+/// ACLs of a section and the conditions made of them (configuration manual 2.8, section 7), as
+/// routing::Match. An ACL declared several times holds where any of its lines does.
 #pragma once
 
 #include <map>
-#include <optional>
-#include <set>
 #include <string>
 #include <vector>
 
+#include "haproxy/acl_expression.hpp"
 #include "haproxy/tree.hpp"
 #include "routing/plan.hpp"
 
 namespace micaroad::haproxy {
 
-struct Translated {
-    std::optional<routing::Match> match;  // absent: refused
-    Verdict verdict = Verdict::translated;
-    std::string says;
-};
-
-// The pools that conditions may name, and the one that nbsrv means without a name; empty: none.
-struct Scope {
-    std::set<std::string> pools;
-    std::string own;
-};
-
-// One expression: `path_beg -i /img /css`, words [from, to).
-Translated expression_of(const std::vector<Word>& words, std::size_t from, std::size_t to,
-                         const Scope& scope);
-
-// All that a section declares, and what its conditions make of them.
+/// All ACLs that one section declares. Not thread-safe; `findings` outlives it.
 class Acls {
  public:
+    /// Translates the `acl` lines and records their verdicts. A line that no condition uses counts
+    /// as one without effect.
     Acls(const std::vector<const Statement*>& declarations, Scope scope, Findings& findings);
 
-    // `if a !b or { path /x }`: words from the "if" or "unless" on; none: always. A use is a line
-    // that comes after a declaration.
-    Translated condition(const Statement& statement, std::size_t from);
+    /// Translates `if a !b or { path /x }`: the words from `from` on, the first of which is "if" or
+    /// "unless". Without words it always matches. An ACL may be used only on lines behind its first
+    /// declaration.
+    [[nodiscard]] TranslatedCondition condition(const Statement& statement, std::size_t from);
 
  private:
-    struct Named {
-        int first_line = 0;
-        std::string first_file;
-        std::vector<routing::Match> of;
-        std::string refused;  // why, by one of its lines
-        std::vector<std::size_t> lines;
+    struct Acl {
+        int first_line = 0;  // in its file
+        std::vector<routing::Match> alternatives;
+        std::string refused;             // why one of its lines has no translation; empty: all have
+        std::vector<std::size_t> lines;  // numbers in the findings, ascending
     };
-    Translated term(const Statement& statement, const std::string& name);
+    struct Term;
+    void declare(const Statement& statement);
+    TranslatedCondition any_of_terms(const Statement& statement, std::size_t from);
+    TranslatedCondition translate_term(const Statement& statement, Term& term);
+    TranslatedCondition translate_name(const Statement& statement, const std::string& name);
 
     Scope scope_;
     Findings& findings_;
-    std::map<std::string, Named> named_;
-    std::map<std::string, std::size_t> order_;  // the findings' number of the first declaration
+    std::map<std::string, Acl> acls_;  // by name
 };
 
 }  // namespace micaroad::haproxy
--- /dev/null
+++ b/src/haproxy/acl_expression.hpp
@@ -0,0 +1,51 @@
+/// \file
+/// Translates one expression of an ACL, such as `path_beg -i /img /css` (configuration manual 2.8,
+/// section 7), to a routing::Match.
+#pragma once
+
+#include <set>
+#include <string>
+#include <tl/expected.hpp>
+#include <utility>
+#include <vector>
+
+#include "haproxy/findings.hpp"
+#include "haproxy/lexer.hpp"
+#include "routing/plan.hpp"
+
+namespace micaroad::haproxy {
+
+/// A condition that could be translated, and what to tell the operator about it.
+struct TranslatedMatch {
+    TranslatedMatch() = default;
+    explicit TranslatedMatch(routing::Match condition) : match(std::move(condition)) {}
+    TranslatedMatch(routing::Match condition, Verdict how, std::string text)
+        : match(std::move(condition)), verdict(how), note(std::move(text)) {}
+
+    routing::Match match;
+    Verdict verdict = Verdict::translated;
+    std::string note;  // may be empty
+};
+
+/// Why a condition has no translation.
+struct ConditionRefusal {
+    std::string reason;
+};
+
+using TranslatedCondition = tl::expected<TranslatedMatch, ConditionRefusal>;
+
+[[nodiscard]] inline TranslatedCondition refuse_condition(std::string reason) {
+    return tl::unexpected(ConditionRefusal{std::move(reason)});
+}
+
+/// The pools that an expression may name.
+struct Scope {
+    std::set<std::string> pools;
+    std::string own;  // the one that nbsrv means without a name; empty: none
+};
+
+/// Translates the expression in words [from, to).
+[[nodiscard]] TranslatedCondition expression_of(const std::vector<Word>& words, std::size_t from,
+                                                std::size_t to, const Scope& scope);
+
+}  // namespace micaroad::haproxy
--- a/src/haproxy/request_rules.cpp
+++ b/src/haproxy/request_rules.cpp
@@ -270,24 +270,24 @@
 
     void turn_away(const Rule& rule) {
         const auto status = read_denial_status(rule);
-        const Translated condition = acls_.condition(*rule.statement, rule.condition);
+        const TranslatedCondition condition = acls_.condition(*rule.statement, rule.condition);
         if (!status) {
             return refuse_denial(rule, status.error().reason);
         }
-        if (!condition.match) {
-            return refuse_denial(rule, condition.says);
+        if (!condition) {
+            return refuse_denial(rule, condition.error().reason);
         }
         if (*status < kLeastErrorStatus) {
             return refuse_denial(
                 rule, fmt::format("an answer of status {} is the proxies' own", *status));
         }
-        const Match match = match_both(not_allowed_, *condition.match);
+        const Match match = match_both(not_allowed_, condition->match);
         denials_.push_back({match, *status});
         if (sink_ != nullptr) {
             sink_->routes.push_back(
                 {sink_->names.next("deny", *rule.statement), match, routing::TurnAway{*status}});
         }
-        report_denial(rule, condition, *status);
+        report_denial(rule, *condition, *status);
     }
 
     void refuse_denial(const Rule& rule, const std::string& reason) {
@@ -295,10 +295,10 @@
                fmt::format("{}; what it answered passes now: answer it at the proxies", reason));
     }
 
-    void report_denial(const Rule& rule, const Translated& condition, int status) {
+    void report_denial(const Rule& rule, const TranslatedMatch& condition, int status) {
         Verdict verdict = verdict_behind_allow(condition);
         std::string text =
-            allow_refused_ ? "also what an `allow` before it let past" : condition.says;
+            allow_refused_ ? "also what an `allow` before it let past" : condition.note;
         if (rule.action != "deny") {
             verdict = std::max(verdict, Verdict::changed);
             text =
@@ -310,22 +310,22 @@
     }
 
     void allow(const Rule& rule) {
-        const Translated condition = acls_.condition(*rule.statement, rule.condition);
-        if (!condition.match) {
+        const TranslatedCondition condition = acls_.condition(*rule.statement, rule.condition);
+        if (!condition) {
             allow_refused_ = true;
             return report(rule, Verdict::refused,
                           fmt::format("{}; what it let past is turned away by the rules behind it",
-                                      condition.says));
+                                      condition.error().reason));
         }
-        not_allowed_ = match_both(not_allowed_, Match{Not{{*condition.match}}});
-        report(rule, condition.verdict, condition.says);
+        not_allowed_ = match_both(not_allowed_, Match{Not{{condition->match}}});
+        report(rule, condition->verdict, condition->note);
     }
 
     void redirect(const Rule& rule) {
         const routing::Redirect target = read_redirect(rule);
-        const Translated condition = acls_.condition(*rule.statement, rule.condition);
-        if (!condition.match) {
-            return refuse_redirect(rule, condition.says);
+        const TranslatedCondition condition = acls_.condition(*rule.statement, rule.condition);
+        if (!condition) {
+            return refuse_redirect(rule, condition.error().reason);
         }
         if (sink_ == nullptr) {
             return refuse_redirect(rule, "a backend's redirect has no equal here");
@@ -334,8 +334,8 @@
             return refuse_redirect(rule, "only a location that stands in the line can be told");
         }
         sink_->routes.push_back({sink_->names.next("redirect", *rule.statement),
-                                 match_both(not_allowed_, *condition.match), target});
-        report(rule, verdict_behind_allow(condition), condition.says);
+                                 match_both(not_allowed_, condition->match), target});
+        report(rule, verdict_behind_allow(*condition), condition->note);
     }
 
     void refuse_redirect(const Rule& rule, const std::string& reason) {
@@ -366,7 +366,7 @@
         report(rule, Verdict::no_effect, "headers for servers are the proxies' own");
     }
 
-    [[nodiscard]] Verdict verdict_behind_allow(const Translated& condition) const {
+    [[nodiscard]] Verdict verdict_behind_allow(const TranslatedMatch& condition) const {
         return std::max(condition.verdict, allow_refused_ ? Verdict::changed : Verdict::translated);
     }
 
--- a/src/haproxy/routes.cpp
+++ b/src/haproxy/routes.cpp
@@ -114,17 +114,17 @@
                       "a pool's name can't be made from the RPC: write a line for each pool; what "
                       "it took goes on to the routes behind it");
     }
-    const Translated condition = acls.condition(statement, 2);
+    const TranslatedCondition condition = acls.condition(statement, 2);
     if (!pools_.contains(pool)) {
         return report(statement, Verdict::refused, fmt::format("there is no backend {}", pool));
     }
-    if (!condition.match) {
-        return report(
-            statement, Verdict::refused,
-            fmt::format("{}; what it took goes on to the routes behind it", condition.says));
+    if (!condition) {
+        return report(statement, Verdict::refused,
+                      fmt::format("{}; what it took goes on to the routes behind it",
+                                  condition.error().reason));
     }
-    add_pool_routes(pool, *condition.match, statement, sink);
-    report(statement, condition.verdict, condition.says);
+    add_pool_routes(pool, condition->match, statement, sink);
+    report(statement, condition->verdict, condition->note);
 }
 
 void RouteMaker::add_pool_routes(const std::string& pool, const routing::Match& when,
