--- a/src/haproxy/acl.cpp
+++ b/src/haproxy/acl.cpp
@@ -15,6 +15,16 @@
 using routing::MethodIs;
 using routing::Not;
 
+Match loopback_sources() {
+    routing::SourceIn loopback;
+    for (const char* const text : {"127.0.0.0/8", "::1"}) {
+        if (const auto network = routing::network_of(text)) {
+            loopback.networks.push_back(*network);
+        }
+    }
+    return Match{loopback};
+}
+
 /// The ACLs that HAProxy's manual lists as always defined.
 std::optional<Match> predefined(const std::string& name) {
     static const std::map<std::string, std::vector<std::string>> kMethods{
@@ -28,8 +38,7 @@
         return Match{AnyOf{}};
     }
     if (name == "LOCALHOST") {
-        return Match{
-            routing::SourceIn{{*routing::network_of("127.0.0.0/8"), *routing::network_of("::1")}}};
+        return loopback_sources();
     }
     if (name == "HTTP_URL_SLASH") {
         return Match{routing::PathIs{{routing::TextWay::prefix, {"/"}, false}}};
--- a/src/haproxy/pools.cpp
+++ b/src/haproxy/pools.cpp
@@ -18,6 +18,11 @@
            balance.kind == "hdr";
 }
 
+/// HAProxy waits without end where a timeout is absent or 0.
+bool is_unlimited(std::optional<Duration> timeout) {
+    return !timeout || *timeout == Duration{};
+}
+
 // What `stick on` and `balance` name, as the planner's stickiness; absent: no equal.
 std::optional<routing::Stickiness> sticky_by(const std::string& expression) {
     using By = routing::Stickiness::By;
@@ -33,9 +38,11 @@
     } else if (name == "path") {
         to.by = By::path;
     } else if ((name == "hdr" || name == "req.hdr" || name == "req.fhdr") && !argument.empty()) {
-        to.by = By::header, to.name = argument;
+        to.by = By::header;
+        to.name = argument;
     } else if ((name == "url_param" || name == "urlp") && !argument.empty()) {
-        to.by = By::query, to.name = argument;
+        to.by = By::query;
+        to.name = argument;
     } else {
         return std::nullopt;
     }
@@ -51,60 +58,13 @@
     routing::Pool pool;
     pool.name = section.name;
     say(header, Verdict::translated, fmt::format("pool {}", pool.name));
-    const auto timeout = [&](const char* name) -> std::optional<Duration> {
-        const auto at = settings.timeouts.find(name);
-        return at == settings.timeouts.end() ? std::nullopt
-                                             : std::optional(at->second.get(findings_));
-    };
-    const auto connect = timeout("connect"), answer = timeout("server"), queue = timeout("queue"),
-               check = timeout("check");
-    const auto unlimited = [](std::optional<Duration> time) {
-        return !time || *time == Duration{};
-    };
-    if (unlimited(connect) || unlimited(answer)) {
-        say(header, Verdict::changed,
-            "without `timeout connect` or `timeout server` the original waits without end; here 5 "
-            "s and 30 "
-            "s");
-    }
-    if (!unlimited(connect)) {
-        pool.connect_within = *connect, pool.queue_patience = *connect;
-    }
-    if (!unlimited(answer)) {
-        pool.answer_within = *answer;
-    }
-    if (queue && *queue == Duration{}) {
-        say(settings.timeouts.at("queue").line(), Verdict::changed,
-            "nobody waits without end: as long as for a connection");
-    } else if (queue) {
-        pool.queue_patience = *queue;
-    }
+    set_timeouts(draft, pool);
 
     const Balance balance = settings.balance.get_or(Balance{}, findings_);
     balance_[pool.name] = balance.kind;
     pool.all_backups = settings.all_backups.get_or(false, findings_);
-    const auto retry_on = settings.retry_on.get_or({true, false}, findings_);
-    const Redispatch redispatch = settings.redispatch.get_or(Redispatch{}, findings_);
-    pool.further.most = retry_on.first ? settings.retries.get_or(kRetries, findings_) : 0;
-    using routing::FurtherTries;
-    pool.further.proof =
-        retry_on.second ? FurtherTries::Proof::any_failure : FurtherTries::Proof::never_ran;
-    pool.further.where = !redispatch.on             ? FurtherTries::Where::same
-                         : redispatch.interval == 1 ? FurtherTries::Where::other
-                                                    : FurtherTries::Where::other_at_last;
-    if (settings.check) {
-        const Check rule = settings.check.get(findings_);
-        if (rule.http) {
-            pool.health.kind = routing::HealthRule::Kind::http;
-            pool.health.http_method = rule.method, pool.health.http_path = rule.path,
-            pool.health.http_host = rule.host;
-            pool.health.status_least = rule.status_least,
-            pool.health.status_most = rule.status_most;
-        }
-    }
-    if (check) {
-        pool.health.patience = *check;
-    }
+    set_retries(settings, pool);
+    set_health_check(settings, pool);
     stickiness(draft, balance, pool);
     if (settings.hash_type && by_hash(balance)) {
         settings.hash_type.get(findings_);
@@ -124,6 +84,74 @@
     pools_.push_back(std::move(pool));
 }
 
+std::optional<Duration> PoolMaker::timeout(const Settings& settings, const std::string& name) {
+    const auto found = settings.timeouts.find(name);
+    if (found == settings.timeouts.end()) {
+        return std::nullopt;
+    }
+    return found->second.get(findings_);
+}
+
+void PoolMaker::set_timeouts(const Draft& draft, routing::Pool& pool) {
+    const Settings& settings = draft.settings;
+    const std::optional<Duration> connect = timeout(settings, "connect");
+    const std::optional<Duration> answer = timeout(settings, "server");
+    const std::optional<Duration> queue = timeout(settings, "queue");
+    if (is_unlimited(connect) || is_unlimited(answer)) {
+        say(draft.section->header.number, Verdict::changed,
+            "without `timeout connect` or `timeout server` the original waits without end; here 5 "
+            "s and 30 s");
+    }
+    if (connect && !is_unlimited(connect)) {
+        pool.connect_within = *connect;
+        pool.queue_patience = *connect;
+    }
+    if (answer && !is_unlimited(answer)) {
+        pool.answer_within = *answer;
+    }
+    if (queue && is_unlimited(queue)) {
+        say(settings.timeouts.at("queue").line(), Verdict::changed,
+            "nobody waits without end: as long as for a connection");
+    } else if (queue) {
+        pool.queue_patience = *queue;
+    }
+}
+
+void PoolMaker::set_retries(const Settings& settings, routing::Pool& pool) {
+    using routing::FurtherTries;
+    const auto retry_on = settings.retry_on.get_or({true, false}, findings_);
+    const bool any_retry = retry_on.first;
+    const bool after_any_failure = retry_on.second;
+    const Redispatch redispatch = settings.redispatch.get_or(Redispatch{}, findings_);
+    pool.further.most = any_retry ? settings.retries.get_or(kRetries, findings_) : 0;
+    pool.further.proof =
+        after_any_failure ? FurtherTries::Proof::any_failure : FurtherTries::Proof::never_ran;
+    if (!redispatch.on) {
+        pool.further.where = FurtherTries::Where::same;
+    } else if (redispatch.interval == 1) {
+        pool.further.where = FurtherTries::Where::other;
+    } else {
+        pool.further.where = FurtherTries::Where::other_at_last;
+    }
+}
+
+void PoolMaker::set_health_check(const Settings& settings, routing::Pool& pool) {
+    if (settings.check) {
+        const Check& check = settings.check.get(findings_);
+        if (check.http) {
+            pool.health.kind = routing::HealthRule::Kind::http;
+            pool.health.http_method = check.method;
+            pool.health.http_path = check.path;
+            pool.health.http_host = check.host;
+            pool.health.status_least = check.status_least;
+            pool.health.status_most = check.status_most;
+        }
+    }
+    if (const std::optional<Duration> patience = timeout(settings, "check")) {
+        pool.health.patience = *patience;
+    }
+}
+
 void PoolMaker::stickiness(const Draft& draft, const Balance& balance, routing::Pool& pool) {
     using By = routing::Stickiness::By;
     const Settings& settings = draft.settings;
@@ -132,14 +160,18 @@
         to.by = By::source;
     }
     if (balance.kind == "uri") {
-        to.by = By::path, to.path_depth = balance.depth, to.path_length = balance.length,
+        to.by = By::path;
+        to.path_depth = balance.depth;
+        to.path_length = balance.length;
         to.with_query = balance.whole;
     }
     if (balance.kind == "url_param") {
-        to.by = By::query, to.name = balance.argument;
+        to.by = By::query;
+        to.name = balance.argument;
     }
     if (balance.kind == "hdr") {
-        to.by = By::header, to.name = balance.argument;
+        to.by = By::header;
+        to.name = balance.argument;
     }
     bool taken = false;
     if (settings.cookie) {
@@ -148,7 +180,9 @@
                 fmt::format("in pool {} the cookie decides; RPCs without it spread by weight",
                             pool.name));
         }
-        to = {}, to.by = By::cookie, to.name = settings.cookie.get(findings_).name;
+        to = {};
+        to.by = By::cookie;
+        to.name = settings.cookie.get(findings_).name;
         to.keeps_down = settings.persist.get_or(false, findings_);
         taken = true;
     }
@@ -169,7 +203,8 @@
             say(stick->number, Verdict::refused,
                 "a pool keeps RPCs together by one thing, and it has one");
         } else {
-            to = *by, taken = true;
+            to = *by;
+            taken = true;
             if (settings.stick_table) {
                 settings.stick_table.get(findings_);
             }
@@ -273,7 +308,8 @@
     }
 
     routing::Server server;
-    server.name = name, server.address = endpoint->text();
+    server.name = name;
+    server.address = endpoint->text();
     server.weight = words.weight;
     server.tier = words.backup ? routing::Tier::backup : routing::Tier::active;
     if (words.disabled) {
@@ -312,9 +348,10 @@
     const routing::HealthRule usual;
     const bool first = health_by_.try_emplace(pool.name, at.statement->word(1)).second;
     rule.every = words.inter.value_or(usual.every);
-    rule.every_in_doubt = words.fast_inter.value_or(Duration{}),
+    rule.every_in_doubt = words.fast_inter.value_or(Duration{});
     rule.every_while_down = words.down_inter.value_or(Duration{});
-    rule.rise = words.rise.value_or(usual.rise), rule.fall = words.fall.value_or(usual.fall);
+    rule.rise = words.rise.value_or(usual.rise);
+    rule.fall = words.fall.value_or(usual.fall);
     rule.errors_most = words.observes ? words.error_limit.value_or(kErrorLimit) : 0;
     if (first) {
         pool.health = rule;
--- a/src/haproxy/pools.hpp
+++ b/src/haproxy/pools.hpp
@@ -2,6 +2,7 @@
 #pragma once
 
 #include <map>
+#include <optional>
 #include <set>
 #include <string>
 #include <vector>
@@ -22,6 +23,10 @@
     const std::map<std::string, std::string>& balance() const { return balance_; }
 
  private:
+    std::optional<Duration> timeout(const Settings& settings, const std::string& name);
+    void set_timeouts(const Draft& draft, routing::Pool& pool);
+    void set_retries(const Settings& settings, routing::Pool& pool);
+    void set_health_check(const Settings& settings, routing::Pool& pool);
     void servers(const ServerAt& at, const Draft& draft, routing::Pool& pool);
     void one_server(const ServerAt& at, const ServerWords& words, const std::string& name,
                     const Draft& draft, routing::Pool& pool);
