--- a/src/haproxy/pools.cpp
+++ b/src/haproxy/pools.cpp
@@ -3,6 +3,7 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <cctype>
 
 #include "haproxy/units.hpp"
 
@@ -12,6 +13,7 @@
 constexpr int kRetries = 3;      // of the original, where nothing is said
 constexpr int kErrorLimit = 10;  // likewise
 constexpr int kMostTemplated = 100'000;
+constexpr std::size_t kMaxNameLength = 128;
 
 bool by_hash(const Balance& balance) {
     return balance.kind == "source" || balance.kind == "uri" || balance.kind == "url_param" ||
@@ -49,6 +51,70 @@
     return to;
 }
 
+bool is_server_name(const std::string& name) {
+    return !name.empty() && name.size() <= kMaxNameLength &&
+           std::ranges::all_of(name, [](unsigned char character) {
+               return std::isalnum(character) != 0 || character == '-' || character == '_' ||
+                      character == '.' || character == ':';
+           });
+}
+
+/// Why a server can't have an address.
+struct AddressError {
+    std::string reason;
+};
+
+/// `address` is the text that `endpoint` was read from.
+std::optional<AddressError> check_server_address(const Endpoint& endpoint,
+                                                 const std::string& address) {
+    switch (endpoint.kind) {
+        case Endpoint::Kind::literal:
+            break;
+        case Endpoint::Kind::needs_look_up:
+            return AddressError{
+                fmt::format("'{}' needs a look-up, which is not done: write its address", address)};
+        case Endpoint::Kind::any_host:
+            return AddressError{fmt::format("'{}' is wherever the client meant to go", address)};
+        case Endpoint::Kind::unix_path:
+        case Endpoint::Kind::other:
+            return AddressError{fmt::format("'{}' is no TCP address", address)};
+    }
+    if (endpoint.relative_port || endpoint.port == 0) {
+        return AddressError{fmt::format("'{}' takes its port from the client's", address)};
+    }
+    return std::nullopt;
+}
+
+/// The stickiness that a hashing `balance` amounts to.
+routing::Stickiness stickiness_of(const Balance& balance) {
+    using By = routing::Stickiness::By;
+    routing::Stickiness stickiness;
+    if (balance.kind == "source") {
+        stickiness.by = By::source;
+    } else if (balance.kind == "uri") {
+        stickiness.by = By::path;
+        stickiness.path_depth = balance.depth;
+        stickiness.path_length = balance.length;
+        stickiness.with_query = balance.whole;
+    } else if (balance.kind == "url_param") {
+        stickiness.by = By::query;
+        stickiness.name = balance.argument;
+    } else if (balance.kind == "hdr") {
+        stickiness.by = By::header;
+        stickiness.name = balance.argument;
+    }
+    return stickiness;
+}
+
+bool has_condition(const Statement& statement, std::size_t from) {
+    for (std::size_t position = from; position < statement.size(); ++position) {
+        if (statement.word(position) == "if" || statement.word(position) == "unless") {
+            return true;
+        }
+    }
+    return false;
+}
+
 }  // namespace
 
 void PoolMaker::add(const Draft& draft) {
@@ -153,68 +219,59 @@
 }
 
 void PoolMaker::stickiness(const Draft& draft, const Balance& balance, routing::Pool& pool) {
-    using By = routing::Stickiness::By;
     const Settings& settings = draft.settings;
-    routing::Stickiness to;
-    if (balance.kind == "source") {
-        to.by = By::source;
-    }
-    if (balance.kind == "uri") {
-        to.by = By::path;
-        to.path_depth = balance.depth;
-        to.path_length = balance.length;
-        to.with_query = balance.whole;
-    }
-    if (balance.kind == "url_param") {
-        to.by = By::query;
-        to.name = balance.argument;
-    }
-    if (balance.kind == "hdr") {
-        to.by = By::header;
-        to.name = balance.argument;
-    }
+    pool.stickiness = stickiness_of(balance);
     bool taken = false;
     if (settings.cookie) {
-        if (to.by != By::none) {
+        if (pool.stickiness.by != routing::Stickiness::By::none) {
             say(settings.balance.line(), Verdict::changed,
                 fmt::format("in pool {} the cookie decides; RPCs without it spread by weight",
                             pool.name));
         }
-        to = {};
-        to.by = By::cookie;
-        to.name = settings.cookie.get(findings_).name;
-        to.keeps_down = settings.persist.get_or(false, findings_);
+        pool.stickiness = {};
+        pool.stickiness.by = routing::Stickiness::By::cookie;
+        pool.stickiness.name = settings.cookie.get(findings_).name;
+        pool.stickiness.keeps_down = settings.persist.get_or(false, findings_);
         taken = true;
     }
     for (const Statement* stick : draft.sticks) {
-        const std::size_t on = stick->word(1) == "on" ? 2 : 0;
-        const auto by = on > 0 ? sticky_by(stick->word(on)) : std::nullopt;
-        if (!by) {
-            say(stick->number, Verdict::refused,
-                on > 0 ? fmt::format("'{}' is nothing that RPCs are kept together by here",
-                                     stick->word(on))
-                       : "nothing is stored: `stick on` with src, path, hdr() or url_param()");
-        } else if (stick->size() > 3 && std::any_of(stick->line.words.begin() + 3,
-                                                    stick->line.words.end(), [](const Word& w) {
-                                                        return w.text == "if" || w.text == "unless";
-                                                    })) {
-            say(stick->number, Verdict::refused, "stickiness is by pool, without conditions");
-        } else if (taken) {
-            say(stick->number, Verdict::refused,
-                "a pool keeps RPCs together by one thing, and it has one");
-        } else {
-            to = *by;
+        if (stick_on(*stick, settings, taken, pool)) {
             taken = true;
-            if (settings.stick_table) {
-                settings.stick_table.get(findings_);
-            }
-            say(stick->number, Verdict::changed,
-                "one key keeps to one server by its hash while that may be used, also before "
-                "anything was "
-                "learnt of it");
         }
     }
-    pool.stickiness = to;
+}
+
+bool PoolMaker::stick_on(const Statement& statement, const Settings& settings, bool taken,
+                         routing::Pool& pool) {
+    if (statement.word(1) != "on") {
+        say(statement.number, Verdict::refused,
+            "nothing is stored: `stick on` with src, path, hdr() or url_param()");
+        return false;
+    }
+    const std::string& expression = statement.word(2);
+    const std::optional<routing::Stickiness> by = sticky_by(expression);
+    if (!by) {
+        say(statement.number, Verdict::refused,
+            fmt::format("'{}' is nothing that RPCs are kept together by here", expression));
+        return false;
+    }
+    if (has_condition(statement, 3)) {
+        say(statement.number, Verdict::refused, "stickiness is by pool, without conditions");
+        return false;
+    }
+    if (taken) {
+        say(statement.number, Verdict::refused,
+            "a pool keeps RPCs together by one thing, and it has one");
+        return false;
+    }
+    pool.stickiness = *by;
+    if (settings.stick_table) {
+        settings.stick_table.get(findings_);
+    }
+    say(statement.number, Verdict::changed,
+        "one key keeps to one server by its hash while that may be used, also before anything was "
+        "learnt of it");
+    return true;
 }
 
 void PoolMaker::servers(const ServerAt& at, const Draft& draft, routing::Pool& pool) {
@@ -277,31 +334,15 @@
         say(line, Verdict::refused, fmt::format("{}: the server is left out", why));
     };
     const std::string& address = statement.word(statement.word(0) == "server" ? 2 : 3);
-    const bool sound = !name.empty() && name.size() <= 128 &&
-                       std::all_of(name.begin(), name.end(), [](unsigned char c) {
-                           return std::isalnum(c) || c == '-' || c == '_' || c == '.' || c == ':';
-                       });
-    if (!sound) {
+    if (!is_server_name(name)) {
         return leave_out(fmt::format("'{}' is no name", name));
     }
     const auto endpoint = endpoint_of(address);
     if (!endpoint) {
         return leave_out(endpoint.wrong);
     }
-    switch (endpoint->kind) {
-        case Endpoint::Kind::literal:
-            break;
-        case Endpoint::Kind::needs_look_up:
-            return leave_out(
-                fmt::format("'{}' needs a look-up, which is not done: write its address", address));
-        case Endpoint::Kind::any_host:
-            return leave_out(fmt::format("'{}' is wherever the client meant to go", address));
-        case Endpoint::Kind::unix_path:
-        case Endpoint::Kind::other:
-            return leave_out(fmt::format("'{}' is no TCP address", address));
-    }
-    if (endpoint->relative_port || endpoint->port == 0) {
-        return leave_out(fmt::format("'{}' takes its port from the client's", address));
+    if (const auto error = check_server_address(*endpoint, address)) {
+        return leave_out(error->reason);
     }
     if (!names_.insert(name).second) {
         return leave_out(fmt::format("a second server {} in {}", name, pool.name));
--- a/src/haproxy/pools.hpp
+++ b/src/haproxy/pools.hpp
@@ -1,4 +1,5 @@
-// Sections with servers to pools.
+/// \file
+/// Translates the sections with servers (`backend` and `listen`) to pools.
 #pragma once
 
 #include <map>
@@ -12,15 +13,19 @@
 
 namespace micaroad::haproxy {
 
+/// Makes the pools of one configuration. Not thread-safe; `findings` outlives it.
 class PoolMaker {
  public:
     explicit PoolMaker(Findings& findings) : findings_(findings) {}
 
+    /// Makes the pool of a section with `draft.has_servers()`.
     void add(const Draft& draft);
-    // Chains of `track` can only be judged once all pools are there: servers that track in a
-    // circle, nobody, or who has no health of its own are left out.
-    std::vector<routing::Pool> finish();
-    const std::map<std::string, std::string>& balance() const { return balance_; }
+    /// Returns the pools in the order of their `add`; to be called once, after the last. Leaves out
+    /// servers whose chain of `track` is circular, or ends at a server that is missing or has no
+    /// health check: that can be told only once all pools are there.
+    [[nodiscard]] std::vector<routing::Pool> finish();
+    /// The `balance` algorithm of each pool, by its name.
+    [[nodiscard]] const std::map<std::string, std::string>& balance() const { return balance_; }
 
  private:
     std::optional<Duration> timeout(const Settings& settings, const std::string& name);
@@ -32,6 +37,9 @@
                     const Draft& draft, routing::Pool& pool);
     void health(const ServerAt& at, const ServerWords& words, routing::Pool& pool);
     void stickiness(const Draft& draft, const Balance& balance, routing::Pool& pool);
+    /// Returns whether the line decides the pool's stickiness.
+    bool stick_on(const Statement& statement, const Settings& settings, bool taken,
+                  routing::Pool& pool);
     void say(std::size_t line, Verdict verdict, const std::string& says) {
         findings_.say(line, verdict, says);
     }
