--- a/src/haproxy/files.hpp
+++ b/src/haproxy/files.hpp
@@ -1,5 +1,6 @@
-// Which files a command line's names mean, in the original's order: files as given, of a directory
-// those that end in .cfg, by name; then read into one tree.
+/// \file
+/// Reads configuration files into one tree, in HAProxy's order: files as given, of a directory
+/// those that end in .cfg, by name.
 #pragma once
 
 #include <string>
@@ -11,7 +12,9 @@
 
 constexpr std::size_t kLongestFile = 64u << 20;  // bytes
 
-// Troubles of files that can't be read come with those of their text.
-Tree read_files(const std::vector<std::string>& names, const Environment& environment);
+/// Files that can't be read or are longer than kLongestFile are among the tree's troubles, before
+/// those of the texts.
+[[nodiscard]] Tree read_files(const std::vector<std::string>& names,
+                              const Environment& environment);
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/findings.cpp
+++ b/src/haproxy/findings.cpp
@@ -26,8 +26,11 @@
 
 void Findings::say(std::size_t number, Verdict verdict, const std::string& says) {
     Row& row = rows_[number];
-    if (!std::exchange(row.said, true) || verdict > row.finding.verdict) {
-        row.finding.verdict = verdict, row.finding.says = says;
+    const bool is_first = !row.said;
+    row.said = true;
+    if (is_first || verdict > row.finding.verdict) {
+        row.finding.verdict = verdict;
+        row.finding.says = says;
     } else if (verdict == row.finding.verdict && !says.empty() &&
                row.finding.says.find(says) == std::string::npos) {
         row.finding.says += (row.finding.says.empty() ? "" : "; ") + says;
@@ -40,9 +43,11 @@
     for (const Row& row : rows_) {
         Finding finding = row.finding;
         if (!row.said) {
-            finding.verdict = Verdict::refused, finding.says = "nothing here knows this line";
+            finding.verdict = Verdict::refused;
+            finding.says = "nothing here knows this line";
         } else if (!row.unless_used.empty() && !row.used && finding.verdict != Verdict::refused) {
-            finding.verdict = Verdict::no_effect, finding.says = row.unless_used;
+            finding.verdict = Verdict::no_effect;
+            finding.says = row.unless_used;
         }
         all.push_back(std::move(finding));
     }
--- a/src/haproxy/report.cpp
+++ b/src/haproxy/report.cpp
@@ -25,7 +25,8 @@
             if (first_alone && sum > 0) {
                 continue;
             }
-            shares[i] = server.weight, sum += server.weight;
+            shares[i] = server.weight;
+            sum += server.weight;
         }
         for (std::size_t i = 0; i < shares.size(); ++i) {
             if (pool.servers[i].tier == tier && sum > 0) {
--- a/src/haproxy/translate.cpp
+++ b/src/haproxy/translate.cpp
@@ -33,30 +33,39 @@
         }
         import.troubles = std::move(tree_.troubles);
         if (import.troubles.empty()) {
-            PoolMaker pools(findings());
-            for (const Draft& draft : drafts_) {
-                if (draft.has_servers()) {
-                    pools.add(draft);
-                }
-            }
-            RouteMaker routes(drafts_, findings());
-            for (const Draft& draft : drafts_) {
-                if (!draft.listens()) {
-                    continue;
-                }
-                routing::Listener listener = routes.listener(draft);
-                if (!draft.disabled) {
-                    import.plan.listeners.push_back(std::move(listener));
-                }
-            }
-            import.plan.pools = pools.finish();
-            import.balance = pools.balance();
+            make_pools(import);
+            make_listeners(import);
         }
         import.findings = findings().all();
         return import;
     }
 
  private:
+    void make_pools(Import& import) {
+        PoolMaker pools(findings());
+        for (const Draft& draft : drafts_) {
+            if (draft.has_servers()) {
+                pools.add(draft);
+            }
+        }
+        import.plan.pools = pools.finish();
+        import.balance = pools.balance();
+    }
+
+    void make_listeners(Import& import) {
+        RouteMaker routes(drafts_, findings());
+        for (const Draft& draft : drafts_) {
+            if (!draft.listens()) {
+                continue;
+            }
+            // A disabled section has its verdicts too, but no listener.
+            routing::Listener listener = routes.listener(draft);
+            if (!draft.disabled) {
+                import.plan.listeners.push_back(std::move(listener));
+            }
+        }
+    }
+
     Findings& findings() { return tree_.findings; }
     void trouble(const Section& section, std::string says) {
         tree_.troubles.push_back(
@@ -86,7 +95,8 @@
         }
     }
     void proxy(const Section& section) {
-        const bool listens = section.kind != "backend", serves = section.kind != "frontend";
+        const bool listens = section.kind != "backend";
+        const bool serves = section.kind != "frontend";
         if ((listens && !listeners_.insert(section.name).second) ||
             (serves && !pools_.insert(section.name).second)) {
             trouble(section, fmt::format("a second {} {}", section.kind, section.name));
--- a/src/haproxy/translate.hpp
+++ b/src/haproxy/translate.hpp
@@ -1,10 +1,12 @@
-// HAProxy's configuration to a plan, with exactly one verdict a line. docs/haproxy-import.md has
-// the keywords.
-//
-//   Import import = translate(std::move(tree));
-//   if (!import.troubles.empty()) ...            // unusable: no plan
+/// \file
+/// Translates HAProxy's configuration to a plan, with exactly one verdict a line.
+/// docs/haproxy-import.md lists the keywords.
+///
+///   Import import = translate(std::move(tree));
+///   if (!import.troubles.empty()) ...            // unusable: no plan
 #pragma once
 
+#include <map>
 #include <string>
 #include <vector>
 
@@ -13,16 +15,17 @@
 
 namespace micaroad::haproxy {
 
+/// The result of an import. With troubles the plan is empty.
 struct Import {
     routing::Plan plan;
     std::vector<Finding> findings;
     std::vector<Trouble> troubles;
-    // How the original would have spread each pool's RPCs, by name; what comes of it is in the
-    // findings.
+    /// The `balance` algorithm of each pool, by its name; how it is translated is in the findings.
     std::map<std::string, std::string> balance;
-    std::size_t count(Verdict verdict) const;
+    /// How many lines have that verdict.
+    [[nodiscard]] std::size_t count(Verdict verdict) const;
 };
 
-Import translate(Tree tree);
+[[nodiscard]] Import translate(Tree tree);
 
 }  // namespace micaroad::haproxy
