--- a/src/haproxy/pools.cpp
+++ b/src/haproxy/pools.cpp
@@ -3,6 +3,7 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <cctype>
 
 #include "haproxy/units.hpp"
 
@@ -12,12 +13,18 @@
 constexpr int kRetries = 3;      // of the original, where nothing is said
 constexpr int kErrorLimit = 10;  // likewise
 constexpr int kMostTemplated = 100'000;
+constexpr std::size_t kMaxNameLength = 128;
 
 bool by_hash(const Balance& balance) {
     return balance.kind == "source" || balance.kind == "uri" || balance.kind == "url_param" ||
            balance.kind == "hdr";
 }
 
+/// HAProxy waits without end where a timeout is absent or 0.
+bool is_unlimited(std::optional<Duration> timeout) {
+    return !timeout || *timeout == Duration{};
+}
+
 // What `stick on` and `balance` name, as the planner's stickiness; absent: no equal.
 std::optional<routing::Stickiness> sticky_by(const std::string& expression) {
     using By = routing::Stickiness::By;
@@ -33,15 +40,81 @@
     } else if (name == "path") {
         to.by = By::path;
     } else if ((name == "hdr" || name == "req.hdr" || name == "req.fhdr") && !argument.empty()) {
-        to.by = By::header, to.name = argument;
+        to.by = By::header;
+        to.name = argument;
     } else if ((name == "url_param" || name == "urlp") && !argument.empty()) {
-        to.by = By::query, to.name = argument;
+        to.by = By::query;
+        to.name = argument;
     } else {
         return std::nullopt;
     }
     return to;
 }
 
+bool is_server_name(const std::string& name) {
+    return !name.empty() && name.size() <= kMaxNameLength &&
+           std::ranges::all_of(name, [](unsigned char character) {
+               return std::isalnum(character) != 0 || character == '-' || character == '_' ||
+                      character == '.' || character == ':';
+           });
+}
+
+/// Why a server can't have an address.
+struct AddressError {
+    std::string reason;
+};
+
+/// `address` is the text that `endpoint` was read from.
+std::optional<AddressError> check_server_address(const Endpoint& endpoint,
+                                                 const std::string& address) {
+    switch (endpoint.kind) {
+        case Endpoint::Kind::literal:
+            break;
+        case Endpoint::Kind::needs_look_up:
+            return AddressError{
+                fmt::format("'{}' needs a look-up, which is not done: write its address", address)};
+        case Endpoint::Kind::any_host:
+            return AddressError{fmt::format("'{}' is wherever the client meant to go", address)};
+        case Endpoint::Kind::unix_path:
+        case Endpoint::Kind::other:
+            return AddressError{fmt::format("'{}' is no TCP address", address)};
+    }
+    if (endpoint.relative_port || endpoint.port == 0) {
+        return AddressError{fmt::format("'{}' takes its port from the client's", address)};
+    }
+    return std::nullopt;
+}
+
+/// The stickiness that a hashing `balance` amounts to.
+routing::Stickiness stickiness_of(const Balance& balance) {
+    using By = routing::Stickiness::By;
+    routing::Stickiness stickiness;
+    if (balance.kind == "source") {
+        stickiness.by = By::source;
+    } else if (balance.kind == "uri") {
+        stickiness.by = By::path;
+        stickiness.path_depth = balance.depth;
+        stickiness.path_length = balance.length;
+        stickiness.with_query = balance.whole;
+    } else if (balance.kind == "url_param") {
+        stickiness.by = By::query;
+        stickiness.name = balance.argument;
+    } else if (balance.kind == "hdr") {
+        stickiness.by = By::header;
+        stickiness.name = balance.argument;
+    }
+    return stickiness;
+}
+
+bool has_condition(const Statement& statement, std::size_t from) {
+    for (std::size_t position = from; position < statement.size(); ++position) {
+        if (statement.word(position) == "if" || statement.word(position) == "unless") {
+            return true;
+        }
+    }
+    return false;
+}
+
 }  // namespace
 
 void PoolMaker::add(const Draft& draft) {
@@ -51,60 +124,13 @@
     routing::Pool pool;
     pool.name = section.name;
     say(header, Verdict::translated, fmt::format("pool {}", pool.name));
-    const auto timeout = [&](const char* name) -> std::optional<Duration> {
-        const auto at = settings.timeouts.find(name);
-        return at == settings.timeouts.end() ? std::nullopt
-                                             : std::optional(at->second.get(findings_));
-    };
-    const auto connect = timeout("connect"), answer = timeout("server"), queue = timeout("queue"),
-               check = timeout("check");
-    const auto unlimited = [](std::optional<Duration> time) {
-        return !time || *time == Duration{};
-    };
-    if (unlimited(connect) || unlimited(answer)) {
-        say(header, Verdict::changed,
-            "without `timeout connect` or `timeout server` the original waits without end; here 5 "
-            "s and 30 "
-            "s");
-    }
-    if (!unlimited(connect)) {
-        pool.connect_within = *connect, pool.queue_patience = *connect;
-    }
-    if (!unlimited(answer)) {
-        pool.answer_within = *answer;
-    }
-    if (queue && *queue == Duration{}) {
-        say(settings.timeouts.at("queue").line(), Verdict::changed,
-            "nobody waits without end: as long as for a connection");
-    } else if (queue) {
-        pool.queue_patience = *queue;
-    }
+    set_timeouts(draft, pool);
 
     const Balance balance = settings.balance.get_or(Balance{}, findings_);
     balance_[pool.name] = balance.kind;
     pool.all_backups = settings.all_backups.get_or(false, findings_);
-    const auto retry_on = settings.retry_on.get_or({true, false}, findings_);
-    const Redispatch redispatch = settings.redispatch.get_or(Redispatch{}, findings_);
-    pool.further.most = retry_on.first ? settings.retries.get_or(kRetries, findings_) : 0;
-    using routing::FurtherTries;
-    pool.further.proof =
-        retry_on.second ? FurtherTries::Proof::any_failure : FurtherTries::Proof::never_ran;
-    pool.further.where = !redispatch.on             ? FurtherTries::Where::same
-                         : redispatch.interval == 1 ? FurtherTries::Where::other
-                                                    : FurtherTries::Where::other_at_last;
-    if (settings.check) {
-        const Check rule = settings.check.get(findings_);
-        if (rule.http) {
-            pool.health.kind = routing::HealthRule::Kind::http;
-            pool.health.http_method = rule.method, pool.health.http_path = rule.path,
-            pool.health.http_host = rule.host;
-            pool.health.status_least = rule.status_least,
-            pool.health.status_most = rule.status_most;
-        }
-    }
-    if (check) {
-        pool.health.patience = *check;
-    }
+    set_retries(settings, pool);
+    set_health_check(settings, pool);
     stickiness(draft, balance, pool);
     if (settings.hash_type && by_hash(balance)) {
         settings.hash_type.get(findings_);
@@ -124,62 +150,128 @@
     pools_.push_back(std::move(pool));
 }
 
-void PoolMaker::stickiness(const Draft& draft, const Balance& balance, routing::Pool& pool) {
-    using By = routing::Stickiness::By;
+std::optional<Duration> PoolMaker::timeout(const Settings& settings, const std::string& name) {
+    const auto found = settings.timeouts.find(name);
+    if (found == settings.timeouts.end()) {
+        return std::nullopt;
+    }
+    return found->second.get(findings_);
+}
+
+void PoolMaker::set_timeouts(const Draft& draft, routing::Pool& pool) {
     const Settings& settings = draft.settings;
-    routing::Stickiness to;
-    if (balance.kind == "source") {
-        to.by = By::source;
+    const std::optional<Duration> connect = timeout(settings, "connect");
+    const std::optional<Duration> answer = timeout(settings, "server");
+    const std::optional<Duration> queue = timeout(settings, "queue");
+    if (is_unlimited(connect) || is_unlimited(answer)) {
+        say(draft.section->header.number, Verdict::changed,
+            "without `timeout connect` or `timeout server` the original waits without end; here 5 "
+            "s and 30 s");
+    }
+    if (connect && !is_unlimited(connect)) {
+        pool.connect_within = *connect;
+        pool.queue_patience = *connect;
     }
-    if (balance.kind == "uri") {
-        to.by = By::path, to.path_depth = balance.depth, to.path_length = balance.length,
-        to.with_query = balance.whole;
+    if (answer && !is_unlimited(answer)) {
+        pool.answer_within = *answer;
+    }
+    if (queue && is_unlimited(queue)) {
+        say(settings.timeouts.at("queue").line(), Verdict::changed,
+            "nobody waits without end: as long as for a connection");
+    } else if (queue) {
+        pool.queue_patience = *queue;
+    }
+}
+
+void PoolMaker::set_retries(const Settings& settings, routing::Pool& pool) {
+    using routing::FurtherTries;
+    const auto retry_on = settings.retry_on.get_or({true, false}, findings_);
+    const bool any_retry = retry_on.first;
+    const bool after_any_failure = retry_on.second;
+    const Redispatch redispatch = settings.redispatch.get_or(Redispatch{}, findings_);
+    pool.further.most = any_retry ? settings.retries.get_or(kRetries, findings_) : 0;
+    pool.further.proof =
+        after_any_failure ? FurtherTries::Proof::any_failure : FurtherTries::Proof::never_ran;
+    if (!redispatch.on) {
+        pool.further.where = FurtherTries::Where::same;
+    } else if (redispatch.interval == 1) {
+        pool.further.where = FurtherTries::Where::other;
+    } else {
+        pool.further.where = FurtherTries::Where::other_at_last;
     }
-    if (balance.kind == "url_param") {
-        to.by = By::query, to.name = balance.argument;
+}
+
+void PoolMaker::set_health_check(const Settings& settings, routing::Pool& pool) {
+    if (settings.check) {
+        const Check& check = settings.check.get(findings_);
+        if (check.http) {
+            pool.health.kind = routing::HealthRule::Kind::http;
+            pool.health.http_method = check.method;
+            pool.health.http_path = check.path;
+            pool.health.http_host = check.host;
+            pool.health.status_least = check.status_least;
+            pool.health.status_most = check.status_most;
+        }
     }
-    if (balance.kind == "hdr") {
-        to.by = By::header, to.name = balance.argument;
+    if (const std::optional<Duration> patience = timeout(settings, "check")) {
+        pool.health.patience = *patience;
     }
+}
+
+void PoolMaker::stickiness(const Draft& draft, const Balance& balance, routing::Pool& pool) {
+    const Settings& settings = draft.settings;
+    pool.stickiness = stickiness_of(balance);
     bool taken = false;
     if (settings.cookie) {
-        if (to.by != By::none) {
+        if (pool.stickiness.by != routing::Stickiness::By::none) {
             say(settings.balance.line(), Verdict::changed,
                 fmt::format("in pool {} the cookie decides; RPCs without it spread by weight",
                             pool.name));
         }
-        to = {}, to.by = By::cookie, to.name = settings.cookie.get(findings_).name;
-        to.keeps_down = settings.persist.get_or(false, findings_);
+        pool.stickiness = {};
+        pool.stickiness.by = routing::Stickiness::By::cookie;
+        pool.stickiness.name = settings.cookie.get(findings_).name;
+        pool.stickiness.keeps_down = settings.persist.get_or(false, findings_);
         taken = true;
     }
     for (const Statement* stick : draft.sticks) {
-        const std::size_t on = stick->word(1) == "on" ? 2 : 0;
-        const auto by = on > 0 ? sticky_by(stick->word(on)) : std::nullopt;
-        if (!by) {
-            say(stick->number, Verdict::refused,
-                on > 0 ? fmt::format("'{}' is nothing that RPCs are kept together by here",
-                                     stick->word(on))
-                       : "nothing is stored: `stick on` with src, path, hdr() or url_param()");
-        } else if (stick->size() > 3 && std::any_of(stick->line.words.begin() + 3,
-                                                    stick->line.words.end(), [](const Word& w) {
-                                                        return w.text == "if" || w.text == "unless";
-                                                    })) {
-            say(stick->number, Verdict::refused, "stickiness is by pool, without conditions");
-        } else if (taken) {
-            say(stick->number, Verdict::refused,
-                "a pool keeps RPCs together by one thing, and it has one");
-        } else {
-            to = *by, taken = true;
-            if (settings.stick_table) {
-                settings.stick_table.get(findings_);
-            }
-            say(stick->number, Verdict::changed,
-                "one key keeps to one server by its hash while that may be used, also before "
-                "anything was "
-                "learnt of it");
+        if (stick_on(*stick, settings, taken, pool)) {
+            taken = true;
         }
     }
-    pool.stickiness = to;
+}
+
+bool PoolMaker::stick_on(const Statement& statement, const Settings& settings, bool taken,
+                         routing::Pool& pool) {
+    if (statement.word(1) != "on") {
+        say(statement.number, Verdict::refused,
+            "nothing is stored: `stick on` with src, path, hdr() or url_param()");
+        return false;
+    }
+    const std::string& expression = statement.word(2);
+    const std::optional<routing::Stickiness> by = sticky_by(expression);
+    if (!by) {
+        say(statement.number, Verdict::refused,
+            fmt::format("'{}' is nothing that RPCs are kept together by here", expression));
+        return false;
+    }
+    if (has_condition(statement, 3)) {
+        say(statement.number, Verdict::refused, "stickiness is by pool, without conditions");
+        return false;
+    }
+    if (taken) {
+        say(statement.number, Verdict::refused,
+            "a pool keeps RPCs together by one thing, and it has one");
+        return false;
+    }
+    pool.stickiness = *by;
+    if (settings.stick_table) {
+        settings.stick_table.get(findings_);
+    }
+    say(statement.number, Verdict::changed,
+        "one key keeps to one server by its hash while that may be used, also before anything was "
+        "learnt of it");
+    return true;
 }
 
 void PoolMaker::servers(const ServerAt& at, const Draft& draft, routing::Pool& pool) {
@@ -242,38 +334,23 @@
         say(line, Verdict::refused, fmt::format("{}: the server is left out", why));
     };
     const std::string& address = statement.word(statement.word(0) == "server" ? 2 : 3);
-    const bool sound = !name.empty() && name.size() <= 128 &&
-                       std::all_of(name.begin(), name.end(), [](unsigned char c) {
-                           return std::isalnum(c) || c == '-' || c == '_' || c == '.' || c == ':';
-                       });
-    if (!sound) {
+    if (!is_server_name(name)) {
         return leave_out(fmt::format("'{}' is no name", name));
     }
     const auto endpoint = endpoint_of(address);
     if (!endpoint) {
         return leave_out(endpoint.wrong);
     }
-    switch (endpoint->kind) {
-        case Endpoint::Kind::literal:
-            break;
-        case Endpoint::Kind::needs_look_up:
-            return leave_out(
-                fmt::format("'{}' needs a look-up, which is not done: write its address", address));
-        case Endpoint::Kind::any_host:
-            return leave_out(fmt::format("'{}' is wherever the client meant to go", address));
-        case Endpoint::Kind::unix_path:
-        case Endpoint::Kind::other:
-            return leave_out(fmt::format("'{}' is no TCP address", address));
-    }
-    if (endpoint->relative_port || endpoint->port == 0) {
-        return leave_out(fmt::format("'{}' takes its port from the client's", address));
+    if (const auto error = check_server_address(*endpoint, address)) {
+        return leave_out(error->reason);
     }
     if (!names_.insert(name).second) {
         return leave_out(fmt::format("a second server {} in {}", name, pool.name));
     }
 
     routing::Server server;
-    server.name = name, server.address = endpoint->text();
+    server.name = name;
+    server.address = endpoint->text();
     server.weight = words.weight;
     server.tier = words.backup ? routing::Tier::backup : routing::Tier::active;
     if (words.disabled) {
@@ -312,9 +389,10 @@
     const routing::HealthRule usual;
     const bool first = health_by_.try_emplace(pool.name, at.statement->word(1)).second;
     rule.every = words.inter.value_or(usual.every);
-    rule.every_in_doubt = words.fast_inter.value_or(Duration{}),
+    rule.every_in_doubt = words.fast_inter.value_or(Duration{});
     rule.every_while_down = words.down_inter.value_or(Duration{});
-    rule.rise = words.rise.value_or(usual.rise), rule.fall = words.fall.value_or(usual.fall);
+    rule.rise = words.rise.value_or(usual.rise);
+    rule.fall = words.fall.value_or(usual.fall);
     rule.errors_most = words.observes ? words.error_limit.value_or(kErrorLimit) : 0;
     if (first) {
         pool.health = rule;
