--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -29,8 +29,8 @@
 };
 
 struct CoreFixture {
-    test::Quiet quiet;
-    test::HandClock clock;
+    test::DiscardingLog quiet;
+    test::ManualClock clock;
     FakeTransport transport;
     Core core{test::terms(), test::names(), 7, transport, quiet.log};
 
@@ -362,8 +362,8 @@
 // All that a deployment is told by its planner over some seconds of the same events.
 std::string day_of(const DeploymentSettings& settings, const SymbolTable& names,
                    const std::string& list, std::uint64_t seed) {
-    test::Quiet quiet;
-    test::HandClock clock;
+    test::DiscardingLog quiet;
+    test::ManualClock clock;
     FakeTransport transport;
     Core core(settings, names, seed, transport, quiet.log);
     const auto process = [&](std::vector<CoreEvent> events) {
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -647,7 +647,7 @@
 }
 
 TEST_CASE("the end that is told before the program has begun is heard") {
-    Quiet quiet;
+    DiscardingLog quiet;
     PlannerProcess program(start_file(""), clock_now(), quiet.log);
     program.stop();
     CHECK(program.run() == 0);
--- a/tests/differential_test.cpp
+++ b/tests/differential_test.cpp
@@ -18,7 +18,7 @@
 
 #include "micaroad/planner.hpp"
 #include "reference/compare.hpp"
-#include "stage.hpp"
+#include "scenario_runner.hpp"
 
 using namespace micaroad;
 using reference::Twin;
@@ -390,7 +390,7 @@
     REQUIRE(!files.empty());
     for (const auto& file : files) {
         DYNAMIC_SECTION(file.stem().string()) {
-            CHECK_NOTHROW(test::play<Twin>(file));
+            CHECK_NOTHROW(test::run_scenario<Twin>(file));
         }
     }
 }
--- a/tests/drain_oracle_test.cpp
+++ b/tests/drain_oracle_test.cpp
@@ -182,7 +182,7 @@
     struct Station : Transport {
         Yard& yard;
         const int number;
-        test::Quiet quiet;
+        test::DiscardingLog quiet;
         std::optional<Core> core;                         // absent while it is down
         std::optional<reference::Comparison> comparison;  // absent where none is asked for
         std::vector<CoreEvent> arrivals;
@@ -664,7 +664,7 @@
         }
         std::ostringstream text;
         text << rule << " at "
-             << (clock_.now() - TimePoint{Duration{test::HandClock{}.tenths}}).count() / 1e4
+             << (clock_.now() - TimePoint{Duration{test::ManualClock{}.tenths}}).count() / 1e4
              << " s, planner " << planner << ", proxy " << proxy << " " << what << ", "
              << since.count() / 1e4 << " s";
         if (proxy >= 0) {
@@ -677,7 +677,7 @@
     const Day day_;
     const std::uint64_t seed_;
     std::mt19937_64 chance_;
-    test::HandClock clock_;
+    test::ManualClock clock_;
     std::multimap<TimePoint, std::function<void()>> agenda_;
     std::map<std::string, Node> nodes_;      // as discovery has them now
     std::map<std::string, TimePoint> gone_;  // since when
--- a/tests/proxy_stand_in.hpp
+++ b/tests/fake_proxy.hpp
@@ -1,6 +1,6 @@
-// A proxy by the protocol's page: joins, reads its orders on a thread of its own, answers marks,
-// and keeps for each server when it might send there. Servers it was told to shut out stay so
-// across streams.
+/// A fake proxy that speaks the protocol over a socket: joins, reads its orders on a thread of its
+/// own, acknowledges nonces, and records for each server when it might send there. Servers that it
+/// was ordered to eject stay ejected across streams.
 #pragma once
 
 #include <map>
@@ -15,13 +15,13 @@
 
 namespace micaroad::test {
 
-class ProxyStandIn {
+class FakeProxy {
  public:
-    ProxyStandIn(const Address& planner, int number)
+    FakeProxy(const Address& planner, int number)
         : number_(number), socket_(dial(planner)), reader_([this] { read(); }) {
         socket_.send_all(hello(number));
     }
-    ~ProxyStandIn() {
+    ~FakeProxy() {
         socket_.shut_down();
         reader_.join();
     }
@@ -35,7 +35,7 @@
         for (const auto& [method, table] : tables_) {
             bool any = false;
             for (const auto& [server, weight] : table) {
-                any |= weight > 0 && !shut_.contains(server);
+                any |= weight > 0 && !ejected_.contains(server);
             }
             if (!any) {
                 return false;
@@ -79,7 +79,7 @@
         std::string line;
         std::set<std::string> open;  // where it may send from then on
     };
-    static std::vector<std::string> parted(const std::string& text, char by) {
+    static std::vector<std::string> split(const std::string& text, char by) {
         std::vector<std::string> parts;
         std::istringstream in(text);
         for (std::string part; std::getline(in, part, by);) {
@@ -88,7 +88,7 @@
         return parts;
     }
     bool sends_to(const std::string& server) const {
-        if (shut_.contains(server)) {
+        if (ejected_.contains(server)) {
             return false;
         }
         for (const auto& [method, table] : tables_) {
@@ -114,29 +114,29 @@
     }
     void apply(const std::string& line) {
         std::map<std::string, std::string> words;
-        for (const std::string& word : parted(line, ' ')) {
+        for (const std::string& word : split(line, ' ')) {
             if (const auto at = word.find('='); at != std::string::npos) {
                 words[word.substr(0, at)] = word.substr(at + 1);
             }
         }
         const std::lock_guard lock(mutex_);
-        for (const std::string& method : parted(words["routes"], '+')) {
+        for (const std::string& method : split(words["routes"], '+')) {
             auto& table = tables_[method];
             if (words["full"] == "1") {
                 table.clear();
             }
-            for (const std::string& pair : parted(words["endpoints"], ',')) {
+            for (const std::string& pair : split(words["endpoints"], ',')) {
                 table[pair.substr(0, pair.find(':'))] = std::stod(pair.substr(pair.find(':') + 1));
             }
         }
-        for (const std::string& server : parted(words["eject"], ',')) {
-            shut_.insert(server);
+        for (const std::string& server : split(words["eject"], ',')) {
+            ejected_.insert(server);
         }
-        for (const std::string& server : parted(words["restore"], ',')) {
-            shut_.erase(server);
+        for (const std::string& server : split(words["restore"], ',')) {
+            ejected_.erase(server);
         }
-        if (const std::string& mark = words["nonce_out"]; !mark.empty()) {
-            socket_.send_all(answer(number_, std::stoi(mark)));
+        if (const std::string& nonce = words["nonce_out"]; !nonce.empty()) {
+            socket_.send_all(answer(number_, std::stoi(nonce)));
         }
         Order order{steady_clock::now(), line, {}};
         for (const auto& [method, table] : tables_) {
@@ -153,13 +153,13 @@
     const Socket socket_;
     mutable std::mutex mutex_;
     std::map<std::string, std::map<std::string, double>> tables_;
-    std::set<std::string> shut_;
+    std::set<std::string> ejected_;
     std::vector<Order> orders_;
     bool ended_ = false;
     std::thread reader_;
 };
 
-using Proxies = std::vector<std::unique_ptr<ProxyStandIn>>;
+using Proxies = std::vector<std::unique_ptr<FakeProxy>>;
 
 // The oracle: waits until it holds for every proxy, or names those for which it did not in time,
 // and what they were told.
--- a/tests/original.cpp
+++ b/tests/haproxy_traffic_model.cpp
@@ -1,4 +1,4 @@
-#include "original.hpp"
+#include "haproxy_traffic_model.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -31,7 +31,8 @@
     return words;
 }
 
-void read_words(const std::vector<std::string>& words, std::size_t from, Original::Node& node) {
+void read_words(const std::vector<std::string>& words, std::size_t from,
+                HaproxyTrafficModel::Node& node) {
     for (std::size_t i = from; i < words.size(); ++i) {
         const auto next = [&] { return i + 1 < words.size() ? words[++i] : std::string("0"); };
         if (words[i] == "weight") {
@@ -52,7 +53,7 @@
 
 // Of a server that has come up: "the weight grows linearly from 1 to 100%", renewed at every check,
 // for kinds that can change weights while they run.
-double weight_now(const Original::Pool& pool, const Original::Node& node) {
+double weight_now(const HaproxyTrafficModel::Pool& pool, const HaproxyTrafficModel::Node& node) {
     const bool moves =
         pool.balance == "roundrobin" || pool.balance == "leastconn" || pool.balance == "random";
     if (!moves || node.slow_start <= 0 || node.up_for >= node.slow_start) {
@@ -64,8 +65,8 @@
 
 // Who takes part: active servers that are up and weigh anything; without any, the backups, of which
 // the first alone unless allbackups is set.
-std::vector<Original::Node*> in_use(Original::Pool& pool) {
-    std::vector<Original::Node*> nodes;
+std::vector<HaproxyTrafficModel::Node*> in_use(HaproxyTrafficModel::Pool& pool) {
+    std::vector<HaproxyTrafficModel::Node*> nodes;
     for (const bool backup : {false, true}) {
         for (auto& node : pool.nodes) {
             if (node.backup != backup || node.down || node.disabled || pool.disabled ||
@@ -96,7 +97,8 @@
 
 }  // namespace
 
-std::map<std::string, Original::Pool> Original::read(const std::string& text) {
+std::map<std::string, HaproxyTrafficModel::Pool> HaproxyTrafficModel::read(
+    const std::string& text) {
     std::map<std::string, Pool> pools;
     Pool* pool = nullptr;
     std::map<std::string, std::pair<bool, Node>>
@@ -149,8 +151,9 @@
     return pools;
 }
 
-std::map<std::string, int> Original::spread(Pool pool, const std::vector<Client>& clients,
-                                            std::mt19937_64& chance) {
+std::map<std::string, int> HaproxyTrafficModel::spread(Pool pool,
+                                                       const std::vector<Client>& clients,
+                                                       std::mt19937_64& chance) {
     std::map<std::string, int> counts;
     const std::vector<Node*> nodes = in_use(pool);
     if (nodes.empty()) {
--- a/tests/original.hpp
+++ b/tests/haproxy_traffic_model.hpp
@@ -1,10 +1,10 @@
-// A stand-in of the original's spread, written from its public manual (2.8) and sharing no code
-// with the importer: it reads a configuration by itself, as far as pools go, and picks servers by
-// the rules of each `balance` kind.
-//
-// Where the manual leaves the order open the plainest way is taken: only the spread counts here.
-// `leastconn` and `first` need a load: RPCs come evenly and each stays for a time drawn from one
-// exponential distribution.
+/// A reference model of how HAProxy splits traffic over the servers of a pool, written from its
+/// public manual (2.8) and sharing no code with the importer: it reads a configuration by itself,
+/// as far as pools go, and picks servers by the rules of each `balance` kind.
+///
+/// Where the manual leaves the order open the simplest is taken: only the split counts here.
+/// `leastconn` and `first` need a load: RPCs come evenly and each stays for a time drawn from one
+/// exponential distribution.
 #pragma once
 
 #include <map>
@@ -14,7 +14,7 @@
 
 namespace micaroad::test {
 
-class Original {
+class HaproxyTrafficModel {
  public:
     struct Node {
         std::string name;
@@ -36,7 +36,7 @@
         std::string source, path, query, header;
     };
 
-    // Pools by name. Servers whose line the original itself refuses, or whose address needs a
+    // Pools by name. Servers whose line HAProxy itself refuses, or whose address needs a
     // look-up, are left out by `known`.
     static std::map<std::string, Pool> read(const std::string& text);
 
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -37,14 +37,19 @@
     R"({"id":"s-1","addr":"127.0.0.1:1","zone":"a","kind":"m1","cell":0,"state":"up","weight":1.0,"started_ms":0},)"
     R"({"id":"s-2","addr":"127.0.0.1:2","zone":"b","kind":"m2","cell":1,"state":"up","weight":1.5,"started_ms":0}]})";
 
-struct Quiet {  // a log that nobody reads
+/// A log whose lines go to /dev/null.
+struct DiscardingLog {
     Log log{::open("/dev/null", O_WRONLY)};
 };
 
-// A clock that stands until it is moved.
-struct HandClock {
+/// A clock that moves only when a test changes `tenths` (ticks of 0.1 ms since the epoch).
+struct ManualClock {
     std::int64_t tenths = 17'000'000'000'000;
     TimePoint now() const { return TimePoint{Duration{tenths}}; }
 };
 
+// Former names, for golden_orders_test, golden_stored_test and net_test; they go with the last use.
+using Quiet = DiscardingLog;
+using HandClock = ManualClock;
+
 }  // namespace micaroad::test
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -135,7 +135,7 @@
 TEST_CASE("log: the core's lines name what they are about") {
     CapturedLog captured;
     {
-        HandClock clock;
+        ManualClock clock;
         NoTransport transport;
         Core core(terms(), names(), 7, transport, captured.log());
         std::vector<Inbox::Item> items;
--- a/tests/net_helpers.hpp
+++ b/tests/net_helpers.hpp
@@ -81,7 +81,7 @@
 }
 
 struct Base {
-    Quiet quiet;
+    DiscardingLog quiet;
     const SymbolTable names = test::names();
     protocol::BufferPool pool{512};
     Inbox inbox{clock_now()};
--- a/tests/processes_test.cpp
+++ b/tests/processes_test.cpp
@@ -9,7 +9,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "proxy_stand_in.hpp"
+#include "fake_proxy.hpp"
 
 using namespace micaroad;
 using namespace micaroad::test;
@@ -115,16 +115,16 @@
     }
     Proxies proxies;
     for (int n = 0; n < kPlanners * kProxiesOfEach; ++n) {
-        proxies.push_back(std::make_unique<ProxyStandIn>(
+        proxies.push_back(std::make_unique<FakeProxy>(
             planners[static_cast<std::size_t>(n / kProxiesOfEach)]->address, n));
     }
     require_of_all(proxies, 10s, "a table",
-                   [](const ProxyStandIn& proxy) { return proxy.has_table(); });
+                   [](const FakeProxy& proxy) { return proxy.has_table(); });
     const std::string drain = chunk(listed(43, cold, "draining") + "\n");
     for (std::size_t n = 0; n < kPlanners; ++n) {
         REQUIRE(discovery.connection(n).send_all(drain));
     }
-    require_of_all(proxies, 2s, "the drain of all but one", [](const ProxyStandIn& proxy) {
+    require_of_all(proxies, 2s, "the drain of all but one", [](const FakeProxy& proxy) {
         bool any = false;
         for (int n = 0; n + 1 < kServers; ++n) {
             any |= proxy.may_send_to("s-" + std::to_string(n));
--- a/tests/program_helpers.hpp
+++ b/tests/program_helpers.hpp
@@ -72,7 +72,7 @@
 };
 
 struct Running {
-    Quiet quiet;
+    DiscardingLog quiet;
     Holder sync;
     Heard heard;
     PlannerProcess program;
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -79,8 +79,8 @@
 // A core on a clock moved by hand, recorded: proxies, reports that make weights move, drains and
 // stream breaks.
 struct Day : Transport {
-    test::Quiet quiet;
-    test::HandClock clock;
+    test::DiscardingLog quiet;
+    test::ManualClock clock;
     Recorder recorder;
     Core core;
     std::uint64_t streams = 0;
--- a/tests/play.cpp
+++ b/tests/scenario_test.cpp
@@ -1,10 +1,10 @@
-// Plays every file in tests/scenarios against the module. tests/scenarios/README.md tells the
+// Runs every file in tests/scenarios against the planner; tests/scenarios/README.md describes the
 // notation.
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
 
 #include "decision/queue_model.hpp"
-#include "stage.hpp"
+#include "scenario_runner.hpp"
 
 using namespace micaroad;
 using namespace micaroad::decision;
@@ -14,7 +14,7 @@
     REQUIRE(!files.empty());
     for (const auto& file : files) {
         DYNAMIC_SECTION(file.stem().string()) {
-            CHECK(test::play<Planner>(file) == test::play<Planner>(file));
+            CHECK(test::run_scenario<Planner>(file) == test::run_scenario<Planner>(file));
         }
     }
 }
--- a/tests/serve_test.cpp
+++ b/tests/serve_test.cpp
@@ -1,4 +1,4 @@
-// An imported file, served: stand-in servers on loopback that can be made ill, and a proxy that
+// An imported file, served: fake servers on loopback that can be made ill, and a proxy that
 // joins and reads its orders.
 #include <fmt/format.h>
 #include <netinet/in.h>
@@ -18,10 +18,10 @@
 
 namespace {
 
-// Answers every request with its status, and counts them.
-class Stand {
+// A health-checked server on loopback: answers every request with its status, and counts them.
+class FakeServer {
  public:
-    Stand() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+    FakeServer() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
         sockaddr_in at{};
         at.sin_family = AF_INET, at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
         socklen_t size = sizeof at;
@@ -46,7 +46,7 @@
             }
         });
     }
-    ~Stand() { ::shutdown(fd_, SHUT_RDWR), thread_.join(), ::close(fd_); }
+    ~FakeServer() { ::shutdown(fd_, SHUT_RDWR), thread_.join(), ::close(fd_); }
     std::atomic<int> status{200}, asked{0}, well_asked{0};
     int port = 0;
 
@@ -148,7 +148,7 @@
 TEST_CASE(
     "from HAProxy's file to a running planner: health, the backup's turn, a drain by reload, and "
     "back") {
-    Stand a, b, spare;
+    FakeServer a, b, spare;
     const std::string text = fmt::format(R"(defaults
  timeout connect 500ms
  timeout server 2s
@@ -167,7 +167,7 @@
     REQUIRE(import.troubles.empty());
     import.plan.service.listen = "127.0.0.1:0", import.plan.service.proxies = 4;
 
-    test::Quiet quiet;
+    test::DiscardingLog quiet;
     command::PlannerService served(import.plan, clock_now(), quiet.log);
     std::thread running([&] { CHECK(served.run() == 0); });
     for (int i = 0; i < 200 && served.state() != LifecycleState::serving; ++i) {
--- a/tests/short_days_test.cpp
+++ b/tests/short_days_test.cpp
@@ -6,8 +6,8 @@
 #include <cstdio>
 #include <fstream>
 
+#include "fake_proxy.hpp"
 #include "net/health_check_runner.hpp"
-#include "proxy_stand_in.hpp"
 
 using namespace micaroad;
 using namespace micaroad::test;
@@ -45,16 +45,16 @@
 Proxies joined(const PlannerProcess& program, int number) {
     Proxies proxies;
     for (int n = 0; n < number; ++n) {
-        proxies.push_back(std::make_unique<ProxyStandIn>(program.address(), n));
+        proxies.push_back(std::make_unique<FakeProxy>(program.address(), n));
     }
     require_of_all(proxies, 10s, "a table",
-                   [](const ProxyStandIn& proxy) { return proxy.has_table(); });
+                   [](const FakeProxy& proxy) { return proxy.has_table(); });
     return proxies;
 }
 
 void require_drained(const Proxies& proxies, const std::string& server,
                      std::chrono::milliseconds within = kGrace) {
-    require_of_all(proxies, within, "the drain of " + server, [&](const ProxyStandIn& proxy) {
+    require_of_all(proxies, within, "the drain of " + server, [&](const FakeProxy& proxy) {
         return !proxy.may_send_to(server) && proxy.has_table();
     });
 }
@@ -95,7 +95,7 @@
     require_drained(proxies, "s-1");
     const auto since = steady_clock::now();
     CHECK(ended(old.connection(0)));
-    const ProxyStandIn late(planner.program.address(), 7);
+    const FakeProxy late(planner.program.address(), 7);
     while (!late.has_table() && steady_clock::now() < since + 5s) {
         std::this_thread::sleep_for(5ms);
     }
@@ -124,11 +124,11 @@
     CHECK(discovery.taken == 1);  // it has been listened to for longer than a silence may last
     planner.sync.hold(SyncPoint::watch_answered);
     planner.sync.await(SyncPoint::watch_answered);  // silent, and nothing was made of that yet
-    proxies.push_back(std::make_unique<ProxyStandIn>(planner.program.address(), 4));
+    proxies.push_back(std::make_unique<FakeProxy>(planner.program.address(), 4));
     require_drained(proxies, "s-1");
     planner.sync.let_go(SyncPoint::watch_answered);
     discovery.connection(2);  // the whole list has been written
-    proxies.push_back(std::make_unique<ProxyStandIn>(planner.program.address(), 5));
+    proxies.push_back(std::make_unique<FakeProxy>(planner.program.address(), 5));
     require_drained(proxies, "s-1");
     std::this_thread::sleep_for(300ms);  // what is not to come has time to
     check_nobody_was_let(proxies, "s-1", since);
@@ -328,11 +328,11 @@
         const Address address = planners[static_cast<std::size_t>(n)]->program.address();
         CHECK(alive(dial(address)));
         for (int i = 0; i < kProxiesOfEach; ++i) {
-            proxies.push_back(std::make_unique<ProxyStandIn>(address, n * kProxiesOfEach + i));
+            proxies.push_back(std::make_unique<FakeProxy>(address, n * kProxiesOfEach + i));
         }
     }
     require_of_all(proxies, 10s, "a table",
-                   [](const ProxyStandIn& proxy) { return proxy.has_table(); });
+                   [](const FakeProxy& proxy) { return proxy.has_table(); });
     discovery.connection(kPlanners - 1);  // each has been told the list
     // All are drained but one, told in turn: nobody is left without a server.
     std::vector<Listed> drained(servers.begin(), servers.end() - 1);
--- a/tests/spread_test.cpp
+++ b/tests/spread_test.cpp
@@ -11,12 +11,12 @@
 
 #include "corpus.hpp"
 #include "counting_servers.hpp"
-#include "original.hpp"
+#include "haproxy_traffic_model.hpp"
 #include "routing/router.hpp"
 
 using namespace micaroad;
 using test::Corpus;
-using test::Original;
+using test::HaproxyTrafficModel;
 
 namespace {
 
@@ -32,8 +32,8 @@
                                          {Case::one_draining, "one draining"},
                                          {Case::slow_start, "slow start"}};
 
-std::vector<Original::Client> clients(std::mt19937_64& chance) {
-    std::vector<Original::Client> clients;
+std::vector<HaproxyTrafficModel::Client> clients(std::mt19937_64& chance) {
+    std::vector<HaproxyTrafficModel::Client> clients;
     for (int i = 0; i < kRpcs; ++i) {
         const auto number = chance();
         clients.push_back(
@@ -47,7 +47,7 @@
 // What the planner's parts come to, counted by stand-in servers; "" counts what was turned away.
 std::map<std::string, int> replay(const routing::Plan& plan, const routing::Pool& pool,
                                   const routing::View& view,
-                                  const std::vector<Original::Client>& clients,
+                                  const std::vector<HaproxyTrafficModel::Client>& clients,
                                   std::mt19937_64& chance) {
     const routing::Router router(plan);
     std::vector<std::string> names;
@@ -115,7 +115,7 @@
 }
 
 // Servers that both have, since the original's own refusals are its own matter.
-Original::Pool known(Original::Pool original, const routing::Pool& pool) {
+HaproxyTrafficModel::Pool known(HaproxyTrafficModel::Pool original, const routing::Pool& pool) {
     std::erase_if(original.nodes, [&pool](const auto& node) {
         return std::none_of(pool.servers.begin(), pool.servers.end(),
                             [&node](const auto& server) { return server.name == node.name; });
@@ -124,12 +124,12 @@
 }
 
 // Brings a case about on both sides; false: the pool has nothing that it could happen to.
-bool bring_about(Case which, const routing::Pool& pool, Original::Pool& original,
+bool bring_about(Case which, const routing::Pool& pool, HaproxyTrafficModel::Pool& original,
                  routing::View& view) {
     view.now = TimePoint{Duration{100'000'000}};
     const auto touch =
         [&](const routing::Server& server,
-            const std::function<void(routing::ServerState&, Original::Node&)>& what) {
+            const std::function<void(routing::ServerState&, HaproxyTrafficModel::Node&)>& what) {
             const auto node = std::find_if(original.nodes.begin(), original.nodes.end(),
                                            [&](const auto& at) { return at.name == server.name; });
             what(view.servers[pool.name + "/" + server.name], *node);
@@ -181,7 +181,7 @@
     double largest = 0, least = 1;
     for (const Corpus& file : Corpus::all()) {
         const auto import = file.import();
-        const auto originals = Original::read(file.text);
+        const auto originals = HaproxyTrafficModel::read(file.text);
         for (const auto& pool : import.plan.pools) {
             // What the stand-in's plain reading does not know: templates, joined lines, macros, and
             // who tracks whom.
@@ -193,7 +193,7 @@
                 continue;
             }
             for (const auto& [which, name] : kCases) {
-                Original::Pool original = known(at->second, pool);
+                HaproxyTrafficModel::Pool original = known(at->second, pool);
                 routing::View view;
                 if (!bring_about(which, pool, original, view)) {
                     continue;
@@ -202,7 +202,7 @@
                                        static_cast<unsigned>(which));
                 const auto asked = clients(chance);
                 const auto ours = replay(import.plan, pool, view, asked, chance);
-                const auto theirs = Original::spread(original, asked, chance);
+                const auto theirs = HaproxyTrafficModel::spread(original, asked, chance);
                 const Compared compared = compare(ours, theirs);
                 CAPTURE(file.name, pool.name, name, compared.chance, compared.difference, ours,
                         theirs);
@@ -231,7 +231,8 @@
     const auto import = file.import();
     std::mt19937_64 chance(5);
     const auto asked = clients(chance);
-    const auto theirs = Original::spread(Original::read(file.text).at("web"), asked, chance);
+    const auto theirs =
+        HaproxyTrafficModel::spread(HaproxyTrafficModel::read(file.text).at("web"), asked, chance);
     CHECK(compare(replay(import.plan, import.plan.pools.at(0), {}, asked, chance), theirs).chance <
           kLeastChance);
 }
@@ -279,15 +280,15 @@
     for (const Wrong& wrong : wrongs) {
         const Corpus file = Corpus::named(wrong.file);
         auto plan = file.import().plan;
-        const auto original_pool = Original::read(file.text).at(wrong.pool);
+        const auto original_pool = HaproxyTrafficModel::read(file.text).at(wrong.pool);
         auto& pool = *std::find_if(plan.pools.begin(), plan.pools.end(),
                                    [&](const auto& p) { return p.name == wrong.pool; });
-        Original::Pool original = original_pool;
+        HaproxyTrafficModel::Pool original = original_pool;
         routing::View view;
         REQUIRE(bring_about(wrong.which, pool, original, view));
         std::mt19937_64 chance(11);
         const auto asked = clients(chance);
-        const auto theirs = Original::spread(original, asked, chance);
+        const auto theirs = HaproxyTrafficModel::spread(original, asked, chance);
         CAPTURE(wrong.file, kCases.at(wrong.which));
         const auto right = compare(replay(plan, pool, view, asked, chance), theirs).chance;
         wrong.spoil(pool);
