--- a/tests/reference/balance.cpp
+++ b/tests/reference/balance.cpp
@@ -1,6 +1,11 @@
-// The module as it was before its state went by pool and its work by what changed: every turn walks
-// all servers and all pools. Kept plain, as what tests/differential_test.cpp holds the module
-// against: a change of a decision is made here and there alike, a change of speed only there.
+/// Frozen reference implementation. tests/differential_test.cpp holds the optimized decisions of
+/// src/ against it: both get the same events, and every order must be equal to the bit. Change it
+/// only together with an intended change of behaviour, never for speed or style.
+///
+/// The module as it was before its state went by pool and its work by what changed: every turn
+/// walks all servers and all pools. Kept plain, as what tests/differential_test.cpp holds the
+/// module against: a change of a decision is made here and there alike, a change of speed only
+/// there.
 #include <map>
 #include <random>
 #include <ranges>
--- a/tests/reference/compare.hpp
+++ b/tests/reference/compare.hpp
@@ -1,5 +1,6 @@
-// Holds the module against its plain reference: both hear the same events, and every order has to
-// be equal to the bit.
+/// Compares the planner with the frozen reference implementation in this directory: both get the
+/// same events, and every order must be equal to the bit. The reference is changed only together
+/// with an intended change of behaviour.
 #pragma once
 
 #include <fmt/format.h>
--- a/tests/reference/figures.hpp
+++ b/tests/reference/figures.hpp
@@ -1,4 +1,8 @@
-// Arithmetic and look-ups that decide nothing.
+/// Frozen reference implementation. tests/differential_test.cpp holds the optimized decisions of
+/// src/ against it: both get the same events, and every order must be equal to the bit. Change it
+/// only together with an intended change of behaviour, never for speed or style.
+///
+/// Arithmetic and look-ups that decide nothing.
 #pragma once
 
 #include <algorithm>
--- a/tests/reference/ledger.hpp
+++ b/tests/reference/ledger.hpp
@@ -1,11 +1,15 @@
-// What may still wait in a planner's channel: arithmetic over what was charged and what was
-// answered. It decides nothing; how fast a channel surely sends is told by the module.
-//
-// Two counts, of which the larger holds. By answers: messages leave in order, so an answer proves
-// that its message and all before it are gone; what was charged for these is credited, no more. By
-// time: a channel sends no faster than its pace. Answers alone would credit too much after proxies
-// died: what went to them holds up nobody, so that answers come past it, while it stays counted as
-// waiting.
+/// Frozen reference implementation. tests/differential_test.cpp holds the optimized decisions of
+/// src/ against it: both get the same events, and every order must be equal to the bit. Change it
+/// only together with an intended change of behaviour, never for speed or style.
+///
+/// What may still wait in a planner's channel: arithmetic over what was charged and what was
+/// answered. It decides nothing; how fast a channel surely sends is told by the module.
+///
+/// Two counts, of which the larger holds. By answers: messages leave in order, so an answer proves
+/// that its message and all before it are gone; what was charged for these is credited, no more. By
+/// time: a channel sends no faster than its pace. Answers alone would credit too much after proxies
+/// died: what went to them holds up nobody, so that answers come past it, while it stays counted as
+/// waiting.
 #pragma once
 
 #include <algorithm>
--- a/tests/reference/notes.hpp
+++ b/tests/reference/notes.hpp
@@ -1,5 +1,9 @@
-// The notes that the parts of the module put into each other's inboxes, and the loop that empties
-// these. What is done on a note, and so every decision, stands in balance.cpp.
+/// Frozen reference implementation. tests/differential_test.cpp holds the optimized decisions of
+/// src/ against it: both get the same events, and every order must be equal to the bit. Change it
+/// only together with an intended change of behaviour, never for speed or style.
+///
+/// The notes that the parts of the module put into each other's inboxes, and the loop that empties
+/// these. What is done on a note, and so every decision, stands in balance.cpp.
 #pragma once
 
 #include <cmath>
--- a/tests/reference/update_builder.hpp
+++ b/tests/reference/update_builder.hpp
@@ -1,6 +1,10 @@
-// The update_builder as it was before it kept by server and by table who holds what: an order may
-// walk all tables and proxies. Kept plain, as what tests/differential_test.cpp holds the
-// update_builder against.
+/// Frozen reference implementation. tests/differential_test.cpp holds the optimized decisions of
+/// src/ against it: both get the same events, and every order must be equal to the bit. Change it
+/// only together with an intended change of behaviour, never for speed or style.
+///
+/// The update_builder as it was before it kept by server and by table who holds what: an order may
+/// walk all tables and proxies. Kept plain, as what tests/differential_test.cpp holds the
+/// update_builder against.
 #pragma once
 
 #include <deque>
--- a/tests/stage.hpp
+++ b/tests/stage.hpp
@@ -1,4 +1,5 @@
-/// Former name of scenario_runner.hpp, kept for golden_orders_test.cpp alone; goes with its last use.
+/// Former name of scenario_runner.hpp, kept for golden_orders_test.cpp alone; goes with its last
+/// use.
 #pragma once
 
 #include "scenario_runner.hpp"
