--- a/tests/counting_servers.cpp
+++ b/tests/counting_servers.cpp
@@ -12,7 +12,8 @@
 CountingServers::CountingServers(const std::vector<std::string>& names) {
     for (const std::string& name : names) {
         sockaddr_in address{};
-        address.sin_family = AF_INET, address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+        address.sin_family = AF_INET;
+        address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
         socklen_t size = sizeof address;
         const int listener = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
         auto* const at = reinterpret_cast<sockaddr*>(&address);
@@ -27,7 +28,8 @@
             for (ssize_t n; (n = ::read(from, bytes, sizeof bytes)) > 0;) {
                 *counted += static_cast<int>(n);
             }
-            ::close(from), ::close(listener);
+            ::close(from);
+            ::close(listener);
         });
         one->to = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
         if (::connect(one->to, at, size) != 0) {
--- a/tests/haproxy_test.cpp
+++ b/tests/haproxy_test.cpp
@@ -135,7 +135,8 @@
     CHECK(import_text("backend\nbackend a'b\n id \"x\n").troubles.size() == 3);
 }
 
-TEST_CASE("lines are read as the manual has them: ends, marks, joins and odd bytes") {
+TEST_CASE(
+    "lines are lexed as the manual says: line ends, quotes, continuations and unusual bytes") {
     const std::string sound = "backend web\n server a 10.0.0.1:80\n";
     const auto plan_of = [](const std::string& text) {
         const auto import = import_text(text);
@@ -281,7 +282,8 @@
         }
     }
     while (lines < 50'000) {
-        text += "# filler\n frobnicate 1\n", lines += 1;
+        text += "# filler\n frobnicate 1\n";
+        lines += 1;
     }
     const auto begun = std::chrono::steady_clock::now();
     const auto import = import_text(text);
--- a/tests/haproxy_traffic_model.cpp
+++ b/tests/haproxy_traffic_model.cpp
@@ -91,7 +91,9 @@
     for (const unsigned char c : text) {
         hash = (hash ^ c) * 1'099'511'628'211ULL;
     }
-    hash ^= hash >> 33, hash *= 0xff51afd7ed558ccdULL, hash ^= hash >> 33;
+    hash ^= hash >> 33;
+    hash *= 0xff51afd7ed558ccdULL;
+    hash ^= hash >> 33;
     return hash;
 }
 
@@ -115,15 +117,19 @@
         const auto from = std::find(words.begin(), words.end(), "from");
         if (words[0] == "defaults") {
             section = words.size() > 1 && words[1] != "from" ? words[1] : "";
-            standard = {}, all_backups = false, pool = nullptr;
+            standard = {};
+            all_backups = false;
+            pool = nullptr;
             if (from != words.end()) {
                 std::tie(all_backups, standard) = defaults[*(from + 1)];
             }
-            last = section, defaults[last] = {all_backups, standard};
+            last = section;
+            defaults[last] = {all_backups, standard};
         } else if (words[0] == "backend" || words[0] == "listen") {
             std::tie(all_backups, standard) = defaults[from != words.end() ? *(from + 1) : last];
             pool = &pools[words[1]];
-            pool->name = words[1], pool->all_backups = all_backups;
+            pool->name = words[1];
+            pool->all_backups = all_backups;
         } else if (words[0] == "frontend" || words[0] == "global" || words[0] == "peers" ||
                    words[0] == "resolvers") {
             pool = nullptr;
@@ -192,7 +198,8 @@
     for (const Client& client : clients) {
         now += 1;
         while (!ends.empty() && ends.top().first <= now) {
-            --ends.top().second->running, ends.pop();
+            --ends.top().second->running;
+            ends.pop();
         }
         Node* node = nullptr;
         std::string key;
@@ -234,7 +241,8 @@
             ++counts[""];
             continue;
         }
-        ++counts[node->name], ++node->running;
+        ++counts[node->name];
+        ++node->running;
         ends.emplace(now + stays(chance), node);
     }
     return counts;
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -375,9 +375,12 @@
         for (const bool half : {false, true}) {
             for (int at = 0; at < 40; ++at) {
                 Memory disk;
-                disk.fails_at = at, disk.stays = stays, disk.half = half;
+                disk.fails_at = at;
+                disk.stays = stays;
+                disk.half = half;
                 RetentionPolicy retention;
-                retention.segment_bytes = 4'000, retention.total_bytes = 40'000;
+                retention.segment_bytes = 4'000;
+                retention.total_bytes = 40'000;
                 Day day(disk, 3, retention);
                 day.run(20);
                 day.recorder.close();
@@ -406,7 +409,8 @@
     Memory disk;
     disk.files["notes.txt"] = "not ours";
     RetentionPolicy retention;
-    retention.segment_bytes = 3'000, retention.total_bytes = 12'000;
+    retention.segment_bytes = 3'000;
+    retention.total_bytes = 12'000;
     {
         Day day(disk, 3, retention);
         day.run(60);
@@ -434,7 +438,9 @@
     CHECK((result.matches() && result.skipped_turns > 0 && result.replayed_turns > 30));
 
     Memory aged;
-    retention.total_bytes = 1 << 20, retention.max_age = s(10), retention.segment_age = s(2);
+    retention.total_bytes = 1 << 20;
+    retention.max_age = s(10);
+    retention.segment_age = s(2);
     Day day(aged, 5, retention);
     day.run(40);
     day.recorder.close();
@@ -501,7 +507,8 @@
             continue;
         }
         if (*job == low) {
-            longest = std::max(longest, now - since), since = now;
+            longest = std::max(longest, now - since);
+            since = now;
         }
         scheduler.charge(*job, {50, 0.001, true}, now);
     }
@@ -512,7 +519,8 @@
     for (; now < begun + s(100); now += s(0.01)) {
         scheduler.wake(high, now);
         if (scheduler.next(now)) {
-            bytes += 700, scheduler.charge(high, {700, 0, true}, now);
+            bytes += 700;
+            scheduler.charge(high, {700, 0, true}, now);
         }
     }
     CHECK(bytes < 103'000);
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -26,12 +26,16 @@
 
 Server server(const std::string& name, int weight = 1, Tier tier = Tier::active) {
     Server server;
-    server.name = name, server.address = "10.0.0.1:80", server.weight = weight, server.tier = tier;
+    server.name = name;
+    server.address = "10.0.0.1:80";
+    server.weight = weight;
+    server.tier = tier;
     return server;
 }
 Pool pool(std::vector<Server> servers) {
     Pool pool;
-    pool.name = "web", pool.servers = std::move(servers);
+    pool.name = "web";
+    pool.servers = std::move(servers);
     return pool;
 }
 View view() {
@@ -190,7 +194,8 @@
 TEST_CASE("a full server is no reason to leave its tier; all full means to wait") {
     Plan plan;
     plan.pools = {pool({server("a"), server("b"), server("s", 1, Tier::backup)})};
-    plan.pools[0].servers[0].connections_most = 2, plan.pools[0].servers[1].connections_most = 2;
+    plan.pools[0].servers[0].connections_most = 2;
+    plan.pools[0].servers[1].connections_most = 2;
     View now = view();
     now.servers["web/a"].running = 2;
     CHECK(shares(plan, now) == Shares{{"b", 1}});
@@ -205,7 +210,8 @@
 TEST_CASE("weight 0 and drains: no new RPCs, sticky ones stay until the grace ends") {
     Plan plan;
     plan.pools = {pool({server("a"), server("old", 0), server("leaving", 5)})};
-    plan.pools[0].stickiness.by = Stickiness::By::cookie, plan.pools[0].stickiness.name = "SRV";
+    plan.pools[0].stickiness.by = Stickiness::By::cookie;
+    plan.pools[0].stickiness.name = "SRV";
     for (Server& server : plan.pools[0].servers) {
         server.mark = server.name;
     }
@@ -243,12 +249,14 @@
     "health that is another server's is followed along its chain, and a circle counts as out") {
     Plan plan;
     plan.pools = {pool({server("a"), server("b"), server("c")})};
-    plan.pools[0].servers[1].health_of = "web/a", plan.pools[0].servers[2].health_of = "web/b";
+    plan.pools[0].servers[1].health_of = "web/a";
+    plan.pools[0].servers[2].health_of = "web/b";
     View now = view();
     CHECK(shares(plan, now).size() == 3);
     now.servers["web/a"].up = false;
     CHECK(shares(plan, now).empty());
-    now.servers["web/a"].up = true, now.servers["web/b"].state_override = State::maintenance;
+    now.servers["web/a"].up = true;
+    now.servers["web/b"].state_override = State::maintenance;
     CHECK(shares(plan, now) == Shares{{"a", 1}});
     now.servers["web/b"].state_override.reset();
     plan.pools[0].servers[0].weight = 0,
@@ -319,7 +327,8 @@
     Pool web = pool({server("a"), server("b")});
     web.servers[0].connections_most = 1, web.servers[0].queue_most = 1,
     web.servers[1].connections_most = 1;
-    web.connections_most = 2, web.queue_patience = s(3);
+    web.connections_most = 2;
+    web.queue_patience = s(3);
     Limiter limiter(web);
     using Outcome = Limiter::Outcome;
     const std::vector<std::string> both{"a", "b"};
@@ -363,7 +372,8 @@
             server.connections_most = static_cast<int>(chance() % 4),
             server.queue_most = static_cast<int>(chance() % 3);
         }
-        web.connections_most = static_cast<int>(chance() % 8), web.queue_patience = s(2);
+        web.connections_most = static_cast<int>(chance() % 8);
+        web.queue_patience = s(2);
         Limiter limiter(web);
         std::map<RpcNumber, std::string> runs;
         std::set<RpcNumber> waits;
--- a/tests/serve_test.cpp
+++ b/tests/serve_test.cpp
@@ -23,9 +23,11 @@
  public:
     FakeServer() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
         sockaddr_in at{};
-        at.sin_family = AF_INET, at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+        at.sin_family = AF_INET;
+        at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
         socklen_t size = sizeof at;
-        ::bind(fd_, reinterpret_cast<sockaddr*>(&at), size), ::listen(fd_, 64);
+        ::bind(fd_, reinterpret_cast<sockaddr*>(&at), size);
+        ::listen(fd_, 64);
         ::getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &size);
         port = ntohs(at.sin_port);
         thread_ = std::thread([this] {
@@ -165,7 +167,8 @@
     builder.add("shop.cfg", text);
     haproxy::Import import = haproxy::translate(builder.finish());
     REQUIRE(import.troubles.empty());
-    import.plan.service.listen = "127.0.0.1:0", import.plan.service.proxies = 4;
+    import.plan.service.listen = "127.0.0.1:0";
+    import.plan.service.proxies = 4;
 
     test::DiscardingLog quiet;
     command::PlannerService served(import.plan, clock_now(), quiet.log);
--- a/tests/spread_test.cpp
+++ b/tests/spread_test.cpp
@@ -94,10 +94,12 @@
     std::map<std::string, std::pair<double, double>> rows;
     double a = 0, b = 0;
     for (const auto& [name, n] : ours) {
-        rows[name].first = n, a += n;
+        rows[name].first = n;
+        a += n;
     }
     for (const auto& [name, n] : theirs) {
-        rows[name].second = n, b += n;
+        rows[name].second = n;
+        b += n;
     }
     Compared compared;
     double sum = 0;
@@ -176,7 +178,7 @@
 
 }  // namespace
 
-TEST_CASE("imported pools spread as the original would, in every state") {
+TEST_CASE("imported pools split traffic as the HAProxy model does, in every state") {
     int compared_pools = 0;
     double largest = 0, least = 1;
     for (const Corpus& file : Corpus::all()) {
@@ -237,7 +239,7 @@
           kLeastChance);
 }
 
-TEST_CASE("a wrong translation put in on purpose is told from the original") {
+TEST_CASE("a deliberately wrong translation is detected against the HAProxy model") {
     struct Wrong {
         const char *file, *pool;
         Case which;
