--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -97,7 +97,7 @@
     CHECK(fixture.take_written(5).empty());
 }
 
-TEST_CASE("what an earlier life shut out is let back once its proxy is taken back") {
+TEST_CASE("an endpoint that an earlier process ejected is restored once its proxy is readmitted") {
     CoreFixture fixture;
     const auto start =
         fixture.clock.now().time_since_epoch().count() / 10 - 60'000;  // ms; warm by now
@@ -214,7 +214,7 @@
     CHECK(told.find("n-" + std::to_string(number - 30)) == std::string::npos);
 }
 
-TEST_CASE("an answer to a mark that is not open is dropped, a later one covers it") {
+TEST_CASE("an acknowledgement of an unknown nonce is dropped, and a later one covers it") {
     UpdateBuilder update_builder(2);
     update_builder.on_proxy_joined({0});
     const auto marked = [&](int mark) {
@@ -412,7 +412,8 @@
                      Method{Duration{12'000}, 5, false, {}, {}}};
     other.zone_count = 3, other.proxy_count = 5, other.admission_kind = AdmissionKind::rate,
     other.default_retry_policy = RetryPolicy::never;
-    other.drain_grace = Duration{60'000}, other.channel_lines_per_second = 90;
+    other.drain_grace = Duration{60'000};
+    other.channel_lines_per_second = 90;
     const SymbolTable names{
         {"seat-map", "seat-hold", "pay"}, {"cusco", "puno", "juliaca"}, {"n-8"}};
     std::string list = test::kList;
--- a/tests/differential_test.cpp
+++ b/tests/differential_test.cpp
@@ -120,13 +120,17 @@
             }
             settings.methods.push_back(method);
         }
-        settings.zone_count = shape_.zones, settings.proxy_count = shape_.proxies;
-        settings.channel_lines_per_second = shape_.pace, settings.overhead_lines_per_message = 3;
+        settings.zone_count = shape_.zones;
+        settings.proxy_count = shape_.proxies;
+        settings.channel_lines_per_second = shape_.pace;
+        settings.overhead_lines_per_message = 3;
         settings.max_pending_lines = shape_.pace;
         settings.max_messages_per_proxy = shape_.messages_most,
         settings.message_limit_window = ms(10'000);
-        settings.report_interval = ms(500), settings.max_message_delay = ms(500);
-        settings.drain_grace = ms(2'000), settings.warm_up_duration = ms(8'000);
+        settings.report_interval = ms(500);
+        settings.max_message_delay = ms(500);
+        settings.drain_grace = ms(2'000);
+        settings.warm_up_duration = ms(8'000);
         settings.cold_capacity_fraction = 0.2, settings.overload_factor = 3,
         settings.overload_window = ms(1'500);
         settings.unlisted_may_serve = one_in(2);
@@ -163,7 +167,8 @@
         if (cold) {
             node.entry.last_start = now_ - ms(uniform(0, 9'000));
         }
-        node.fails = one_in(15), node.mean = uniform(0.02, 0.6);
+        node.fails = one_in(15);
+        node.mean = uniform(0.02, 0.6);
         fleet_[node.entry.server] = node;
         changed_.insert(node.entry.server);
     }
@@ -173,7 +178,8 @@
     }
     void start_again(const ServerId& id) {
         Node& node = fleet_.at(id);
-        node.entry.phase = EndpointPhase::ready, node.entry.last_start = now_;
+        node.entry.phase = EndpointPhase::ready;
+        node.entry.last_start = now_;
         changed_.insert(id);
     }
     ServerId any_server() {
@@ -275,7 +281,8 @@
     // ---- proxies
     void join(int number) {
         leave(number);
-        joined_.insert(number), update_builder_.on_proxy_joined({number});
+        joined_.insert(number);
+        update_builder_.on_proxy_joined({number});
         twin_.handle(
             event::ProxyJoined{{number}, {number % shape_.zones}, uniform(0, 20), one_in(2)});
     }
--- a/tests/drain_oracle_test.cpp
+++ b/tests/drain_oracle_test.cpp
@@ -51,7 +51,8 @@
         settings.channel_lines_per_second = lines_per_second,
         settings.max_pending_lines = lines_waiting_most;
         settings.max_message_delay = s(0.45);
-        settings.warm_up_duration = s(18), settings.cold_capacity_fraction = 0.17;
+        settings.warm_up_duration = s(18);
+        settings.cold_capacity_fraction = 0.17;
         if (trouble != Trouble::usual) {
             settings.drain_grace = grace;
         }
@@ -113,13 +114,16 @@
                 lines += routes.size();
             }
             for (const auto& server : split(words["eject"], ',')) {
-                shut.insert(server), ++lines;
+                shut.insert(server);
+                ++lines;
             }
             for (const auto& server : split(words["restore"], ',')) {
-                shut.erase(server), ++lines;
+                shut.erase(server);
+                ++lines;
             }
             if (words.contains("nonce_out")) {
-                mark = std::stoi(words["nonce_out"]), ++lines;
+                mark = std::stoi(words["nonce_out"]);
+                ++lines;
             }
         }
         return mark;
@@ -415,13 +419,16 @@
             if (proxy.planner != number) {
                 continue;
             }
-            proxy.planner = -1, left_.insert(proxy.stream);
+            proxy.planner = -1;
+            left_.insert(proxy.stream);
             after(s(uniform(0.1, 1)), [this, p = proxy.number, number] { join(p, number, false); });
         }
     }
     void start(int number) {
         Station& planner = *planners_[number];
-        planner.begin(seed_ + ++fresh_), planner.counted_until = {}, planner.told.clear();
+        planner.begin(seed_ + ++fresh_);
+        planner.counted_until = {};
+        planner.told.clear();
         planner.arrivals.push_back(whole_list(planner));
     }
 
@@ -469,7 +476,9 @@
         while (!planners_[to]->core) {
             to = static_cast<int>(chance_() % planners_.size());
         }
-        proxy.planner = to, proxy.stream = {++streams_}, proxy.joined = clock_.now();
+        proxy.planner = to;
+        proxy.stream = {++streams_};
+        proxy.joined = clock_.now();
         proxy.bare.clear();
         planners_[to]->arrivals.push_back(core_event::StreamOpened{
             proxy.stream, {{number}, {proxy.zone}, 2.0 + number % 7, standing}});
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -124,7 +124,8 @@
             text.append(piece, 0, static_cast<std::size_t>(std::max<ssize_t>(size, 0)));
         }
     }
-    ::close(ends[0]), ::close(ends[1]);
+    ::close(ends[0]);
+    ::close(ends[1]);
     REQUIRE(text.find("warn log: ") != std::string::npos);
     const std::string lost = text.substr(text.find("warn log: "));
     CHECK(std::regex_match(
@@ -204,7 +205,8 @@
     REQUIRE(listening);
     const Socket& listener = *listening;
     StartConfiguration start = start_file("");
-    start.name = "n2", start.listen = text_of(listener.local());
+    start.name = "n2";
+    start.listen = text_of(listener.local());
     const std::string listen = start.listen;
     PlannerProcess second(std::move(start), clock_now(), captured.log());
     CHECK(second.run() == 1);
--- a/tests/processes_test.cpp
+++ b/tests/processes_test.cpp
@@ -70,7 +70,8 @@
     }
     ~Process() {
         if (pid_ > 0) {
-            ::kill(pid_, SIGKILL), exit_code();
+            ::kill(pid_, SIGKILL);
+            exit_code();
         }
     }
     bool serves() const {
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -179,7 +179,7 @@
     CHECK(std::holds_alternative<Unparseable>(parse_message(other, test::names(), {8})));
 }
 
-TEST_CASE("a malformed line is told by its first error and the word concerned") {
+TEST_CASE("a malformed line is reported with its first error and the word concerned") {
     const auto error_of = [](std::string_view line) {
         return describe(std::get<Malformed>(parse_message(line, test::names(), {8})));
     };
@@ -220,7 +220,7 @@
     CHECK((!until_end.done() && until_end.end() && until_end.status() == 503));
 }
 
-TEST_CASE("an HTTP answer that breaks off or is none is told from one that ends") {
+TEST_CASE("a truncated or invalid HTTP response is distinguished from a complete one") {
     const auto broken =
         GENERATE(as<std::string>{}, "hello world, or so|", "HTTP/1.1 2x0 OK||",
                  "HTTP/1.1 200 OK|bad||", "HTTP/1.1 200 OK|Transfer-Encoding: gzip||",
