--- a/tests/original.cpp
+++ b/tests/haproxy_traffic_model.cpp
@@ -1,4 +1,4 @@
-#include "original.hpp"
+#include "haproxy_traffic_model.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -31,7 +31,8 @@
     return words;
 }
 
-void read_words(const std::vector<std::string>& words, std::size_t from, Original::Node& node) {
+void read_words(const std::vector<std::string>& words, std::size_t from,
+                HaproxyTrafficModel::Node& node) {
     for (std::size_t i = from; i < words.size(); ++i) {
         const auto next = [&] { return i + 1 < words.size() ? words[++i] : std::string("0"); };
         if (words[i] == "weight") {
@@ -52,7 +53,7 @@
 
 // Of a server that has come up: "the weight grows linearly from 1 to 100%", renewed at every check,
 // for kinds that can change weights while they run.
-double weight_now(const Original::Pool& pool, const Original::Node& node) {
+double weight_now(const HaproxyTrafficModel::Pool& pool, const HaproxyTrafficModel::Node& node) {
     const bool moves =
         pool.balance == "roundrobin" || pool.balance == "leastconn" || pool.balance == "random";
     if (!moves || node.slow_start <= 0 || node.up_for >= node.slow_start) {
@@ -64,8 +65,8 @@
 
 // Who takes part: active servers that are up and weigh anything; without any, the backups, of which
 // the first alone unless allbackups is set.
-std::vector<Original::Node*> in_use(Original::Pool& pool) {
-    std::vector<Original::Node*> nodes;
+std::vector<HaproxyTrafficModel::Node*> in_use(HaproxyTrafficModel::Pool& pool) {
+    std::vector<HaproxyTrafficModel::Node*> nodes;
     for (const bool backup : {false, true}) {
         for (auto& node : pool.nodes) {
             if (node.backup != backup || node.down || node.disabled || pool.disabled ||
@@ -90,13 +91,16 @@
     for (const unsigned char c : text) {
         hash = (hash ^ c) * 1'099'511'628'211ULL;
     }
-    hash ^= hash >> 33, hash *= 0xff51afd7ed558ccdULL, hash ^= hash >> 33;
+    hash ^= hash >> 33;
+    hash *= 0xff51afd7ed558ccdULL;
+    hash ^= hash >> 33;
     return hash;
 }
 
 }  // namespace
 
-std::map<std::string, Original::Pool> Original::read(const std::string& text) {
+std::map<std::string, HaproxyTrafficModel::Pool> HaproxyTrafficModel::read(
+    const std::string& text) {
     std::map<std::string, Pool> pools;
     Pool* pool = nullptr;
     std::map<std::string, std::pair<bool, Node>>
@@ -113,15 +117,19 @@
         const auto from = std::find(words.begin(), words.end(), "from");
         if (words[0] == "defaults") {
             section = words.size() > 1 && words[1] != "from" ? words[1] : "";
-            standard = {}, all_backups = false, pool = nullptr;
+            standard = {};
+            all_backups = false;
+            pool = nullptr;
             if (from != words.end()) {
                 std::tie(all_backups, standard) = defaults[*(from + 1)];
             }
-            last = section, defaults[last] = {all_backups, standard};
+            last = section;
+            defaults[last] = {all_backups, standard};
         } else if (words[0] == "backend" || words[0] == "listen") {
             std::tie(all_backups, standard) = defaults[from != words.end() ? *(from + 1) : last];
             pool = &pools[words[1]];
-            pool->name = words[1], pool->all_backups = all_backups;
+            pool->name = words[1];
+            pool->all_backups = all_backups;
         } else if (words[0] == "frontend" || words[0] == "global" || words[0] == "peers" ||
                    words[0] == "resolvers") {
             pool = nullptr;
@@ -149,8 +157,9 @@
     return pools;
 }
 
-std::map<std::string, int> Original::spread(Pool pool, const std::vector<Client>& clients,
-                                            std::mt19937_64& chance) {
+std::map<std::string, int> HaproxyTrafficModel::spread(Pool pool,
+                                                       const std::vector<Client>& clients,
+                                                       std::mt19937_64& chance) {
     std::map<std::string, int> counts;
     const std::vector<Node*> nodes = in_use(pool);
     if (nodes.empty()) {
@@ -189,7 +198,8 @@
     for (const Client& client : clients) {
         now += 1;
         while (!ends.empty() && ends.top().first <= now) {
-            --ends.top().second->running, ends.pop();
+            --ends.top().second->running;
+            ends.pop();
         }
         Node* node = nullptr;
         std::string key;
@@ -231,7 +241,8 @@
             ++counts[""];
             continue;
         }
-        ++counts[node->name], ++node->running;
+        ++counts[node->name];
+        ++node->running;
         ends.emplace(now + stays(chance), node);
     }
     return counts;
