--- a/src/haproxy/translate.cpp
+++ b/src/haproxy/translate.cpp
@@ -33,23 +33,23 @@
         }
         import.troubles = std::move(tree_.troubles);
         if (import.troubles.empty()) {
-            make_pools(import);
+            PoolMaker pools(findings());
+            add_pools(pools);
             make_listeners(import);
+            import.plan.pools = pools.finish();
+            import.balance = pools.balance();
         }
         import.findings = findings().all();
         return import;
     }
 
  private:
-    void make_pools(Import& import) {
-        PoolMaker pools(findings());
+    void add_pools(PoolMaker& pools) {
         for (const Draft& draft : drafts_) {
             if (draft.has_servers()) {
                 pools.add(draft);
             }
         }
-        import.plan.pools = pools.finish();
-        import.balance = pools.balance();
     }
 
     void make_listeners(Import& import) {
