--- a/src/decision/proxy_subsets.cpp
+++ b/src/decision/proxy_subsets.cpp
@@ -4,7 +4,7 @@
 
 namespace micaroad::decision {
 
-void ProxySubsets::divide(std::size_t count, int zone_count) {
+void ProxySubsets::create_subsets(std::size_t count, int zone_count) {
     const std::size_t pool_count = tables_.pools().size();
     subsets_.assign(count, {});
     for (std::size_t i = 0; i < count; ++i) {
@@ -23,7 +23,7 @@
     for (const std::size_t pool : pools) {
         recount_pool(pool);
     }
-    least_pool_parts_.clear();
+    min_pool_shares_.clear();
 }
 
 void ProxySubsets::recount_pool(std::size_t pool) {
@@ -54,8 +54,8 @@
     }
 }
 
-double ProxySubsets::least_pool_part(std::size_t subset, ZoneId zone) {
-    const auto [at, added] = least_pool_parts_.try_emplace({subset, zone}, 1);
+double ProxySubsets::min_pool_share(std::size_t subset, ZoneId zone) {
+    const auto [at, added] = min_pool_shares_.try_emplace({subset, zone}, 1);
     double& least = at->second;
     if (!added || subsets_.size() == 1) {
         return least;
--- a/src/decision/proxy_subsets.hpp
+++ b/src/decision/proxy_subsets.hpp
@@ -47,7 +47,7 @@
     /// `tables` has to live as long as this object.
     explicit ProxySubsets(RoutingTables& tables) : tables_(tables) {}
 
-    /// 0 until the first divide().
+    /// 0 until the first create_subsets().
     [[nodiscard]] std::size_t size() const { return subsets_.size(); }
     [[nodiscard]] bool empty() const { return subsets_.empty(); }
     [[nodiscard]] const std::vector<Subset>& all() const { return subsets_; }
@@ -58,7 +58,7 @@
 
     /// Makes `count` empty subsets, while no proxy is bound and no table entry is sent. With more
     /// than one zone the subsets take turns at zones; else each is of all zones.
-    void divide(std::size_t count, int zone_count);
+    void create_subsets(std::size_t count, int zone_count);
     /// Adds up anew what each subset has of these pools.
     void recount(const RoutingTables::PoolSet& pools);
     /// Counts an endpoint as its subset's, or takes it out again. recount() counts those alone of
@@ -66,7 +66,7 @@
     void count_endpoint(const RoutingEntry& entry) { add_endpoint(entry, 1); }
     void uncount_endpoint(const RoutingEntry& entry) { add_endpoint(entry, -1); }
     /// The least part that the subset has of any pool that proxies of the zone use; 0 to 1.
-    [[nodiscard]] double least_pool_part(std::size_t subset, ZoneId zone);
+    [[nodiscard]] double min_pool_share(std::size_t subset, ZoneId zone);
 
     void reset_success_margins();
     void add_success_margin(std::size_t subset, double margin) {
@@ -91,8 +91,8 @@
     RoutingTables& tables_;
     std::vector<Subset> subsets_;
     std::map<ProxyId, BoundProxy> bound_proxies_;
-    RealVector wanted_weight_;                         // by pool, of all subsets
-    std::map<SubsetInZone, double> least_pool_parts_;  // as far as asked for since recount()
+    RealVector wanted_weight_;                        // by pool, of all subsets
+    std::map<SubsetInZone, double> min_pool_shares_;  // as far as asked for since recount()
 };
 
 }  // namespace micaroad::decision
--- a/src/decision/routing_tables.cpp
+++ b/src/decision/routing_tables.cpp
@@ -27,7 +27,7 @@
     for (const auto& [pool, share] : shares) {
         table_entry_in(pool, entry).published = share;
     }
-    touch(entry);
+    mark_for_planning(entry);
 }
 
 void RoutingTables::set_tracked(RoutingEntry& entry, bool tracked, TimePoint now) {
@@ -77,7 +77,7 @@
 }
 
 void RoutingTables::on_weights_sent(RoutingEntry& entry) {
-    touch(entry);
+    mark_for_planning(entry);
     put(unsent_, entry, entry.sent() == 0);
 }
 
@@ -111,13 +111,13 @@
     return std::exchange(queued_, {});
 }
 
-RoutingTables::PoolSet RoutingTables::take_touched_pools(bool weights_published) {
+RoutingTables::PoolSet RoutingTables::take_pools_to_plan(bool weights_published) {
     if (weights_published) {
         for (RoutingEntry* const entry : std::exchange(held_back_, {})) {
-            touch(*entry);
+            mark_for_planning(*entry);
         }
     }
-    PoolSet pools = std::exchange(touched_, {});
+    PoolSet pools = std::exchange(pools_to_plan_, {});
     const PoolSet& scaled_again = weights_published ? rescaled_ : unsettled_;
     pools.insert(scaled_again.begin(), scaled_again.end());
     return pools;
@@ -179,12 +179,12 @@
     });
 }
 
-void RoutingTables::forget(RoutingEntry& entry) {
+void RoutingTables::erase(RoutingEntry& entry) {
     drop_availability_change(entry);
     for (const PoolTableEntry& place : entry.table_entries) {
         drop_weight_change(place);
         pools_[place.pool].entries.erase(entry.server);
-        touched_.insert(place.pool);
+        pools_to_plan_.insert(place.pool);
     }
     for (EntrySet* entries :
          {&unsent_, &warming_up_, &held_back_, &withdrawal_repeated_, &failing_}) {
@@ -210,9 +210,9 @@
     return table_entry;
 }
 
-void RoutingTables::touch(RoutingEntry& entry) {
+void RoutingTables::mark_for_planning(RoutingEntry& entry) {
     for (const PoolTableEntry& place : entry.table_entries) {
-        touched_.insert(place.pool);
+        pools_to_plan_.insert(place.pool);
     }
     queue(entry);
 }
--- a/src/decision/routing_tables.hpp
+++ b/src/decision/routing_tables.hpp
@@ -14,7 +14,7 @@
 
 namespace micaroad::decision {
 
-/// Owns the entries of all endpoints and pools; pointers to them stay valid until forget() or
+/// Owns the entries of all endpoints and pools; pointers to them stay valid until erase() or
 /// drop_empty_table_entries(). Not thread-safe.
 class RoutingTables {
  public:
@@ -93,7 +93,7 @@
     [[nodiscard]] std::vector<RoutingEntry*> take_queued();
     /// The pools that are to be looked at. With `weights_published`, endpoints that were held back
     /// are looked at anew.
-    [[nodiscard]] PoolSet take_touched_pools(bool weights_published);
+    [[nodiscard]] PoolSet take_pools_to_plan(bool weights_published);
     /// The next plan scales the pool's wanted weights again, published anew or not.
     void set_unsettled(std::size_t pool, bool unsettled) { put(unsettled_, pool, unsettled); }
     /// The pool's wanted weights are not just what the last published ones gave.
@@ -102,7 +102,7 @@
     /// Makes a change that bears on what a binding sends of the endpoint, and keeps
     /// TablePool::binding_lines right.
     template <class AnyChange>
-    void update_counted(RoutingEntry& entry, AnyChange change) {
+    void update_and_recount_lines(RoutingEntry& entry, AnyChange change) {
         count_binding_lines(entry, -1);
         change();
         count_binding_lines(entry, 1);
@@ -127,7 +127,7 @@
     /// Erases table entries that are neither published, wanted nor sent.
     void drop_empty_table_entries(RoutingEntry& entry);
     /// Erases an endpoint of which no table holds an entry.
-    void forget(RoutingEntry& entry);
+    void erase(RoutingEntry& entry);
 
  private:
     template <class Set, class Value>
@@ -144,7 +144,7 @@
     static void put(PoolSet& pools, std::size_t pool, bool in) { put_value(pools, pool, in); }
 
     TableEntry& table_entry_in(std::size_t pool, RoutingEntry& entry);
-    void touch(RoutingEntry& entry);
+    void mark_for_planning(RoutingEntry& entry);
     void count_binding_lines(RoutingEntry& entry, double sign);
     void plan(PlannedChange& planned, const PendingChange& change);
     void drop(PlannedChange& planned, const ServerId& server, std::optional<std::uint32_t> pool);
@@ -165,7 +165,7 @@
 
     PoolSet unsettled_;
     PoolSet rescaled_;
-    PoolSet touched_;
+    PoolSet pools_to_plan_;
     std::vector<RoutingEntry*> queued_;
 };
 
--- a/src/decision/subset_assignment.cpp
+++ b/src/decision/subset_assignment.cpp
@@ -41,7 +41,7 @@
     const RoutingTables& tables = state_.tables;
     if (state_.subsets.bound_proxies().empty() &&
         tables.unsent().size() == tables.endpoints().size()) {
-        divide();
+        create_subsets();
     }
     measure_success(weights_published);
     if (state_.subsets.size() == 1) {
@@ -52,7 +52,7 @@
 }
 
 // As many subsets as make the bindings of all proxies fit into their part of the drain grace.
-void SubsetAssignment::divide() {
+void SubsetAssignment::create_subsets() {
     const DeploymentSettings& settings = state_.context.settings;
     const double pools = static_cast<double>(state_.tables.pools().size());
     const double proxies = 1.0 * std::max(1, settings.proxy_count) / settings.planner_count;
@@ -68,7 +68,7 @@
     const bool one_zone_each = settings.zone_count > 1 && useful >= settings.zone_count;
     const double zones = one_zone_each ? settings.zone_count : 1;
     const double count = std::max(1.0, std::ceil(useful / zones) * zones);
-    state_.subsets.divide(static_cast<std::size_t>(count), static_cast<int>(zones));
+    state_.subsets.create_subsets(static_cast<std::size_t>(count), static_cast<int>(zones));
 }
 
 double SubsetAssignment::wanted_table_entries() const {
@@ -126,7 +126,7 @@
 
 // RPCs of the subset's proxies, and of one more, for each part of the pool that it has least of.
 double SubsetAssignment::load(std::size_t subset, ZoneId zone, double more_rpcs_per_second) {
-    const double least = state_.subsets.least_pool_part(subset, zone);
+    const double least = state_.subsets.min_pool_share(subset, zone);
     const Subset& its = state_.subsets[subset];
     return (its.rpcs_per_second + more_rpcs_per_second) / std::max(least, kLeastPoolPart) *
            (its.is_remote_to(zone) ? kRemoteLoadFactor : 1);
--- a/src/decision/subset_assignment.hpp
+++ b/src/decision/subset_assignment.hpp
@@ -38,7 +38,7 @@
     [[nodiscard]] std::optional<ProxyMove> next_move();
 
  private:
-    void divide();
+    void create_subsets();
     [[nodiscard]] double wanted_table_entries() const;
     void assign_unsent();
     void measure_success(bool weights_published);
--- a/src/decision/update_planner.cpp
+++ b/src/decision/update_planner.cpp
@@ -25,7 +25,7 @@
 
 void UpdatePlanner::make_plan() {
     queue_departed();
-    RoutingTables::PoolSet pools = state_.tables.take_touched_pools(weights_published_);
+    RoutingTables::PoolSet pools = state_.tables.take_pools_to_plan(weights_published_);
     if (weights_published_) {
         adopt_published_weights(pools);
     }
@@ -52,12 +52,12 @@
     const RoutingTables::EntriesByTime& untracked = state_.tables.untracked();
     for (auto at = untracked.begin(); at != untracked.end() && at->time < forgotten_before();) {
         RoutingEntry& entry = *at->entry;
-        ++at;  // forget() erases the place
+        ++at;  // erase() erases the place
         if (!entry.withdrawn) {
             continue;
         }
         if (entry.sent() == 0) {
-            state_.tables.forget(entry);
+            state_.tables.erase(entry);
         } else {
             state_.tables.queue(entry);
         }
--- a/src/decision/update_scheduler.cpp
+++ b/src/decision/update_scheduler.cpp
@@ -38,7 +38,8 @@
 void UpdateScheduler::on(const DesiredWeights& desired) {
     RoutingTables& tables = state_.tables;
     RoutingEntry& entry = tables.find_or_add(desired.server);
-    tables.update_counted(entry, [&] { entry.may_be_withdrawn_at_proxies |= !desired.steady; });
+    tables.update_and_recount_lines(entry,
+                                    [&] { entry.may_be_withdrawn_at_proxies |= !desired.steady; });
     tables.set_published(entry, desired.shares);
     tables.set_tracked(entry, !desired.last, state_.context.now);
     tables.set_warming_up(entry, desired.cold);
--- a/src/decision/update_sender.cpp
+++ b/src/decision/update_sender.cpp
@@ -204,7 +204,7 @@
 void UpdateSender::apply(RoutingEntry& entry, std::optional<std::size_t> pool) {
     const bool withdraw = entry.wanted() == 0;
     const bool repeated = is_repeated_withdrawal(entry);
-    state_.tables.update_counted(entry, [&] {
+    state_.tables.update_and_recount_lines(entry, [&] {
         send_weights(entry, pool, repeated);
         if (!pool) {
             entry.withdrawn = withdraw;
--- a/tests/routing_tables_test.cpp
+++ b/tests/routing_tables_test.cpp
@@ -29,7 +29,7 @@
                           double weight) {
     RoutingEntry& entry = tables.find_or_add(server);
     tables.set_published(entry, {{pool, weight}});
-    tables.update_counted(entry, [&] {
+    tables.update_and_recount_lines(entry, [&] {
         for (const PoolTableEntry& place : entry.table_entries) {
             place.table_entry->wanted = place.table_entry->published;
             place.table_entry->sent = place.table_entry->published;
@@ -100,11 +100,12 @@
     CHECK(lines == 1);
     send_weight(tables, kOtherServer, 0, 0.5);
     CHECK(lines == 2);
-    tables.update_counted(entry, [&] { entry.may_be_withdrawn_at_proxies = true; });
+    tables.update_and_recount_lines(entry, [&] { entry.may_be_withdrawn_at_proxies = true; });
     CHECK(lines == 3);
-    tables.update_counted(entry, [&] { entry.withdrawn = true; });
+    tables.update_and_recount_lines(entry, [&] { entry.withdrawn = true; });
     CHECK(lines == 3);
-    tables.update_counted(entry, [&] { entry.table_entries.front().table_entry->sent = 0; });
+    tables.update_and_recount_lines(entry,
+                                    [&] { entry.table_entries.front().table_entry->sent = 0; });
     CHECK(lines == 1);
 }
 
@@ -119,8 +120,8 @@
     tables.set_failing(entry, true);
     tables.plan_availability_change(entry, {ChangeRank::urgent, 5});
     entry.table_entries.front().table_entry->sent = 0;
-    CHECK(tables.take_touched_pools(true) == RoutingTables::PoolSet{0});
-    tables.forget(entry);
+    CHECK(tables.take_pools_to_plan(true) == RoutingTables::PoolSet{0});
+    tables.erase(entry);
     CHECK(tables.find(kServer) == nullptr);
     CHECK(tables.pools().front().entries.empty());
     CHECK(!tables.has_pending_changes());
@@ -129,7 +130,7 @@
     CHECK(tables.warming_up().empty());
     CHECK(tables.failing().empty());
     CHECK(tables.take_queued().empty());
-    CHECK(tables.take_touched_pools(true) == RoutingTables::PoolSet{0});
+    CHECK(tables.take_pools_to_plan(true) == RoutingTables::PoolSet{0});
 }
 
 TEST_CASE("an endpoint that is held back is planned anew once weights are published") {
@@ -139,10 +140,10 @@
     RoutingEntry& entry = send_weight(tables, kServer, 0, 0.5);
     CHECK(tables.hold_back(entry) == RoutingTables::PoolSet{0});
     CHECK(entry.wanted() == 0);
-    CHECK(tables.take_touched_pools(false) == RoutingTables::PoolSet{0});  // as its weight was sent
-    CHECK(tables.take_touched_pools(false).empty());
-    CHECK(tables.take_touched_pools(true) == RoutingTables::PoolSet{0});
-    CHECK(tables.take_touched_pools(true).empty());
+    CHECK(tables.take_pools_to_plan(false) == RoutingTables::PoolSet{0});  // as its weight was sent
+    CHECK(tables.take_pools_to_plan(false).empty());
+    CHECK(tables.take_pools_to_plan(true) == RoutingTables::PoolSet{0});
+    CHECK(tables.take_pools_to_plan(true).empty());
 }
 
 TEST_CASE("proxies with their initial table alone are bound first, then the busiest") {
@@ -164,7 +165,7 @@
     RoutingTables tables;
     tables.add_pool(pool_of(1));
     ProxySubsets subsets{tables};
-    subsets.divide(2, 2);
+    subsets.create_subsets(2, 2);
     CHECK(subsets[0].zone == kFirstZone);
     CHECK(subsets[1].is_remote_to(kFirstZone));
     const ProxyId proxy{7};
@@ -185,17 +186,17 @@
     RoutingTables tables;
     tables.add_pool(pool_of(1));
     ProxySubsets subsets{tables};
-    subsets.divide(2, 1);
+    subsets.create_subsets(2, 1);
     tables.find_or_add(kOtherServer).subset = 1;
     send_weight(tables, kServer, 0, 0.75);
     RoutingEntry& other = send_weight(tables, kOtherServer, 0, 0.25);
     subsets.recount({0});
-    CHECK(subsets.least_pool_part(0, kSecondZone) == 0.75);
-    CHECK(subsets.least_pool_part(1, kSecondZone) == 0.25);
+    CHECK(subsets.min_pool_share(0, kSecondZone) == 0.75);
+    CHECK(subsets.min_pool_share(1, kSecondZone) == 0.25);
     CHECK(subsets[1].endpoint_count[0] == 1);
     other.table_entries.front().table_entry->sent = 0;
     subsets.recount({0});
-    CHECK(subsets.least_pool_part(0, kSecondZone) == 1);
-    CHECK(subsets.least_pool_part(1, kSecondZone) == 0);
+    CHECK(subsets.min_pool_share(0, kSecondZone) == 1);
+    CHECK(subsets.min_pool_share(1, kSecondZone) == 0);
     CHECK(subsets[1].endpoint_count[0] == 0);
 }
