--- a/src/decision/admission_updates.cpp
+++ b/src/decision/admission_updates.cpp
@@ -7,17 +7,18 @@
 
 namespace {
 
-// Fractions that differ by less are not sent. The design sends changes over a tenth; this is less,
-// as a fraction bears on all RPCs of a method.
-constexpr double kFractionWorthSending = 0.03;
+// Smaller changes of a fraction are not sent. The design sends changes over a tenth; this is less
+// because a fraction affects all RPCs of a method.
+constexpr double kMinFractionChange = 0.03;
 
-// Where admission is a rate at each proxy: one that no proxy reaches, so that it admits all.
+// The amount that admits all RPCs where admission is a rate at each proxy: a rate that no proxy
+// reaches.
 constexpr double kUnlimitedRpcsPerSecond = 1e6;
 
 }  // namespace
 
-// Proxies whose own default is another retry policy are sent the planner's with the first update:
-// fractions of 0 differ from any wanted ones.
+// If proxies have another retry policy by default, the sent fractions start at 0. These differ from
+// any wanted ones, so that the first update sends the planner's policy.
 AdmissionUpdates::AdmissionUpdates(const SchedulerState& state)
     : state_(state),
       wanted_fractions_(1.0, state.context.settings.methods.size()),
@@ -25,17 +26,17 @@
                        state.context.settings.methods.size()),
             kRetryPolicy} {}
 
-// Guards against overload by retries: none while RPCs are shed, or while an endpoint warms up, to
-// which all that others reject would be sent.
-AdmissionSetting AdmissionUpdates::next(bool paused) const {
+// Prevents overload by retries: there are none while RPCs are shed, or while an endpoint is warming
+// up, which would be sent all RPCs that other endpoints reject.
+AdmissionSetting AdmissionUpdates::next_setting(bool paused) const {
     RealVector fractions = wanted_fractions_ * (paused ? 0.0 : 1.0);
     const bool no_retries = state_.any_warming_up || fractions.min() < 1;
     return {std::move(fractions), no_retries ? RetryPolicy::never : kRetryPolicy};
 }
 
-bool AdmissionUpdates::is_worth_sending(const AdmissionSetting& setting) const {
+bool AdmissionUpdates::is_significant(const AdmissionSetting& setting) const {
     return setting.retry_policy != sent_.retry_policy ||
-           std::abs(setting.fractions - sent_.fractions).max() > kFractionWorthSending;
+           std::abs(setting.fractions - sent_.fractions).max() > kMinFractionChange;
 }
 
 ChangeRank AdmissionUpdates::rank_of(const AdmissionSetting& setting) const {
@@ -48,13 +49,14 @@
     any_sent_ = true;
 }
 
-void AdmissionUpdates::order_sent(std::span<const std::size_t> table_sets,
-                                  std::vector<Order>& orders) const {
+void AdmissionUpdates::append_last_sent(std::span<const std::size_t> table_sets,
+                                        std::vector<Order>& orders) const {
     const bool as_rate = state_.context.settings.admission_kind == AdmissionKind::rate;
-    const double all = as_rate ? kUnlimitedRpcsPerSecond : 1;
+    const double admit_all = as_rate ? kUnlimitedRpcsPerSecond : 1;
     for (std::size_t pool = 0; pool < state_.tables.pools().size(); ++pool) {
         for (const MethodId method : state_.binding(pool).methods) {
-            const double amount = all * sent_.fractions[static_cast<std::size_t>(method.value)];
+            const double amount =
+                admit_all * sent_.fractions[static_cast<std::size_t>(method.value)];
             for (const std::size_t table_set : table_sets) {
                 orders.push_back(order::SetAdmission{
                     state_.table_of(pool, table_set), {method}, amount, sent_.retry_policy});
--- a/src/decision/proxy_binder.cpp
+++ b/src/decision/proxy_binder.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-// Load of a proxy that announced no traffic: enough to spread such proxies over subsets.
-constexpr double kLeastRpcsPerSecond = 1e-3;
+// Rate assumed for a proxy that announced no traffic: enough to spread such proxies over subsets.
+constexpr double kMinRpcsPerSecond = 1e-3;
 
-constexpr auto kPartialTableSize = static_cast<std::size_t>(kLeastSubsetSize);
+constexpr auto kPartialTableSize = static_cast<std::size_t>(kMinSubsetSize);
 
 }  // namespace
 
@@ -25,16 +25,16 @@
     state_.send_window.on_proxy_left(proxy);
 }
 
-// Guards against many proxies that join with another planner's tables amid drains, where the
-// withdrawals that each is owed take more lines than its binding: they are bound in the window of
-// withdrawals. Where whole tables for all of them would take longer than the grace, each gets a few
-// endpoints first. That costs a second binding.
+// When many proxies join with another planner's tables during drains, the withdrawals that each has
+// to be sent may take more lines than its binding. Such proxies are bound within the window of
+// withdrawals. If whole tables for all of them would take longer than the drain grace, each is
+// first bound partially, to a few endpoints, which costs a second binding.
 void ProxyBinder::bind_joined() {
     const double sent_in_grace =
         kAssuredPaceFraction * state_.drain_grace_seconds() * state_.pace();
     while (!state_.unbound_proxies.empty() && !state_.subsets.empty()) {
         const UnboundProxy& joined = state_.unbound_proxies.first();
-        const double rate = std::max(joined.rpcs_per_second, kLeastRpcsPerSecond);
+        const double rate = std::max(joined.rpcs_per_second, kMinRpcsPerSecond);
         const std::size_t subset = assignment_.least_loaded(joined.zone, rate);
         const Target target{joined.proxy, joined.zone, rate, subset};
         const double cost = cost_of_binding(target.zone, subset).value_or(0);
@@ -44,7 +44,7 @@
         const bool partial = urgent && pending + cost * waiting_proxies > sent_in_grace;
         const double available =
             urgent ? state_.available_window(WindowUse::urgent) : available_for_next_binding();
-        // What does not fit waits, and its proxy goes on by what it holds.
+        // A binding that does not fit waits; its proxy keeps using the tables that it holds.
         if (!(partial && bind_partially(target, available)) && !bind(target, available)) {
             break;
         }
@@ -55,9 +55,9 @@
 void ProxyBinder::complete_partial_bindings() {
     while (state_.unbound_proxies.empty() && !partially_bound_.empty()) {
         const ProxyId proxy = partially_bound_.front();
-        const auto at = state_.subsets.bound_proxies().find(proxy);
-        if (at != state_.subsets.bound_proxies().end() && at->second.partial) {
-            const BoundProxy& bound = at->second;
+        const auto found = state_.subsets.bound_proxies().find(proxy);
+        if (found != state_.subsets.bound_proxies().end() && found->second.partial) {
+            const BoundProxy& bound = found->second;
             const Target target{proxy, bound.zone, bound.rpcs_per_second, bound.subset};
             if (!bind(target, available_for_next_binding())) {
                 break;
@@ -84,8 +84,8 @@
     }
 }
 
-// A single binding may be larger than the window of bindings: where nothing is pending it goes out
-// within that of withdrawals.
+// A single binding may be larger than the window of bindings, so it may use the window of
+// withdrawals while nothing is pending.
 double ProxyBinder::available_for_next_binding() const {
     const bool some_pending = state_.send_window.pending() > 0;
     return state_.available_window(some_pending ? WindowUse::binding : WindowUse::urgent);
@@ -128,7 +128,7 @@
     bool any_endpoint = false;
     std::vector<Order> orders;
     if (admission_.any_sent()) {
-        admission_.order_sent({&own_tables, 1}, orders);
+        admission_.append_last_sent({&own_tables, 1}, orders);
     }
     for (std::size_t pool = 0; pool < state_.tables.pools().size(); ++pool) {
         if (!state_.tables.pools()[pool].serves(target.zone)) {
@@ -151,7 +151,7 @@
     return cost;
 }
 
-// A few of the subset's endpoints that are not withdrawn, others for each proxy.
+// A few of the subset's endpoints that are not withdrawn; the selection differs between proxies.
 std::vector<const TableEntry*> ProxyBinder::partial_table(std::size_t pool, std::size_t subset,
                                                           ProxyId proxy) const {
     std::vector<const TableEntry*> entries;
@@ -182,10 +182,10 @@
     }
 }
 
-// The tables of a partial binding; they are the proxy's alone.
+// Clears the tables of a partial binding, which no other proxy uses.
 void ProxyBinder::clear_own_tables(ProxyId proxy) {
-    const auto at = state_.subsets.bound_proxies().find(proxy);
-    if (at == state_.subsets.bound_proxies().end() || !at->second.partial) {
+    const auto found = state_.subsets.bound_proxies().find(proxy);
+    if (found == state_.subsets.bound_proxies().end() || !found->second.partial) {
         return;
     }
     for (std::size_t pool = 0; pool < state_.tables.pools().size(); ++pool) {
--- a/src/decision/proxy_binder.hpp
+++ b/src/decision/proxy_binder.hpp
@@ -1,7 +1,7 @@
 /// Binds proxies to the tables of subsets, within the send window.
 ///
-/// A proxy that joins brings tables that another planner wrote. Until it is bound it has to be sent
-/// each withdrawal, as nobody knows what it holds.
+/// A proxy that joins holds tables that another planner wrote. This planner does not know what they
+/// contain, so it has to send the proxy each withdrawal until it is bound.
 #pragma once
 
 #include <cstddef>
@@ -15,7 +15,7 @@
 
 namespace micaroad::decision {
 
-/// Orders bindings, charges the send window for them and keeps the sets of bound and unbound
+/// Orders bindings, charges the send window for them and maintains the sets of bound and unbound
 /// proxies.
 class ProxyBinder {
  public:
@@ -24,13 +24,13 @@
                 const AdmissionUpdates& admission)
         : state_(state), assignment_(assignment), admission_(admission) {}
 
-    /// The proxy goes on by its own tables until bind_joined() comes to it.
+    /// Adds an unbound proxy. It keeps using its own tables until bind_joined() binds it.
     void on_proxy_joined(const event::ProxyJoined& joined);
     void on_proxy_left(ProxyId proxy);
 
     /// Binds proxies that have joined, as far as the send window allows.
     void bind_joined();
-    /// Binds proxies with a partial binding to the whole tables, once all are bound to some.
+    /// Binds proxies with a partial binding to the whole tables, once no proxy is unbound.
     void complete_partial_bindings();
     /// Moves proxies, one after the other, from the most loaded subsets to others.
     void rebalance();
@@ -43,14 +43,15 @@
         std::size_t subset = 0;
     };
 
-    /// These return the lines that the binding cost; absent: it did not fit, nothing was ordered.
+    /// These return the lines that the binding cost; absent if it did not fit and nothing was
+    /// ordered.
     std::optional<double> bind(const Target& target, double available_lines);
     std::optional<double> bind_partially(const Target& target, double available_lines);
 
     void apply(const Target& target, bool partial, const std::vector<Order>& orders, double cost);
     void clear_own_tables(ProxyId proxy);
 
-    /// Lines of a binding at most; absent if the subset's tables are empty.
+    /// Upper bound for the lines of a binding; absent if the subset's tables are empty.
     [[nodiscard]] std::optional<double> cost_of_binding(ZoneId zone, std::size_t subset) const;
     [[nodiscard]] std::vector<const TableEntry*> partial_table(std::size_t pool, std::size_t subset,
                                                                ProxyId proxy) const;
@@ -59,7 +60,7 @@
     SchedulerState& state_;
     SubsetAssignment& assignment_;
     const AdmissionUpdates& admission_;
-    std::deque<ProxyId> partially_bound_;  // in that order; some are bound or gone since
+    std::deque<ProxyId> partially_bound_;  // by time of binding; some are fully bound or gone since
 };
 
 }  // namespace micaroad::decision
--- a/src/decision/proxy_subsets.cpp
+++ b/src/decision/proxy_subsets.cpp
@@ -47,25 +47,26 @@
 
 void ProxySubsets::add_endpoint(const RoutingEntry& entry, double sign) {
     Subset& subset = subsets_[entry.subset];
-    for (const PoolTableEntry& place : entry.table_entries) {
-        if (place.table_entry->wanted > 0) {
-            subset.endpoint_count[place.pool] += sign;
+    for (const PoolTableEntry& pool_entry : entry.table_entries) {
+        if (pool_entry.table_entry->wanted > 0) {
+            subset.endpoint_count[pool_entry.pool] += sign;
         }
     }
 }
 
 double ProxySubsets::min_pool_share(std::size_t subset, ZoneId zone) {
-    const auto [at, added] = min_pool_shares_.try_emplace({subset, zone}, 1);
-    double& least = at->second;
+    const auto [it, added] = min_pool_shares_.try_emplace({subset, zone}, 1);
+    double& min_share = it->second;
     if (!added || subsets_.size() == 1) {
-        return least;
+        return min_share;
     }
     for (std::size_t pool = 0; pool < tables_.pools().size(); ++pool) {
         if (tables_.pools()[pool].serves(zone) && wanted_weight_[pool] > 0) {
-            least = std::min(least, subsets_[subset].wanted_weight[pool] / wanted_weight_[pool]);
+            min_share =
+                std::min(min_share, subsets_[subset].wanted_weight[pool] / wanted_weight_[pool]);
         }
     }
-    return least;
+    return min_share;
 }
 
 void ProxySubsets::reset_success_margins() {
--- a/src/decision/proxy_subsets.hpp
+++ b/src/decision/proxy_subsets.hpp
@@ -1,5 +1,5 @@
-/// Subsets of the endpoints, and the proxies that are bound to each: bookkeeping that decides
-/// nothing. SubsetAssignment decides how many subsets there are and what belongs to which.
+/// Keeps the subsets of the endpoints and the proxies that are bound to each. SubsetAssignment
+/// decides how many subsets there are and which endpoints and proxies belong to each.
 #pragma once
 
 #include <compare>
@@ -19,23 +19,25 @@
     ZoneId zone;
     double rpcs_per_second = 0;
     std::size_t subset = 0;
-    /// Bound to tables of its own with a few of the subset's endpoints, until there is room for the
-    /// whole tables.
+    /// Bound to tables of its own with a few of the subset's endpoints, until the whole tables fit
+    /// into the send window.
     bool partial = false;
 };
 
-/// Some of the endpoints: each of its proxies has the table entries of all of them, and no others.
+/// Some of the endpoints. Each proxy of the subset has the table entries of all of them, and no
+/// others.
 struct Subset {
-    std::optional<ZoneId> zone;  ///< of all its endpoints; absent: they are of all zones
+    std::optional<ZoneId> zone;  ///< of all its endpoints; absent: it has endpoints of all zones
     RealVector endpoint_count;   ///< by pool
     RealVector wanted_weight;    ///< by pool
     double rpcs_per_second = 0;  ///< of its proxies
-    /// Weighted excess of its warmed-up endpoints' success over what an overloaded one has.
+    /// Sum over its warmed-up endpoints of their success fraction less kOverloadedSuccessFraction,
+    /// multiplied by their weight.
     double success_margin = 0;
     std::set<ProxyId> proxies;
 
     [[nodiscard]] bool is_overloaded() const { return success_margin < 0; }
-    /// Do proxies of this zone reach its endpoints across zones?
+    /// Whether proxies of this zone reach its endpoints across zones.
     [[nodiscard]] bool is_remote_to(ZoneId proxy_zone) const {
         return zone.value_or(proxy_zone) != proxy_zone;
     }
@@ -56,16 +58,18 @@
         return bound_proxies_;
     }
 
-    /// Makes `count` empty subsets, while no proxy is bound and no table entry is sent. With more
-    /// than one zone the subsets take turns at zones; else each is of all zones.
+    /// Creates `count` empty subsets; allowed only while no proxy is bound and no table entry is
+    /// sent. With more than one zone the subsets are assigned to the zones in rotation; otherwise
+    /// each has endpoints of all zones.
     void create_subsets(std::size_t count, int zone_count);
-    /// Adds up anew what each subset has of these pools.
+    /// Recomputes the endpoint counts and wanted weights of all subsets for these pools.
     void recount(const RoutingTables::PoolSet& pools);
-    /// Counts an endpoint as its subset's, or takes it out again. recount() counts those alone of
-    /// which an entry is sent.
+    /// Add an endpoint to the counts of its subset, or remove it again. recount() counts only
+    /// endpoints of which an entry is sent.
     void count_endpoint(const RoutingEntry& entry) { add_endpoint(entry, 1); }
     void uncount_endpoint(const RoutingEntry& entry) { add_endpoint(entry, -1); }
-    /// The least part that the subset has of any pool that proxies of the zone use; 0 to 1.
+    /// The subset's smallest share, by wanted weight, of any pool that proxies of the zone use; 0
+    /// to 1.
     [[nodiscard]] double min_pool_share(std::size_t subset, ZoneId zone);
 
     void reset_success_margins();
@@ -73,9 +77,9 @@
         subsets_[subset].success_margin += margin;
     }
 
-    /// Binds a proxy, also one that is bound already.
+    /// Binds a proxy; one that is already bound is bound anew.
     void bind(ProxyId proxy, const BoundProxy& binding);
-    /// Forgets a proxy, if it is bound.
+    /// Removes a proxy, if it is bound.
     void release(ProxyId proxy);
 
  private:
@@ -91,8 +95,8 @@
     RoutingTables& tables_;
     std::vector<Subset> subsets_;
     std::map<ProxyId, BoundProxy> bound_proxies_;
-    RealVector wanted_weight_;                        // by pool, of all subsets
-    std::map<SubsetInZone, double> min_pool_shares_;  // as far as asked for since recount()
+    RealVector wanted_weight_;                        // by pool, summed over the subsets
+    std::map<SubsetInZone, double> min_pool_shares_;  // computed on demand since recount()
 };
 
 }  // namespace micaroad::decision
--- a/src/decision/routing_entry.hpp
+++ b/src/decision/routing_entry.hpp
@@ -18,22 +18,23 @@
 enum class ChangeRank : std::int8_t {
     not_planned = -1,
     urgent = 0,   ///< a withdrawal, or a reinstatement where no endpoint is in use
-    learnt = 1,   ///< a weight, or any other reinstatement
+    learnt = 1,   ///< a weight, which the optimizer learnt from reports, or any other reinstatement
     cleanup = 2,  ///< the table entry of a withdrawn endpoint, which no proxy uses any more
 };
 
-/// A change that waits for its turn. Changes are sent in ascending order.
+/// A change that is still to be sent. Changes are sent in ascending order.
 struct PendingChange {
     ChangeRank rank = ChangeRank::not_planned;
     double sort_key = 0;  ///< within the rank, lowest first
     ServerId server;
-    /// Whose table entry changes; absent: the endpoint is withdrawn or reinstated in all tables.
+    /// The pool whose table entry changes; absent: the endpoint is withdrawn or reinstated in all
+    /// tables.
     std::optional<std::uint32_t> pool;
 
     auto operator<=>(const PendingChange&) const = default;
 };
 
-/// Where a change stands among the pending ones.
+/// The position of a change among the pending ones.
 struct PlannedChange {
     ChangeRank rank = ChangeRank::not_planned;
     double sort_key = 0;
@@ -48,7 +49,7 @@
 struct TableEntry {
     RoutingEntry* endpoint = nullptr;
     double published = 0;  ///< what the optimizer published last
-    double wanted = 0;     ///< what proxies should hold, in the scale of what they hold
+    double wanted = 0;     ///< what proxies should hold, on the scale of `sent`
     double sent = 0;       ///< what proxies were sent last
     PlannedChange planned;
 };
@@ -59,9 +60,9 @@
     TableEntry* table_entry = nullptr;
 };
 
-/// An endpoint as proxies know it. Its withdrawal makes proxies leave it out whatever their tables
-/// hold; a reinstatement lifts that. There are tens of thousands: members stand in an order that
-/// needs little padding.
+/// The state of an endpoint at the proxies. Proxies do not use a withdrawn endpoint, whatever their
+/// tables hold, until it is reinstated. There are tens of thousands of these objects, so members
+/// are ordered to need little padding.
 struct RoutingEntry {
     const ServerId* server = nullptr;           ///< the key in RoutingTables::endpoints()
     std::vector<PoolTableEntry> table_entries;  ///< in the order of pools
@@ -71,9 +72,9 @@
     std::size_t subset = 0;
     bool tracked = true;  ///< the optimizer publishes weights for it
     bool warming_up = false;
-    bool withdrawn = false;  ///< the last that was sent of it is a withdrawal
-    /// A proxy that joins may have it withdrawn by another planner, so that a binding has to
-    /// reinstate it.
+    bool withdrawn = false;  ///< its withdrawal was sent, and no reinstatement since
+    /// Another planner may have withdrawn it at a proxy that joins, so a binding has to reinstate
+    /// it.
     bool may_be_withdrawn_at_proxies = false;
     bool queued_for_planning = false;
     TimePoint withdrawal_due;           ///< since when it should be withdrawn; epoch: it should not
@@ -101,10 +102,10 @@
 struct TablePool {
     PoolBinding binding;
     std::map<const ServerId*, TableEntry, ByServer> entries;
-    double sent_in_use = 0;             ///< sent weights of the endpoints that stay in use
+    double sent_in_use = 0;             ///< sum of the sent weights of endpoints that stay in use
     std::vector<double> binding_lines;  ///< lines that a binding sends of the pool, by subset
 
-    /// Do proxies of this zone use the pool?
+    /// Whether proxies of this zone use the pool.
     [[nodiscard]] bool serves(ZoneId zone) const { return binding.zone.value_or(zone) == zone; }
 };
 
--- a/src/decision/routing_tables.cpp
+++ b/src/decision/routing_tables.cpp
@@ -5,15 +5,15 @@
 namespace micaroad::decision {
 
 RoutingEntry* RoutingTables::find(const ServerId& server) {
-    const auto at = endpoints_.find(server);
-    return at == endpoints_.end() ? nullptr : &at->second;
+    const auto found = endpoints_.find(server);
+    return found == endpoints_.end() ? nullptr : &found->second;
 }
 
 RoutingEntry& RoutingTables::find_or_add(const ServerId& server) {
-    const auto [at, added] = endpoints_.try_emplace(server);
-    RoutingEntry& entry = at->second;
+    const auto [it, added] = endpoints_.try_emplace(server);
+    RoutingEntry& entry = it->second;
     if (added) {
-        entry.server = &at->first;
+        entry.server = &it->first;
         unsent_.insert(&entry);
     }
     return entry;
@@ -21,8 +21,8 @@
 
 void RoutingTables::set_published(RoutingEntry& entry,
                                   const std::vector<std::pair<std::size_t, double>>& shares) {
-    for (const PoolTableEntry& place : entry.table_entries) {
-        place.table_entry->published = 0;
+    for (const PoolTableEntry& pool_entry : entry.table_entries) {
+        pool_entry.table_entry->published = 0;
     }
     for (const auto& [pool, share] : shares) {
         table_entry_in(pool, entry).published = share;
@@ -41,14 +41,14 @@
 
 void RoutingTables::set_warming_up(RoutingEntry& entry, bool warming_up) {
     entry.warming_up = warming_up;
-    put(warming_up_, entry, warming_up);
+    set_member(warming_up_, entry, warming_up);
 }
 
 RoutingTables::PoolSet RoutingTables::hold_back(RoutingEntry& entry) {
     PoolSet pools;
-    for (const PoolTableEntry& place : entry.table_entries) {
-        place.table_entry->wanted = 0;
-        pools.insert(place.pool);
+    for (const PoolTableEntry& pool_entry : entry.table_entries) {
+        pool_entry.table_entry->wanted = 0;
+        pools.insert(pool_entry.pool);
     }
     held_back_.insert(&entry);
     return pools;
@@ -78,7 +78,7 @@
 
 void RoutingTables::on_weights_sent(RoutingEntry& entry) {
     mark_for_planning(entry);
-    put(unsent_, entry, entry.sent() == 0);
+    set_member(unsent_, entry, entry.sent() == 0);
 }
 
 void RoutingTables::drop_withdrawn_until(TimePoint until) {
@@ -118,7 +118,7 @@
         }
     }
     PoolSet pools = std::exchange(pools_to_plan_, {});
-    const PoolSet& scaled_again = weights_published ? rescaled_ : unsettled_;
+    const PoolSet& scaled_again = weights_published ? rescaled_ : needs_rescaling_;
     pools.insert(scaled_again.begin(), scaled_again.end());
     return pools;
 }
@@ -143,8 +143,8 @@
 }
 
 void RoutingTables::plan_availability_change(RoutingEntry& entry, const PlannedChange& change) {
-    for (const PoolTableEntry& place : entry.table_entries) {
-        drop_weight_change(place);
+    for (const PoolTableEntry& pool_entry : entry.table_entries) {
+        drop_weight_change(pool_entry);
     }
     plan(entry.availability_change, {change.rank, change.sort_key, *entry.server, std::nullopt});
     changing_availability_.insert(&entry);
@@ -155,36 +155,37 @@
     changing_availability_.erase(&entry);
 }
 
-void RoutingTables::plan_weight_change(const PoolTableEntry& place, const PlannedChange& change) {
-    TableEntry& table_entry = *place.table_entry;
+void RoutingTables::plan_weight_change(const PoolTableEntry& pool_entry,
+                                       const PlannedChange& change) {
+    TableEntry& table_entry = *pool_entry.table_entry;
     plan(table_entry.planned, {change.rank, change.sort_key, *table_entry.endpoint->server,
-                               static_cast<std::uint32_t>(place.pool)});
+                               static_cast<std::uint32_t>(pool_entry.pool)});
 }
 
-void RoutingTables::drop_weight_change(const PoolTableEntry& place) {
-    TableEntry& table_entry = *place.table_entry;
+void RoutingTables::drop_weight_change(const PoolTableEntry& pool_entry) {
+    TableEntry& table_entry = *pool_entry.table_entry;
     drop(table_entry.planned, *table_entry.endpoint->server,
-         static_cast<std::uint32_t>(place.pool));
+         static_cast<std::uint32_t>(pool_entry.pool));
 }
 
 void RoutingTables::drop_empty_table_entries(RoutingEntry& entry) {
-    std::erase_if(entry.table_entries, [&](const PoolTableEntry& place) {
-        const TableEntry& table_entry = *place.table_entry;
+    std::erase_if(entry.table_entries, [&](const PoolTableEntry& pool_entry) {
+        const TableEntry& table_entry = *pool_entry.table_entry;
         if (table_entry.published != 0 || table_entry.wanted != 0 || table_entry.sent != 0) {
             return false;
         }
-        drop_weight_change(place);
-        pools_[place.pool].entries.erase(entry.server);
+        drop_weight_change(pool_entry);
+        pools_[pool_entry.pool].entries.erase(entry.server);
         return true;
     });
 }
 
 void RoutingTables::erase(RoutingEntry& entry) {
     drop_availability_change(entry);
-    for (const PoolTableEntry& place : entry.table_entries) {
-        drop_weight_change(place);
-        pools_[place.pool].entries.erase(entry.server);
-        pools_to_plan_.insert(place.pool);
+    for (const PoolTableEntry& pool_entry : entry.table_entries) {
+        drop_weight_change(pool_entry);
+        pools_[pool_entry.pool].entries.erase(entry.server);
+        pools_to_plan_.insert(pool_entry.pool);
     }
     for (EntrySet* entries :
          {&unsent_, &warming_up_, &held_back_, &withdrawal_repeated_, &failing_}) {
@@ -200,8 +201,8 @@
 }
 
 TableEntry& RoutingTables::table_entry_in(std::size_t pool, RoutingEntry& entry) {
-    const auto [at, added] = pools_[pool].entries.try_emplace(entry.server);
-    TableEntry& table_entry = at->second;
+    const auto [it, added] = pools_[pool].entries.try_emplace(entry.server);
+    TableEntry& table_entry = it->second;
     if (added) {
         table_entry.endpoint = &entry;
         entry.table_entries.push_back({pool, &table_entry});
@@ -211,19 +212,19 @@
 }
 
 void RoutingTables::mark_for_planning(RoutingEntry& entry) {
-    for (const PoolTableEntry& place : entry.table_entries) {
-        pools_to_plan_.insert(place.pool);
+    for (const PoolTableEntry& pool_entry : entry.table_entries) {
+        pools_to_plan_.insert(pool_entry.pool);
     }
     queue(entry);
 }
 
-// A binding sets the entry, and withdraws an endpoint that is withdrawn or reinstates one that may
-// be withdrawn at the proxy: one more line.
+// A binding sends a line for the entry. It sends one more to withdraw an endpoint that is
+// withdrawn, or to reinstate one that may be withdrawn at the proxy.
 void RoutingTables::count_binding_lines(RoutingEntry& entry, double sign) {
     const int lines = entry.withdrawn || entry.may_be_withdrawn_at_proxies ? 2 : 1;
-    for (const PoolTableEntry& place : entry.table_entries) {
-        if (place.table_entry->sent > 0) {
-            pools_[place.pool].binding_lines[entry.subset] += sign * lines;
+    for (const PoolTableEntry& pool_entry : entry.table_entries) {
+        if (pool_entry.table_entry->sent > 0) {
+            pools_[pool_entry.pool].binding_lines[entry.subset] += sign * lines;
         }
     }
 }
--- a/src/decision/routing_tables.hpp
+++ b/src/decision/routing_tables.hpp
@@ -1,7 +1,7 @@
-/// What the tables at proxies hold of each endpoint, what they are to hold, and the ordered changes
-/// between the two. Sets of endpoints and pools are kept up as entries change, so that nobody has
-/// to walk over all of them. It decides nothing: weights and ranks come from the update planner,
-/// and the update sender says what was sent.
+/// Keeps what the tables at proxies hold of each endpoint, what they should hold, and the ordered
+/// changes between the two. Sets of endpoints and pools are updated as entries change, so that
+/// callers need not iterate over all of them. It makes no decisions: the update planner sets
+/// weights and ranks, and the update sender reports what was sent.
 #pragma once
 
 #include <compare>
@@ -55,59 +55,66 @@
     [[nodiscard]] const EntrySet& failing() const { return failing_; }
     /// Endpoints whose withdrawal or reinstatement is pending.
     [[nodiscard]] const EntrySet& changing_availability() const { return changing_availability_; }
-    /// Endpoints that should be withdrawn and are not, by the time since when.
+    /// Endpoints that should be withdrawn and are not yet, by the time since which they should be.
     [[nodiscard]] const EntriesByTime& withdrawals_due() const { return withdrawals_due_; }
-    /// Endpoints that were withdrawn lately, by the time of it.
+    /// Endpoints that were withdrawn recently, by the time of the withdrawal.
     [[nodiscard]] const EntriesByTime& recently_withdrawn() const { return recently_withdrawn_; }
-    /// Endpoints for which no weights are published any more, by the time since when.
+    /// Endpoints for which no weights are published any more, by the time of their last
+    /// publication.
     [[nodiscard]] const EntriesByTime& untracked() const { return untracked_; }
 
     /// Replaces the published weights; pools that are left out get 0.
     void set_published(RoutingEntry& entry,
                        const std::vector<std::pair<std::size_t, double>>& shares);
-    /// Weights were published now; for the last time if `tracked` is false.
+    /// Records that weights were published now; for the last time if `tracked` is false.
     void set_tracked(RoutingEntry& entry, bool tracked, TimePoint now);
     void set_warming_up(RoutingEntry& entry, bool warming_up);
-    void set_failing(RoutingEntry& entry, bool failing) { put(failing_, entry, failing); }
-    /// Keeps an endpoint out of all tables, though weights are published, until the next are.
-    /// Returns the pools that it was in.
+    void set_failing(RoutingEntry& entry, bool failing) { set_member(failing_, entry, failing); }
+    /// Sets the endpoint's wanted weights to 0, whatever weights are published for it, until the
+    /// next are published. Returns the pools that it is in.
     PoolSet hold_back(RoutingEntry& entry);
-    /// The endpoint should be withdrawn since `due`; not `due`: it should not, or is already.
+    /// Records since when the endpoint should be withdrawn. `is_due` is false if it should not be,
+    /// or is already.
     void set_withdrawal_due(RoutingEntry& entry, bool is_due, TimePoint due);
-    /// The next plan looks again whether the endpoint's withdrawal is to be repeated.
+    /// Makes the next plan check again whether the endpoint's withdrawal is to be repeated.
     void set_withdrawal_repeated(RoutingEntry& entry) { withdrawal_repeated_.insert(&entry); }
 
-    /// Notes that the endpoint's withdrawal or reinstatement was sent, to all proxies that joined
+    /// Records that the endpoint's withdrawal or reinstatement was sent to all proxies that joined
     /// up to `last_join`. A repeated withdrawal keeps the time of the first.
     void set_availability_sent(RoutingEntry& entry, bool repeated, int last_join, TimePoint now);
-    /// Follows a change of sent weights: the endpoint and its pools are to be planned anew.
+    /// Has to be called after sent weights have changed: queues the endpoint and its pools for
+    /// planning.
     void on_weights_sent(RoutingEntry& entry);
-    /// Forgets withdrawals up to `until`: nobody asks about them any more.
+    /// Drops withdrawals up to `until` from recently_withdrawn(), as they are no longer needed.
     void drop_withdrawn_until(TimePoint until);
 
-    /// The endpoint is to be planned anew.
+    /// Makes the next plan cover the endpoint.
     void queue(RoutingEntry& entry);
     void queue(const EntrySet& entries);
     /// Queues the endpoints whose withdrawal is repeated, and empties that set.
     void queue_withdrawal_repeated();
     [[nodiscard]] std::vector<RoutingEntry*> take_queued();
-    /// The pools that are to be looked at. With `weights_published`, endpoints that were held back
-    /// are looked at anew.
+    /// Returns the pools that the plan has to cover and clears that set. With `weights_published`,
+    /// the pools of endpoints that were held back are among them.
     [[nodiscard]] PoolSet take_pools_to_plan(bool weights_published);
-    /// The next plan scales the pool's wanted weights again, published anew or not.
-    void set_unsettled(std::size_t pool, bool unsettled) { put(unsettled_, pool, unsettled); }
-    /// The pool's wanted weights are not just what the last published ones gave.
-    void set_rescaled(std::size_t pool, bool rescaled) { put(rescaled_, pool, rescaled); }
+    /// Sets whether the next plan scales the pool's wanted weights again, even if no weights are
+    /// published.
+    void set_needs_rescaling(std::size_t pool, bool needed) {
+        set_member(needs_rescaling_, pool, needed);
+    }
+    /// Records whether the pool's wanted weights were scaled since the last published ones were
+    /// adopted.
+    void set_rescaled(std::size_t pool, bool rescaled) { set_member(rescaled_, pool, rescaled); }
 
-    /// Makes a change that bears on what a binding sends of the endpoint, and keeps
-    /// TablePool::binding_lines right.
+    /// Applies a change that affects what a binding sends of the endpoint, and updates
+    /// TablePool::binding_lines.
     template <class AnyChange>
     void update_and_recount_lines(RoutingEntry& entry, AnyChange change) {
         count_binding_lines(entry, -1);
         change();
         count_binding_lines(entry, 1);
     }
-    /// Sets the number of subsets, while no table entry is sent.
+    /// Sets the number of subsets; allowed only while no table entry is sent.
     void set_subset_count(std::size_t count);
 
     [[nodiscard]] bool has_pending_changes() const { return !pending_changes_.empty(); }
@@ -118,11 +125,11 @@
     }
     void take_first_change();
 
-    /// Plans a withdrawal or reinstatement, in place of all changes of the endpoint's weights.
+    /// Plans a withdrawal or reinstatement instead of all changes of the endpoint's weights.
     void plan_availability_change(RoutingEntry& entry, const PlannedChange& change);
     void drop_availability_change(RoutingEntry& entry);
-    void plan_weight_change(const PoolTableEntry& place, const PlannedChange& change);
-    void drop_weight_change(const PoolTableEntry& place);
+    void plan_weight_change(const PoolTableEntry& pool_entry, const PlannedChange& change);
+    void drop_weight_change(const PoolTableEntry& pool_entry);
 
     /// Erases table entries that are neither published, wanted nor sent.
     void drop_empty_table_entries(RoutingEntry& entry);
@@ -131,17 +138,19 @@
 
  private:
     template <class Set, class Value>
-    static void put_value(Set& set, const Value& value, bool in) {
-        if (in) {
+    static void insert_or_erase(Set& set, const Value& value, bool contained) {
+        if (contained) {
             set.insert(value);
         } else {
             set.erase(value);
         }
     }
-    static void put(EntrySet& entries, RoutingEntry& entry, bool in) {
-        put_value(entries, &entry, in);
+    static void set_member(EntrySet& entries, RoutingEntry& entry, bool contained) {
+        insert_or_erase(entries, &entry, contained);
+    }
+    static void set_member(PoolSet& pools, std::size_t pool, bool contained) {
+        insert_or_erase(pools, pool, contained);
     }
-    static void put(PoolSet& pools, std::size_t pool, bool in) { put_value(pools, pool, in); }
 
     TableEntry& table_entry_in(std::size_t pool, RoutingEntry& entry);
     void mark_for_planning(RoutingEntry& entry);
@@ -163,7 +172,7 @@
     EntriesByTime recently_withdrawn_;
     EntriesByTime untracked_;
 
-    PoolSet unsettled_;
+    PoolSet needs_rescaling_;
     PoolSet rescaled_;
     PoolSet pools_to_plan_;
     std::vector<RoutingEntry*> queued_;
--- a/src/decision/scheduler_state.cpp
+++ b/src/decision/scheduler_state.cpp
@@ -8,31 +8,32 @@
 
 namespace {
 
-// Of the configured limit on pending lines.
+// The send window as a fraction of the configured limit on pending lines.
 constexpr double kWindowFraction = 0.9;
 
-// Of the window: bindings and learnt changes leave the rest of it to withdrawals.
-constexpr double kNotUrgentFraction = 0.5;
+// Fraction of the window that bindings and learnt changes may use; the rest is left to withdrawals.
+constexpr double kNonUrgentWindowFraction = 0.5;
 
-// Learnt changes take no more lines than the channel sends in this part of the drain grace, so that
-// a withdrawal behind them is still in time.
+// Learnt changes take no more lines than the channel sends in this fraction of the drain grace, so
+// that a withdrawal queued behind them is still in time.
 constexpr double kLearntGraceFraction = 0.15;
 
-// With subsets, bindings take no more lines than this many times those of learnt changes.
-constexpr double kBindingOverLearnt = 2;
+// With several subsets, bindings take at most this many times the lines that learnt changes may
+// take.
+constexpr double kBindingToLearntRatio = 2;
 
 }  // namespace
 
 double SchedulerState::available_window(WindowUse use) const {
     const double limit = kWindowFraction * context.settings.max_pending_lines;
     const double sent_in_grace = kLearntGraceFraction * drain_grace_seconds() * pace();
-    const double not_urgent = kNotUrgentFraction * limit;
+    const double non_urgent = kNonUrgentWindowFraction * limit;
     double usable = limit;
     if (use == WindowUse::learnt) {
-        usable = std::min(not_urgent, sent_in_grace);
+        usable = std::min(non_urgent, sent_in_grace);
     } else if (use == WindowUse::binding) {
-        usable = subsets.size() > 1 ? std::min(not_urgent, kBindingOverLearnt * sent_in_grace)
-                                    : not_urgent;
+        usable = subsets.size() > 1 ? std::min(non_urgent, kBindingToLearntRatio * sent_in_grace)
+                                    : non_urgent;
     }
     return usable - send_window.pending();
 }
--- a/src/decision/scheduler_state.hpp
+++ b/src/decision/scheduler_state.hpp
@@ -1,6 +1,6 @@
-/// What the parts of the update scheduler share: tables, proxies, the send window and the figures
-/// that one part leaves for another. UpdateScheduler owns it; each part says in its contract what
-/// it changes.
+/// The state that the parts of the update scheduler share: tables, proxies, the send window and the
+/// values that one part passes to another. UpdateScheduler owns it; each part documents what it
+/// changes.
 #pragma once
 
 #include <cstddef>
@@ -13,14 +13,15 @@
 
 namespace micaroad::decision {
 
-/// Part of the configured pace that a channel keeps in any case.
+/// Fraction of the configured pace that a channel reaches in any case.
 constexpr double kAssuredPaceFraction = 0.6;
 
-/// Endpoints that a subset has at least of each pool, and that a partial binding has at most.
-constexpr double kLeastSubsetSize = 8;
+/// Minimum number of endpoints that a subset has of each pool, and maximum number that a partial
+/// binding has of each.
+constexpr double kMinSubsetSize = 8;
 
-/// An endpoint of whose latest attempts a smaller part succeeded is overloaded.
-constexpr double kOverloadedSuccess = 0.4;
+/// An endpoint is overloaded if a smaller fraction of its latest attempts succeeded.
+constexpr double kOverloadedSuccessFraction = 0.4;
 
 /// What a message is for, which decides how much of the send window it may fill.
 enum class WindowUse {
@@ -29,10 +30,10 @@
     learnt,   ///< weights and whatever can wait
 };
 
-/// Withdrawals that are not sent yet, as of the last plan; the sender counts them down.
+/// Withdrawals that are not sent yet, as of the last plan; the sender reduces the count.
 struct PendingWithdrawals {
     int count = 0;
-    TimePoint oldest_due;  ///< the time of the plan where there is none
+    TimePoint oldest_due;  ///< the time of the plan if none is pending
     /// Withdrawals that each unbound proxy has to be sent: the pending ones and the recent ones.
     int owed_to_unbound_proxy = 0;
 };
@@ -41,14 +42,14 @@
     /// `shared_context` has to live as long as this object.
     explicit SchedulerState(DecisionContext& shared_context) : context(shared_context) {}
 
-    /// Lines that may be written now; below 0: too many wait already.
+    /// Lines that may be written now; negative if too many are pending already.
     [[nodiscard]] double available_window(WindowUse use) const;
 
-    /// What a message costs besides its lines, the line of its nonce among it.
+    /// Overhead of a message in lines, including the line of its nonce.
     [[nodiscard]] double lines_per_message() const {
         return context.settings.overhead_lines_per_message + 1;
     }
-    /// Lines that the channel sends in a second, as configured.
+    /// The channel's configured pace, in lines per second.
     [[nodiscard]] double pace() const { return context.settings.channel_lines_per_second; }
     [[nodiscard]] double drain_grace_seconds() const;
     /// Lines of an admission update to a proxy: one for each method.
@@ -59,9 +60,9 @@
     [[nodiscard]] const PoolBinding& binding(std::size_t pool) const {
         return tables.pools()[pool].binding;
     }
-    /// The table of a pool for a subset or, by own_table_set(), for one proxy.
+    /// The table of a pool for a subset, or for one proxy if `table_set` is its own_table_set().
     [[nodiscard]] TableId table_of(std::size_t pool, std::size_t table_set) const;
-    /// The tables of a partial binding stand behind those of the subsets.
+    /// The table set of a proxy's partial binding; these sets come after those of the subsets.
     [[nodiscard]] std::size_t own_table_set(ProxyId proxy) const {
         return subsets.size() + static_cast<std::size_t>(proxy.value);
     }
@@ -73,7 +74,7 @@
     SendWindow send_window;       ///< charged with no fewer lines than are written
     double learnt_allowance = 0;  ///< lines that learnt changes may use now
     PendingWithdrawals withdrawals;
-    bool any_warming_up = false;  ///< some endpoint is, as of the last published weights
+    bool any_warming_up = false;  ///< whether any endpoint was when weights were last published
 };
 
 }  // namespace micaroad::decision
--- a/src/decision/send_window.cpp
+++ b/src/decision/send_window.cpp
@@ -25,18 +25,18 @@
     const Nonce nonce{next_number_ % kNonceCount};
     batches_[next_number_] = std::exchange(open_batch_, Batch{charged_, {}, 0});
     ++next_number_;
-    batches_.erase(next_number_ - kNonceCount);  // its nonce is given out once more
+    batches_.erase(next_number_ - kNonceCount);  // its nonce will be used again
     return nonce;
 }
 
 bool SendWindow::on_acknowledgement(ProxyId proxy, Nonce nonce) {
     const int newest = next_number_ - 1;
     const int newer_nonces = (newest - nonce.value % kNonceCount + kNonceCount) % kNonceCount;
-    const auto at = batches_.find(newest - newer_nonces);
-    if (at == batches_.end()) {
+    const auto found = batches_.find(newest - newer_nonces);
+    if (found == batches_.end()) {
         return false;
     }
-    Batch& batch = at->second;
+    Batch& batch = found->second;
     if (const auto message = batch.unacknowledged.extract(proxy)) {
         batch.acknowledged += message.mapped();
     }
@@ -58,8 +58,9 @@
         sent_ += elapsed.lines_at_least;
     }
     sent_ = std::min(sent_, charged_);
-    const double gone = pending_to_departed_ > 0 ? elapsed.lines_at_least : elapsed.lines_at_most;
-    pending_by_time_ = std::max(0.0, pending_by_time_ - gone);
+    const double lines_sent =
+        pending_to_departed_ > 0 ? elapsed.lines_at_least : elapsed.lines_at_most;
+    pending_by_time_ = std::max(0.0, pending_by_time_ - lines_sent);
     pending_to_departed_ = std::max(0.0, pending_to_departed_ - elapsed.lines_at_least);
 }
 
--- a/src/decision/share_assignment.hpp
+++ b/src/decision/share_assignment.hpp
@@ -11,9 +11,9 @@
 /// their shares; if all have a limit, no limit applies. All shares are 0 if all sizes are.
 [[nodiscard]] RealVector capped_softmax(const PoolSnapshot& pool, const RealVector& weights);
 
-/// Adds to `rates`, which has an element for each endpoint of the optimizer step, what changes when
-/// the pool's shares move from the published ones to `shares`. `pool_rate`: RPCs per second of the
-/// pool.
+/// Adds to `rates`, which has an element for each endpoint of the optimizer step, the change of
+/// each endpoint's rate when the pool's shares move from the published ones to `shares`.
+/// `pool_rate`: RPCs per second of the pool.
 void add_rate_changes(const PoolSnapshot& pool, const RealVector& shares, double pool_rate,
                       RealVector& rates);
 
--- a/src/decision/slice_assigner.hpp
+++ b/src/decision/slice_assigner.hpp
@@ -11,13 +11,13 @@
 
 namespace micaroad::decision {
 
-/// Keeps each slice that is this planner's at an owner that may get traffic.
+/// Keeps each of this planner's slices assigned to an owner that may get traffic.
 ///
-/// A slice stays with its owner until that one drains or is gone; there is no balancing. Where the
-/// settings allow a slice one owner at a time, a successor is chosen only once no write can take
-/// effect at the former owner any more:
-///   - for 2 `max_message_delay` the proxies may not have heard of the removal, nor the owner,
-///   - for `owner_lease` the owner may go on without having heard of it,
+/// A slice stays with its owner until the owner drains or is gone; slices are not balanced. Where
+/// the settings allow a slice one owner at a time, a successor is chosen only once no write can
+/// take effect at the former owner any more:
+///   - for 2 `max_message_delay` neither the proxies nor the owner may have received the removal,
+///   - for `owner_lease` the owner may continue without having received it,
 ///   - for `write_lifetime` a write that it accepted in that time may take effect.
 ///
 /// Not thread-safe.
@@ -37,7 +37,7 @@
  private:
     struct Slice {
         std::set<ServerId> owners;
-        TimePoint assignable_from;  ///< no successor before that
+        TimePoint assignable_from;  ///< earliest time for a successor
     };
 
     void remove_closed_owners(TableId slice_id, Slice& slice);
@@ -46,8 +46,8 @@
 
     DecisionContext& context_;
     UpdateScheduler& scheduler_;
-    std::map<TableId, Slice> slices_;  // of this planner
-    std::set<ServerId> open_servers_;  // that may get traffic
+    std::map<TableId, Slice> slices_;  // the slices of this planner
+    std::set<ServerId> open_servers_;  // servers that may get traffic
 };
 
 }  // namespace micaroad::decision
--- a/src/decision/subset_assignment.cpp
+++ b/src/decision/subset_assignment.cpp
@@ -10,21 +10,22 @@
 
 namespace {
 
-// Bindings of all proxies of the planner take no more than this part of the drain grace.
+// Bindings of all proxies of the planner take no more than this fraction of the drain grace.
 constexpr double kBindingGraceFraction = 0.2;
 
-// More tables than this for each proxy of the planner would leave subsets without proxies.
+// Maximum number of tables for each proxy of the planner; more would leave subsets without proxies.
 constexpr double kTablesPerProxy = 0.4;
 
-// Loads that differ by less do so by chance.
-constexpr double kUnevenLoad = 1.25;
+// A proxy moves only if the loads of two subsets differ by at least this factor; smaller
+// differences arise by chance.
+constexpr double kMinRebalanceLoadRatio = 1.25;
 
-// How much more load counts that comes from another zone.
+// Factor by which a subset's load counts more for a proxy of another zone.
 constexpr double kRemoteLoadFactor = 1.5;
 
-constexpr double kLeastPoolPart = 1e-9;  // keeps the load of an empty subset finite
+constexpr double kMinPoolShare = 1e-9;  // keeps the load of an empty subset finite
 
-/// How well a subset suits an endpoint, the best first.
+/// How well a subset suits an endpoint; the best compares lowest.
 struct Suitability {
     bool other_zone = false;
     double endpoints_in_its_pools = 0;
@@ -51,23 +52,25 @@
     assign_unsent();
 }
 
-// As many subsets as make the bindings of all proxies fit into their part of the drain grace.
+// Creates as many subsets as make the bindings of all proxies fit into their fraction of the drain
+// grace.
 void SubsetAssignment::create_subsets() {
     const DeploymentSettings& settings = state_.context.settings;
     const double pools = static_cast<double>(state_.tables.pools().size());
     const double proxies = 1.0 * std::max(1, settings.proxy_count) / settings.planner_count;
-    const double lines_in_time =
+    const double lines_in_grace =
         kBindingGraceFraction * state_.drain_grace_seconds() * state_.pace();
     // Besides its entries a binding has, for each method, at most a line that binds it and one that
     // sets its admission.
     const double entries_per_proxy =
-        lines_in_time / proxies - state_.lines_per_message() - 2.0 * state_.admission_lines();
-    const double wanted =
-        std::ceil(wanted_table_entries() / std::max(entries_per_proxy, kLeastSubsetSize * pools));
-    const double useful = std::min(wanted, kTablesPerProxy * proxies / std::max(1.0, pools));
-    const bool one_zone_each = settings.zone_count > 1 && useful >= settings.zone_count;
+        lines_in_grace / proxies - state_.lines_per_message() - 2.0 * state_.admission_lines();
+    const double wanted_count =
+        std::ceil(wanted_table_entries() / std::max(entries_per_proxy, kMinSubsetSize * pools));
+    const double useful_count =
+        std::min(wanted_count, kTablesPerProxy * proxies / std::max(1.0, pools));
+    const bool one_zone_each = settings.zone_count > 1 && useful_count >= settings.zone_count;
     const double zones = one_zone_each ? settings.zone_count : 1;
-    const double count = std::max(1.0, std::ceil(useful / zones) * zones);
+    const double count = std::max(1.0, std::ceil(useful_count / zones) * zones);
     state_.subsets.create_subsets(static_cast<std::size_t>(count), static_cast<int>(zones));
 }
 
@@ -81,7 +84,8 @@
     return entries;
 }
 
-// Endpoints are assigned once more in each plan, until an entry of them is sent.
+// Assigns endpoints to subsets. An endpoint is assigned again in each plan until an entry of it is
+// sent.
 void SubsetAssignment::assign_unsent() {
     std::vector<RoutingEntry*> assigned;
     for (RoutingEntry* const entry : state_.tables.unsent()) {
@@ -99,8 +103,9 @@
 std::size_t SubsetAssignment::subset_for(const RoutingEntry& entry) const {
     const auto suitability = [&](const Subset& subset) {
         double endpoints = 0;
-        for (const PoolTableEntry& place : entry.table_entries) {
-            endpoints += place.table_entry->wanted > 0 ? subset.endpoint_count[place.pool] : 0;
+        for (const PoolTableEntry& pool_entry : entry.table_entries) {
+            endpoints +=
+                pool_entry.table_entry->wanted > 0 ? subset.endpoint_count[pool_entry.pool] : 0;
         }
         return Suitability{subset.is_remote_to(entry.zone), endpoints};
     };
@@ -109,7 +114,8 @@
     return static_cast<std::size_t>(best - subsets.begin());
 }
 
-// No subset is overloaded where no endpoint fails.
+// Computes the success margins of the subsets. They stay 0 while no endpoint is warming up, as only
+// such endpoints are held back, and while none fails, as then no subset is overloaded.
 void SubsetAssignment::measure_success(bool weights_published) {
     state_.subsets.reset_success_margins();
     if (state_.tables.warming_up().empty() || state_.tables.failing().empty()) {
@@ -119,17 +125,18 @@
         if (!entry.warming_up && entry.sent() > 0) {
             const double weight = weights_published ? entry.published() : entry.wanted();
             state_.subsets.add_success_margin(
-                entry.subset, (entry.success_fraction - kOverloadedSuccess) * weight);
+                entry.subset, (entry.success_fraction - kOverloadedSuccessFraction) * weight);
         }
     }
 }
 
-// RPCs of the subset's proxies, and of one more, for each part of the pool that it has least of.
+// RPCs per second of the subset's proxies plus `more_rpcs_per_second`, divided by the subset's
+// smallest share of a pool, and multiplied by kRemoteLoadFactor for proxies of another zone.
 double SubsetAssignment::load(std::size_t subset, ZoneId zone, double more_rpcs_per_second) {
-    const double least = state_.subsets.min_pool_share(subset, zone);
-    const Subset& its = state_.subsets[subset];
-    return (its.rpcs_per_second + more_rpcs_per_second) / std::max(least, kLeastPoolPart) *
-           (its.is_remote_to(zone) ? kRemoteLoadFactor : 1);
+    const double min_share = state_.subsets.min_pool_share(subset, zone);
+    const Subset& measured = state_.subsets[subset];
+    return (measured.rpcs_per_second + more_rpcs_per_second) / std::max(min_share, kMinPoolShare) *
+           (measured.is_remote_to(zone) ? kRemoteLoadFactor : 1);
 }
 
 std::size_t SubsetAssignment::least_loaded(ZoneId zone, double rpcs_per_second) {
@@ -151,8 +158,8 @@
     const ProxyId proxy = *most_loaded.proxies.begin();
     const BoundProxy& bound = state_.subsets.bound_proxies().at(proxy);
     const std::size_t to = least_loaded(bound.zone, bound.rpcs_per_second);
-    if (to == from ||
-        load(from, bound.zone, 0) < kUnevenLoad * load(to, bound.zone, bound.rpcs_per_second)) {
+    if (to == from || load(from, bound.zone, 0) <
+                          kMinRebalanceLoadRatio * load(to, bound.zone, bound.rpcs_per_second)) {
         return std::nullopt;
     }
     return ProxyMove{proxy, to};
--- a/src/decision/subset_assignment.hpp
+++ b/src/decision/subset_assignment.hpp
@@ -1,11 +1,11 @@
 /// Decides how many subsets of the endpoints there are, which endpoint belongs to which, which
 /// subset a proxy is bound to, and which proxy moves where loads differ.
 ///
-/// Guards against a channel that can't carry tables of all endpoints, nor each withdrawal, to all
-/// proxies in time: a subset's tables and withdrawals go to its own proxies alone. It could harm
-/// where few endpoints are left in a subset: its proxies move to others then. The design has one
-/// table a pool for all proxies; docs/design.md, "Subsets", says where and why this departs from
-/// it.
+/// The channel may be unable to carry tables of all endpoints, or each withdrawal, to all proxies
+/// in time. The tables and withdrawals of a subset are therefore sent to its own proxies only. This
+/// could do harm where few endpoints are left in a subset, so its proxies then move to other
+/// subsets. The design has one table per pool for all proxies; docs/design.md, "Subsets", says
+/// where and why this departs from it.
 #pragma once
 
 #include <cstddef>
@@ -27,8 +27,8 @@
     /// `state` has to live as long as this object.
     explicit SubsetAssignment(SchedulerState& state) : state_(state) {}
 
-    /// Divides the endpoints into subsets while none is sent and no proxy is bound, and assigns
-    /// those of which no entry is sent. `pools` have changed since the last call.
+    /// Creates the subsets, as long as no entry is sent and no proxy is bound, and assigns the
+    /// endpoints of which no entry is sent. `pools` have changed since the last call.
     void assign(const RoutingTables::PoolSet& pools, bool weights_published);
 
     /// The subset with the least load for a proxy of this zone and rate.
--- a/src/decision/unbound_proxies.hpp
+++ b/src/decision/unbound_proxies.hpp
@@ -10,16 +10,16 @@
 
 namespace micaroad::decision {
 
-/// A proxy that goes on by a table which this planner did not write.
+/// A proxy that uses tables which this planner did not write.
 struct UnboundProxy {
     ProxyId proxy;
     ZoneId zone;
     double rpcs_per_second = 0;  ///< as it announced
     bool initial_table_only = false;
-    int join_number = 0;  ///< its place among all joins, from 1
+    int join_number = 0;  ///< position of its join among all joins, from 1
 };
 
-/// Proxies that have their initial table alone come first, then the busiest.
+/// Proxies that have only their initial table come first, then the busiest.
 struct BindingOrder {
     bool operator()(const UnboundProxy& one, const UnboundProxy& other) const {
         return std::tuple(!one.initial_table_only, -one.rpcs_per_second, one.proxy) <
--- a/src/decision/update_planner.cpp
+++ b/src/decision/update_planner.cpp
@@ -9,22 +9,24 @@
 
 namespace {
 
-// Optimizer steps after which no report of an endpoint comes any more.
-constexpr int kStepsUntilForgotten = 8;
+// An endpoint expires this many optimizer steps after its weights were last published: no report of
+// it arrives any more.
+constexpr int kStepsUntilExpired = 8;
 
-// Changes of a weight by a smaller part are not sent; the design's value.
-constexpr double kWeightChangeWorthSending = 0.1;
+// Changes of a weight by a smaller fraction are not sent; the value is the design's.
+constexpr double kMinRelativeWeightChange = 0.1;
 
-// A sort key before those of all changes of weights, which are not over 1.
+// Scale of the sort keys that precede those of all weight changes, whose size is at most 1.
 constexpr double kBeforeAllWeights = 1e6;
 
-// Sort keys of repeated withdrawals lie behind those of all others, which are times in seconds.
+// Offset of the sort keys of repeated withdrawals: they follow all others, which are times in
+// seconds.
 constexpr double kAfterAllTimes = 1e12;
 
 }  // namespace
 
 void UpdatePlanner::make_plan() {
-    queue_departed();
+    queue_expired();
     RoutingTables::PoolSet pools = state_.tables.take_pools_to_plan(weights_published_);
     if (weights_published_) {
         adopt_published_weights(pools);
@@ -34,7 +36,7 @@
     pools.insert(held_back.begin(), held_back.end());
     rescale(pools);
     for (const std::size_t pool : held_back) {
-        state_.tables.set_unsettled(pool, true);
+        state_.tables.set_needs_rescaling(pool, true);
     }
     queue_withdrawals_to_repeat();
     for (RoutingEntry* const entry : state_.tables.take_queued()) {
@@ -46,13 +48,14 @@
     success_reported_ = false;
 }
 
-// Endpoints that are gone and that nobody publishes any more. Their table entries are removed
-// before all learnt changes, as whoever is bound later would get them.
-void UpdatePlanner::queue_departed() {
+// Queues endpoints that are withdrawn and whose weights have not been published for long. Their
+// table entries are removed before all learnt changes, because proxies that are bound later would
+// still be sent them.
+void UpdatePlanner::queue_expired() {
     const RoutingTables::EntriesByTime& untracked = state_.tables.untracked();
-    for (auto at = untracked.begin(); at != untracked.end() && at->time < forgotten_before();) {
-        RoutingEntry& entry = *at->entry;
-        ++at;  // erase() erases the place
+    for (auto it = untracked.begin(); it != untracked.end() && it->time < expired_before();) {
+        RoutingEntry& entry = *it->entry;
+        ++it;  // erase() invalidates the iterator to this element
         if (!entry.withdrawn) {
             continue;
         }
@@ -72,9 +75,10 @@
     }
 }
 
-// Guards against an endpoint that warms up alone among overloaded ones: proxies leave out those
-// that fail by themselves, and all their traffic would come to it, however small its weight. It
-// costs capacity until the next weights are published. Returns the pools that have one.
+// Holds back endpoints that are warming up in an overloaded subset and returns their pools. Proxies
+// by themselves stop using endpoints that fail, so all their traffic would go to the endpoint that
+// is warming up, however small its weight. Holding it back costs capacity until the next weights
+// are published.
 RoutingTables::PoolSet UpdatePlanner::hold_back_among_overloaded() {
     RoutingTables::PoolSet pools;
     for (RoutingEntry* const entry : state_.tables.warming_up()) {
@@ -95,8 +99,8 @@
     }
 }
 
-// Weights are relative: what many withdrawals do to all other endpoints alike needs no line. So
-// wanted weights are brought to the scale of those that proxies hold.
+// Scales the pool's wanted weights to those that proxies hold. Weights are relative, so the effect
+// that many withdrawals have on all other endpoints alike needs no lines.
 void UpdatePlanner::rescale_pool(std::size_t pool_index) {
     TablePool& pool = state_.tables.pools()[pool_index];
     double sent = 0;  // of the endpoints that stay in use
@@ -116,12 +120,12 @@
     const int is_in_use = sent > 0 ? 1 : 0;
     pools_in_use_ += is_in_use - was_in_use;
     pool.sent_in_use = sent;
-    state_.tables.set_unsettled(pool_index, factor != 1);
+    state_.tables.set_needs_rescaling(pool_index, factor != 1);
     state_.tables.set_rescaled(pool_index, !weights_published_);
 }
 
-// Proxies that have joined since a withdrawal was sent may hold tables of a planner that stopped
-// before it sent its own.
+// Queues recent withdrawals again if proxies have joined since: these may hold tables of a planner
+// that stopped before it sent its own withdrawals.
 void UpdatePlanner::queue_withdrawals_to_repeat() {
     RoutingTables& tables = state_.tables;
     const DeploymentSettings& settings = state_.context.settings;
@@ -153,9 +157,9 @@
         plan_weight_changes(entry);
         return;
     }
-    // Withdrawals that are due for the longest go first, then repeated ones, the latest first.
-    // Reinstatements, the largest first, precede all weights; where no endpoint is in use they are
-    // as urgent as withdrawals and precede these too.
+    // Withdrawals that have been due for the longest are sent first, then repeated ones, the latest
+    // first. Reinstatements precede all weight changes, the largest first; while no endpoint is in
+    // use they are as urgent as withdrawals and precede those too.
     PlannedChange change{ChangeRank::urgent, -kBeforeAllWeights * (1 + wanted)};
     if (repeat) {
         change.sort_key = kAfterAllTimes - seconds(end_of_withdrawal(entry).time_since_epoch());
@@ -167,21 +171,22 @@
     state_.tables.plan_availability_change(entry, change);
 }
 
-// Guards against entries that never find room in the window and stay for good: those of an endpoint
-// that is forgotten are removed before all learnt changes.
+// Plans changes of weights. The entries of an expired endpoint are removed before all learnt
+// changes: ranked as cleanup they might never fit into the window and would stay for good.
 void UpdatePlanner::plan_weight_changes(RoutingEntry& entry) {
-    const bool forgotten = is_forgotten(entry);
-    const bool cleanup = entry.wanted() == 0 && !forgotten;
+    const bool expired = is_expired(entry);
+    const bool cleanup = entry.wanted() == 0 && !expired;
     const ChangeRank rank = cleanup ? ChangeRank::cleanup : ChangeRank::learnt;
-    for (const PoolTableEntry& place : entry.table_entries) {
-        const double wanted = place.table_entry->wanted;
-        const double sent = place.table_entry->sent;
+    for (const PoolTableEntry& pool_entry : entry.table_entries) {
+        const double wanted = pool_entry.table_entry->wanted;
+        const double sent = pool_entry.table_entry->sent;
         const double size = std::abs(wanted - sent);
-        const double tolerated = wanted > 0 && sent > 0 ? kWeightChangeWorthSending * sent : 0;
-        if (size <= tolerated) {
-            state_.tables.drop_weight_change(place);
+        const double tolerance = wanted > 0 && sent > 0 ? kMinRelativeWeightChange * sent : 0;
+        if (size <= tolerance) {
+            state_.tables.drop_weight_change(pool_entry);
         } else {
-            state_.tables.plan_weight_change(place, {rank, forgotten ? -kBeforeAllWeights : -size});
+            state_.tables.plan_weight_change(pool_entry,
+                                             {rank, expired ? -kBeforeAllWeights : -size});
         }
     }
     state_.tables.drop_empty_table_entries(entry);
@@ -199,12 +204,12 @@
     return entry.availability_changed + settings.drain_grace + settings.max_message_delay;
 }
 
-bool UpdatePlanner::is_forgotten(const RoutingEntry& entry) const {
-    return entry.withdrawn && !entry.tracked && entry.last_published < forgotten_before();
+bool UpdatePlanner::is_expired(const RoutingEntry& entry) const {
+    return entry.withdrawn && !entry.tracked && entry.last_published < expired_before();
 }
 
-TimePoint UpdatePlanner::forgotten_before() const {
-    return state_.context.now - kStepsUntilForgotten * state_.context.step;
+TimePoint UpdatePlanner::expired_before() const {
+    return state_.context.now - kStepsUntilExpired * state_.context.step;
 }
 
 void UpdatePlanner::count_withdrawals() {
--- a/src/decision/update_planner.hpp
+++ b/src/decision/update_planner.hpp
@@ -18,17 +18,17 @@
 
     void on_weights_published() { weights_published_ = true; }
     void on_proxy_joined() { proxies_joined_ = true; }
-    /// Endpoints that warm up may have to be held back.
+    /// Makes a plan due: endpoints that are warming up may have to be held back.
     void on_success_reported() { success_reported_ = true; }
 
-    /// Has anything happened since the last plan that may change it?
+    /// Whether anything has happened since the last plan that may change it.
     [[nodiscard]] bool is_due() const {
         return weights_published_ || proxies_joined_ || success_reported_;
     }
     void make_plan();
 
  private:
-    void queue_departed();
+    void queue_expired();
     void adopt_published_weights(const RoutingTables::PoolSet& pools);
     [[nodiscard]] RoutingTables::PoolSet hold_back_among_overloaded();
     void rescale(const RoutingTables::PoolSet& pools);
@@ -37,10 +37,10 @@
     void plan(RoutingEntry& entry);
     void plan_weight_changes(RoutingEntry& entry);
     [[nodiscard]] bool is_withdrawal_to_repeat(const RoutingEntry& entry) const;
-    /// Until then proxies that join may hold tables that still have the endpoint.
+    /// The time until which proxies that join may hold tables that still list the endpoint.
     [[nodiscard]] TimePoint end_of_withdrawal(const RoutingEntry& entry) const;
-    [[nodiscard]] bool is_forgotten(const RoutingEntry& entry) const;
-    [[nodiscard]] TimePoint forgotten_before() const;
+    [[nodiscard]] bool is_expired(const RoutingEntry& entry) const;
+    [[nodiscard]] TimePoint expired_before() const;
     void count_withdrawals();
 
     SchedulerState& state_;
--- a/src/decision/update_scheduler.cpp
+++ b/src/decision/update_scheduler.cpp
@@ -9,17 +9,20 @@
 
 namespace {
 
-// Acknowledgements have stopped where none came for this many times the longest delay of a message.
-constexpr int kDelaysUntilSilent = 4;
+// Acknowledgements count as stopped if none has arrived for this many times the longest message
+// delay.
+constexpr int kDelaysUntilStopped = 4;
 
-// Learnt changes use this part of the channel's pace; the design's value.
+// Fraction of the channel's pace that learnt changes use; the value is the design's.
 constexpr double kLearntPaceFraction = 0.5;
 
-// What learnt changes don't use adds up to what the channel sends in this time, in seconds.
+// The allowance that learnt changes leave unused accumulates up to what the channel sends in this
+// time, in seconds.
 constexpr double kAllowanceSeconds = 2;
 
-// Withdrawals wait for bindings for up to the drain grace divided by this.
-constexpr int kGraceOverLongestHold = 4;
+// Updates wait for bindings until the oldest withdrawal has been due for the drain grace divided by
+// this.
+constexpr int kMaxHoldDivisor = 4;
 
 }  // namespace
 
@@ -78,7 +81,7 @@
         return;
     }
     entry->success_fraction = 1 - report.failures / report.attempts;
-    state_.tables.set_failing(*entry, entry->success_fraction < kOverloadedSuccess);
+    state_.tables.set_failing(*entry, entry->success_fraction < kOverloadedSuccessFraction);
     if (state_.any_warming_up) {
         planner_.on_success_reported();
     }
@@ -89,7 +92,8 @@
     if (planner_.is_due()) {
         planner_.make_plan();
     }
-    // With subsets proxies are bound first: one that is bound has to be sent fewer withdrawals.
+    // With several subsets, proxies are bound first: a bound proxy has to be sent fewer
+    // withdrawals.
     if (state_.subsets.size() > 1) {
         bind_proxies();
         binder_.rebalance();
@@ -111,12 +115,12 @@
     if (state_.send_window.pending() == 0) {
         last_acknowledgement_ = now;
     }
-    const Duration silent_after = kDelaysUntilSilent * state_.context.settings.max_message_delay;
+    const Duration stopped_after = kDelaysUntilStopped * state_.context.settings.max_message_delay;
     const double pace = state_.pace();
     state_.send_window.advance(
         {.lines_at_most = pace * elapsed,
          .lines_at_least = kAssuredPaceFraction * pace * elapsed,
-         .acknowledgements_stopped = now > last_acknowledgement_ + silent_after});
+         .acknowledgements_stopped = now > last_acknowledgement_ + stopped_after});
     state_.learnt_allowance = std::min(
         state_.learnt_allowance + kLearntPaceFraction * pace * elapsed, pace * kAllowanceSeconds);
 }
@@ -126,10 +130,11 @@
     binder_.complete_partial_bindings();
 }
 
-// Withdrawals wait while proxies are being bound that would otherwise have to be sent each of them.
+// With several subsets, updates wait for proxies to be bound: until then each unbound proxy would
+// have to be sent every withdrawal.
 bool UpdateScheduler::are_changes_held() const {
     const bool binding = state_.subsets.size() > 1 && !state_.unbound_proxies.empty();
-    const Duration longest_hold = state_.context.settings.drain_grace / kGraceOverLongestHold;
+    const Duration longest_hold = state_.context.settings.drain_grace / kMaxHoldDivisor;
     return binding && state_.context.now < state_.withdrawals.oldest_due + longest_hold;
 }
 
--- a/src/decision/update_scheduler.hpp
+++ b/src/decision/update_scheduler.hpp
@@ -1,9 +1,10 @@
 /// Decides what is sent to the proxies, and when.
 ///
-/// Guards against proxies that go by what no longer holds, and against a channel choked by its own
-/// orders: withdrawals go first, learnt changes keep to half the channel's pace, and proxies that
-/// join are bound within the rest of the send window, the busiest first. Acknowledgements tell what
-/// is still pending; where they get lost, the assured part of the channel's pace frees the window.
+/// Proxies must not keep using outdated tables, and the planner's own orders must not congest its
+/// channel. Withdrawals therefore are sent first, learnt changes use at most half the channel's
+/// pace, and proxies that join are bound within the rest of the send window, the busiest first.
+/// Acknowledgements tell what is still pending; where they are lost, the assured part of the
+/// channel's pace frees the window.
 #pragma once
 
 #include "decision/admission_updates.hpp"
@@ -18,16 +19,16 @@
 
 namespace micaroad::decision {
 
-/// The component that gets the messages of all others and orders what follows from them. It runs
-/// last in each decision; a Tick makes it act. Not thread-safe: all components of a planner run on
-/// one thread.
+/// Receives the messages of all other components and orders the updates that follow from them. It
+/// runs last in each decision; a Tick makes it act. Not thread-safe: all components of a planner
+/// run on one thread.
 class UpdateScheduler {
  public:
     /// `context` has to live as long as this object.
     explicit UpdateScheduler(DecisionContext& context) : state_(context) {}
 
     void on(const RenewSubscription& renew);
-    /// Pools are made before any weights are published.
+    /// Adds a pool. All pools are added before any weights are published.
     void on(const PoolBinding& binding);
     void on(const AdmissionFractions& fractions);
     void on(const DesiredWeights& desired);
@@ -57,7 +58,7 @@
     UpdatePlanner planner_{state_, assignment_};
     UpdateSender sender_{state_, admission_};
     TimePoint last_tick_;
-    /// When an acknowledgement last came, or none was missing.
+    /// When an acknowledgement last arrived, or nothing was pending.
     TimePoint last_acknowledgement_;
 };
 
--- a/src/decision/update_sender.cpp
+++ b/src/decision/update_sender.cpp
@@ -9,27 +9,29 @@
 
 namespace {
 
-// What a message costs besides its lines as the design counts it, which the allowance of learnt
-// changes goes by.
+// Overhead of a message in lines as the design counts it; the allowance of learnt changes is
+// counted with it.
 constexpr double kDesignLinesPerMessage = 6;
 
-// Changes that are due within this time are sent in one message, which saves its overhead. Learnt
-// changes save more overhead than waiting costs them.
+// Changes that become due within this time are sent in one message, which saves overhead. Learnt
+// changes wait longer: that saves more overhead than the delay costs.
 constexpr Duration kMergeInterval = std::chrono::milliseconds(200);
 constexpr Duration kLearntMergeInterval = std::chrono::seconds(1);
 
-// Where proxies take a limited number of messages within a time, this many are left for a binding.
-constexpr int kMessagesLeftForBinding = 3;
+// Where a proxy may get only a limited number of messages within a time, this many are reserved for
+// a binding.
+constexpr int kMessagesReservedForBinding = 3;
 constexpr int kUnlimitedMessages = 1'000'000;
 
-/// A withdrawal that was sent already and is to reach proxies that have joined since.
+/// Whether the endpoint's withdrawal was sent already and only has to reach proxies that joined
+/// since.
 bool is_repeated_withdrawal(const RoutingEntry& entry) {
     return entry.withdrawn && entry.wanted() == 0;
 }
 
 }  // namespace
 
-double UpdateSender::Round::unbound_after(int join) const {
+double UpdateSender::Round::unbound_joined_after(int join) const {
     return static_cast<double>(unbound_joins.end() - std::ranges::upper_bound(unbound_joins, join));
 }
 
@@ -39,7 +41,7 @@
             subset_lines[i] += cost.lines;
         }
     }
-    unbound_lines += unbound_after(cost.unbound_after_join);
+    unbound_lines += unbound_joined_after(cost.unbound_after_join);
     first_notified_join = std::min(first_notified_join, cost.unbound_after_join);
     notified_joins.push_back(cost.unbound_after_join);
     (cost.rank == ChangeRank::urgent ? urgent_sent : learnt_sent) = true;
@@ -57,8 +59,8 @@
     }
 }
 
-// What unbound proxies hold can't be seen: each is sent all withdrawals and reinstatements since it
-// joined.
+// The planner does not know what unbound proxies hold, so each is sent all withdrawals and
+// reinstatements since it joined.
 UpdateSender::Round UpdateSender::begin_round() const {
     Round round;
     for (const UnboundProxy& unbound : state_.unbound_proxies.all()) {
@@ -70,8 +72,9 @@
     return round;
 }
 
-// Guards against more withdrawals than the channel carries within the grace, for many endpoints or
-// many proxies: nothing is admitted until they are sent. It costs service for so long.
+// Pauses admission when the pending withdrawals, for many endpoints or many proxies, take longer to
+// send than the drain grace allows. No RPC is admitted until all of them are sent, which costs
+// service for that time.
 void UpdateSender::update_admission_pause() {
     const DeploymentSettings& settings = state_.context.settings;
     const PendingWithdrawals& withdrawals = state_.withdrawals;
@@ -81,15 +84,15 @@
     const double seconds_to_send =
         (state_.send_window.pending() + withdrawals.count * proxies_per_subset) /
         (kAssuredPaceFraction * state_.pace());
-    const Duration left_of_grace = withdrawals.oldest_due + settings.drain_grace -
-                                   settings.max_message_delay - state_.context.now;
-    const bool too_many = seconds_to_send > seconds(left_of_grace);
+    const Duration remaining_grace = withdrawals.oldest_due + settings.drain_grace -
+                                     settings.max_message_delay - state_.context.now;
+    const bool too_many = seconds_to_send > seconds(remaining_grace);
     admission_paused_ = withdrawals.count > 0 && (admission_paused_ || too_many);
 }
 
 void UpdateSender::send_admission(Round& round) {
-    const AdmissionSetting setting = admission_.next(admission_paused_);
-    if (!admission_.is_worth_sending(setting)) {
+    const AdmissionSetting setting = admission_.next_setting(admission_paused_);
+    if (!admission_.is_significant(setting)) {
         return;
     }
     const Cost cost{admission_.rank_of(setting), state_.admission_lines(), std::nullopt,
@@ -101,11 +104,11 @@
     admission_.set_sent(setting);
     std::vector<std::size_t> table_sets(state_.subsets.size());
     std::iota(table_sets.begin(), table_sets.end(), std::size_t{0});
-    admission_.order_sent(table_sets, state_.context.orders);
+    admission_.append_last_sent(table_sets, state_.context.orders);
     for (const auto& [proxy, bound] : state_.subsets.bound_proxies()) {
         if (bound.partial) {
             const std::size_t own_tables = state_.own_table_set(proxy);
-            admission_.order_sent({&own_tables, 1}, state_.context.orders);
+            admission_.append_last_sent({&own_tables, 1}, state_.context.orders);
         }
     }
 }
@@ -144,12 +147,13 @@
         return false;
     }
     const int notified_join = std::min(round.first_notified_join, cost.unbound_after_join);
-    const double to_unbound = round.unbound_lines + round.unbound_after(cost.unbound_after_join) +
-                              state_.lines_per_message() * round.unbound_after(notified_join);
+    const double to_unbound =
+        round.unbound_lines + round.unbound_joined_after(cost.unbound_after_join) +
+        state_.lines_per_message() * round.unbound_joined_after(notified_join);
     const double to_bound =
         lines_to_bound(round, state_.lines_per_message(), cost.lines, cost.subset);
-    // An endpoint that comes back is capacity: it may use as much of the window as a binding, and
-    // none of the allowance of learnt changes.
+    // A reinstatement adds capacity: it may use as much of the window as a binding, and the
+    // allowance of learnt changes does not limit it.
     const bool reinstates = cost.rank == ChangeRank::learnt && cost.unbound_after_join == 0;
     WindowUse use = urgent ? WindowUse::urgent : WindowUse::learnt;
     if (reinstates) {
@@ -181,7 +185,7 @@
     const bool repeated = is_repeated_withdrawal(entry);
     Cost cost{change.rank, 0, entry.subset, 0};
     if (change.pool) {
-        // A weight may be followed by a reinstatement.
+        // The weight takes a line, and a reinstatement may follow it.
         cost.lines = entry.may_be_withdrawn_at_proxies && !withdraw ? 2 : 1;
         cost.unbound_after_join = state_.unbound_proxies.last_join();
         return cost;
@@ -193,14 +197,15 @@
     const bool withdrawal_reaches_bound = withdraw && entry.sent() > 0;
     cost.lines = !repeated && (!withdraw || withdrawal_reaches_bound) ? 1 : 0;
     if (!withdraw || repeated) {
-        for (const PoolTableEntry& place : entry.table_entries) {
-            cost.lines += place.table_entry->wanted != place.table_entry->sent ? 1 : 0;
+        for (const PoolTableEntry& pool_entry : entry.table_entries) {
+            cost.lines += pool_entry.table_entry->wanted != pool_entry.table_entry->sent ? 1 : 0;
         }
     }
     return cost;
 }
 
-// Sends the weight in one pool, or a withdrawal or reinstatement with the weights that go with it.
+// Sends the weight in `pool` or, if absent, a withdrawal or reinstatement with the weights that go
+// with it.
 void UpdateSender::apply(RoutingEntry& entry, std::optional<std::size_t> pool) {
     const bool withdraw = entry.wanted() == 0;
     const bool repeated = is_repeated_withdrawal(entry);
@@ -220,19 +225,19 @@
                                         state_.context.now);
 }
 
-// A repeated withdrawal is to reach no proxy that was sent it already: their tables drop the entry
-// first.
+// Before a repeated withdrawal the weights of 0 are sent as well, so that tables drop the entry
+// first and the withdrawal reaches no proxy that was sent it already.
 void UpdateSender::send_weights(RoutingEntry& entry, std::optional<std::size_t> pool,
                                 bool repeated) {
     const bool all_pools = !pool && (entry.wanted() != 0 || repeated);
-    for (const PoolTableEntry& place : entry.table_entries) {
-        TableEntry& table_entry = *place.table_entry;
-        const bool meant = all_pools || place.pool == pool;
-        if (!meant || table_entry.wanted == table_entry.sent) {
+    for (const PoolTableEntry& pool_entry : entry.table_entries) {
+        TableEntry& table_entry = *pool_entry.table_entry;
+        const bool selected = all_pools || pool_entry.pool == pool;
+        if (!selected || table_entry.wanted == table_entry.sent) {
             continue;
         }
         state_.context.orders.push_back(order::SetTableEntry{
-            state_.table_of(place.pool, entry.subset), *entry.server, table_entry.wanted});
+            state_.table_of(pool_entry.pool, entry.subset), *entry.server, table_entry.wanted});
         table_entry.sent = table_entry.wanted;
     }
 }
@@ -259,15 +264,15 @@
     }
 }
 
-// So spaced, rounds stay under the most messages that a proxy may get, its binding among them: of
-// the spacing's inverse, urgent rounds take seven tenths and learnt ones three.
+// Spaces rounds so that a proxy, including its binding, gets no more messages than the limit:
+// urgent rounds use seven tenths of the allowed message rate, learnt rounds three tenths.
 void UpdateSender::space_rounds(const Round& round) {
     const DeploymentSettings& settings = state_.context.settings;
-    const int most_messages =
+    const int max_messages =
         settings.max_messages_per_proxy > 0
-            ? std::max(1, settings.max_messages_per_proxy - kMessagesLeftForBinding)
+            ? std::max(1, settings.max_messages_per_proxy - kMessagesReservedForBinding)
             : kUnlimitedMessages;
-    const Duration spacing = settings.message_limit_window / most_messages;
+    const Duration spacing = settings.message_limit_window / max_messages;
     if (round.urgent_sent) {
         next_urgent_round_ = state_.context.now + std::max(kMergeInterval, spacing * 10 / 7);
     }
--- a/src/decision/update_sender.hpp
+++ b/src/decision/update_sender.hpp
@@ -12,15 +12,16 @@
 
 namespace micaroad::decision {
 
-/// Orders changes, notes in the tables what was sent, and charges the send window and the allowance
-/// of learnt changes.
+/// Orders changes, records in the tables what was sent, and charges the send window and the
+/// allowance of learnt changes.
 class UpdateSender {
  public:
     /// Both have to live as long as this object.
     UpdateSender(SchedulerState& state, AdmissionUpdates& admission)
         : state_(state), admission_(admission) {}
 
-    /// Sent before all changes of routing tables, in the order in which they are added.
+    /// Transfers are sent before all changes of routing tables, in the order in which they are
+    /// added.
     void add_transfer(const OwnershipTransfer& transfer) { transfers_.push_back(transfer); }
 
     /// Sends as much as fits now.
@@ -30,22 +31,23 @@
     /// What an update costs each proxy that gets it.
     struct Cost {
         ChangeRank rank = ChangeRank::learnt;
-        double lines = 0;                   ///< at most, for each bound proxy that gets it
-        std::optional<std::size_t> subset;  ///< whose proxies get it; absent: those of all
+        double lines = 0;                   ///< upper bound, for each bound proxy that gets it
+        std::optional<std::size_t> subset;  ///< its proxies get it; absent: those of all subsets
         int unbound_after_join = 0;  ///< unbound proxies that joined after this join get one line
     };
 
     /// What one call of send() has written so far.
     struct Round {
         std::vector<int> unbound_joins;    ///< join numbers of the unbound proxies, ascending
-        std::vector<double> subset_lines;  ///< for each proxy of a subset, by subset
+        std::vector<double> subset_lines;  ///< lines for each proxy of a subset, by subset
         std::vector<int> notified_joins;   ///< Cost::unbound_after_join of each update
-        double unbound_lines = 0;          ///< for all unbound proxies
-        int first_notified_join = 0;       ///< the least of notified_joins; else the last join
+        double unbound_lines = 0;          ///< lines for all unbound proxies together
+        int first_notified_join = 0;  ///< the smallest of notified_joins; the last join if empty
         bool urgent_sent = false;
         bool learnt_sent = false;
 
-        [[nodiscard]] double unbound_after(int join) const;
+        /// Number of unbound proxies that joined after this join.
+        [[nodiscard]] double unbound_joined_after(int join) const;
         /// Counts an update that is written.
         void add(const Cost& cost);
     };
@@ -59,7 +61,8 @@
     void space_rounds(const Round& round);
 
     [[nodiscard]] bool fits(const Round& round, const Cost& cost) const;
-    /// Lines for all bound proxies, with an update that is not sent yet.
+    /// Lines for all bound proxies in this round, with `more_lines` added to each message to
+    /// proxies of `subset`; absent: of all subsets.
     [[nodiscard]] double lines_to_bound(const Round& round, double lines_per_message,
                                         double more_lines, std::optional<std::size_t> subset) const;
     [[nodiscard]] Cost cost_of(const PendingChange& change, const RoutingEntry& entry) const;
