--- a/src/decision/routing_tables.hpp
+++ b/src/decision/routing_tables.hpp
@@ -138,18 +138,18 @@
 
  private:
     template <class Set, class Value>
-    static void insert_or_erase(Set& set, const Value& value, bool contained) {
-        if (contained) {
+    static void insert_or_erase(Set& set, const Value& value, bool in) {
+        if (in) {
             set.insert(value);
         } else {
             set.erase(value);
         }
     }
-    static void set_member(EntrySet& entries, RoutingEntry& entry, bool contained) {
-        insert_or_erase(entries, &entry, contained);
+    static void set_member(EntrySet& entries, RoutingEntry& entry, bool in) {
+        insert_or_erase(entries, &entry, in);
     }
-    static void set_member(PoolSet& pools, std::size_t pool, bool contained) {
-        insert_or_erase(pools, pool, contained);
+    static void set_member(PoolSet& pools, std::size_t pool, bool in) {
+        insert_or_erase(pools, pool, in);
     }
 
     TableEntry& table_entry_in(std::size_t pool, RoutingEntry& entry);
