--- a/src/decision/routing_entry.hpp
+++ b/src/decision/routing_entry.hpp
@@ -45,7 +45,7 @@
 
 struct RoutingEntry;
 
-/// An endpoint in the tables of one pool. Weights are parts of the pool's traffic; 0: no entry.
+/// An endpoint in the tables of one pool. Weights are fractions of the pool's traffic; 0: no entry.
 struct TableEntry {
     RoutingEntry* endpoint = nullptr;
     double published = 0;  ///< what the optimizer published last
--- a/src/decision/slice_assigner.cpp
+++ b/src/decision/slice_assigner.cpp
@@ -65,7 +65,7 @@
     scheduler_.mailbox.post(OwnershipTransfer{slice_id, owner, 1});
 }
 
-/// The earliest time for a successor of an owner that is removed now.
+/// The earliest time at which an owner that is removed now can have a successor.
 TimePoint SliceAssigner::successor_allowed_from() const {
     const DeploymentSettings& settings = context_.settings;
     if (!settings.single_owner) {
--- a/src/decision/subset_assignment.cpp
+++ b/src/decision/subset_assignment.cpp
@@ -25,7 +25,7 @@
 
 constexpr double kMinPoolShare = 1e-9;  // keeps the load of an empty subset finite
 
-/// How well a subset suits an endpoint; the best compares lowest.
+/// How well a subset suits an endpoint; the best subset compares lowest.
 struct Suitability {
     bool other_zone = false;
     double endpoints_in_its_pools = 0;
--- a/src/decision/update_planner.cpp
+++ b/src/decision/update_planner.cpp
@@ -48,9 +48,9 @@
     success_reported_ = false;
 }
 
-// Queues endpoints that are withdrawn and whose weights have not been published for long. Their
-// table entries are removed before all learnt changes, because proxies that are bound later would
-// still be sent them.
+// Erases expired endpoints of which no table holds an entry, and queues the others. Their table
+// entries are removed before all learnt changes, because proxies that are bound later would still
+// be sent them.
 void UpdatePlanner::queue_expired() {
     const RoutingTables::EntriesByTime& untracked = state_.tables.untracked();
     for (auto it = untracked.begin(); it != untracked.end() && it->time < expired_before();) {
