--- a/src/background/job_scheduler.cpp
+++ b/src/background/job_scheduler.cpp
@@ -47,7 +47,7 @@
     if (found == jobs_.end()) {
         return;
     }
-    found->second.waiting_since = usage.more ? std::optional(now) : std::nullopt;
+    found->second.waiting_since = usage.has_more_work ? std::optional(now) : std::nullopt;
 }
 
 TimePoint JobScheduler::available_at(TimePoint now) const {
--- a/src/background/job_scheduler.hpp
+++ b/src/background/job_scheduler.hpp
@@ -20,7 +20,7 @@
 struct Usage {
     double bytes = 0;
     double processor_seconds = 0;
-    bool more = false;  ///< the job has work left
+    bool has_more_work = false;  ///< the job has work left
 };
 
 /// A token bucket for each budget, and jobs by priority.
--- a/src/background/worker.cpp
+++ b/src/background/worker.cpp
@@ -92,7 +92,7 @@
     for (const auto& [job, work] : work_) {
         bool more = true;
         while (more) {
-            more = work().more;
+            more = work().has_more_work;
         }
     }
 }
--- a/src/command/planner_service.cpp
+++ b/src/command/planner_service.cpp
@@ -42,8 +42,8 @@
         std::max(kReportIntervalsInWindow * start.settings.report_interval, kLeastLongestWindow);
     routing::View view;
     view.now = now;
-    start.known.list = registry.list(view);
-    start.known.addresses = registry.addresses();
+    start.initial_list.list = registry.list(view);
+    start.initial_list.addresses = registry.addresses();
     return start;
 }
 
--- a/src/daemon/planner_process.cpp
+++ b/src/daemon/planner_process.cpp
@@ -61,8 +61,8 @@
       health_checks_(read_buffers_, inbox_, clock_, sync),
       watch_(start_.discovery,
              start_.discovery.empty() ? net::Address{} : parse_discovery_address(start_.discovery),
-             start_.names, start_.known.version, limits_.max_list_bytes, read_buffers_, inbox_,
-             log_, timeouts, sync),
+             start_.names, start_.initial_list.version, limits_.max_list_bytes, read_buffers_,
+             inbox_, log_, timeouts, sync),
       core_(start_.settings, start_.names, start_.seed, *this, log_, observer),
       sync_(sync) {}
 
@@ -79,7 +79,7 @@
         core_failed_ = true;
     }
     core_thread_.wait();
-    reach(sync_, SyncPoint::core_heard_stop);
+    reach(sync_, SyncPoint::core_stopped);
     enter(LifecycleState::stopping);
     stop_drivers();
     if (core_failed_) {
@@ -138,7 +138,7 @@
 void PlannerProcess::apply_initial_list() {
     std::vector<Inbox::Item> items;
     // The list may be large: it is moved, and freed with `items`.
-    items.push_back({clock_(), core_event::EndpointListReceived{std::move(start_.known)}});
+    items.push_back({clock_(), core_event::EndpointListReceived{std::move(start_.initial_list)}});
     core_.process(items, clock_());
 }
 
--- a/src/daemon/start_configuration.cpp
+++ b/src/daemon/start_configuration.cpp
@@ -262,7 +262,7 @@
     start.bounds = parse_bounds(settings, start.settings);
     start.sockets = parse_limit(file, "sockets");
     start.memory_mb = parse_limit(file, "memory_mb");
-    start.known = parse_known_list(split.known, start.names);
+    start.initial_list = parse_known_list(split.known, start.names);
     return start;
 }
 
--- a/src/daemon/start_configuration.hpp
+++ b/src/daemon/start_configuration.hpp
@@ -38,7 +38,7 @@
     DeploymentSettings settings;
     SymbolTable names;
     protocol::Bounds bounds;
-    protocol::EndpointListMessage known;  ///< the list to begin with, a complete one
+    protocol::EndpointListMessage initial_list;  ///< the list to begin with, a complete one
     /// The JSON text of the keys that a reload does not change, by key.
     std::map<std::string, std::string> restart_key_texts;
 };
--- a/src/net/discovery_connection.cpp
+++ b/src/net/discovery_connection.cpp
@@ -72,7 +72,7 @@
     if (!socket.send_all(protocol::http_get(source.host, request.target))) {
         return {WatchEndCause::reset};
     }
-    reach(sync_, SyncPoint::watch_asked);
+    reach(sync_, SyncPoint::watch_requested);
     return read_response(source, request.kind, socket);
 }
 
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -187,7 +187,7 @@
             next_fetch = steady_clock::now() + timeouts_.fetch_interval;
         }
         const WatchEnd end = connect_and_read(source, *request);
-        reach(sync_, SyncPoint::watch_answered);
+        reach(sync_, SyncPoint::watch_responded);
         after_connection(source, request->kind, end, retry);
     }
 }
--- a/src/planner/sync_points.hpp
+++ b/src/planner/sync_points.hpp
@@ -15,11 +15,11 @@
     bytes_received,       ///< Connection: read from the kernel, not parsed yet
     watch_registered,     ///< DiscoveryWatch: stop() sees the socket, which is not connected yet
     watch_connected,      ///< DiscoveryWatch: the socket is connected, nothing was requested yet
-    watch_asked,          ///< DiscoveryWatch: requested, and no answer was read
-    watch_answered,       ///< DiscoveryWatch: an answer has ended or broken off, not evaluated yet
+    watch_requested,      ///< DiscoveryWatch: requested, and no answer was read
+    watch_responded,      ///< DiscoveryWatch: an answer has ended or broken off, not evaluated yet
     health_check_registered,  ///< HealthCheckRunner: as watch_registered
     health_check_connected,   ///< HealthCheckRunner: as watch_connected
-    core_heard_stop,          ///< PlannerProcess: the core has ended, its drivers still serve
+    core_stopped,             ///< PlannerProcess: the core has ended, its drivers still serve
 };
 
 class SyncPoints {
--- a/src/record/recorder.cpp
+++ b/src/record/recorder.cpp
@@ -82,7 +82,7 @@
         usage.bytes = static_cast<double>(counts_.bytes - bytes_before);
     }
     const std::lock_guard lock(mutex_);
-    usage.more = next_turn_ < taken_turns_.size() || !queue_.empty() || gap_.turns > 0;
+    usage.has_more_work = next_turn_ < taken_turns_.size() || !queue_.empty() || gap_.turns > 0;
     return usage;
 }
 
@@ -240,7 +240,7 @@
 }
 
 void Recorder::close() {
-    while (work().more) {
+    while (work().has_more_work) {
     }
     // If the last block can't be written, the gap that replaces it is tried once.
     if (!block_records_.empty() && !write_block(block_since_)) {
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -280,7 +280,7 @@
     const StartConfiguration start = parse_start_configuration(text(), none);
     CHECK((start.name == "n3" && start.seed == 0x8c1f30d27a5be964 && start.sockets == 1024));
     CHECK((start.settings.proxy_count == 4 && start.names.methods.size() == 1 &&
-           start.known.list.servers.size() == 2));
+           start.initial_list.list.servers.size() == 2));
     const auto set = [](const char* name) {
         return std::string_view(name) == "LB_NAME" ? "n9" : nullptr;
     };
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -332,7 +332,7 @@
 namespace {
 
 const std::vector<SyncPoint> kWatchPoints{SyncPoint::watch_registered, SyncPoint::watch_connected,
-                                          SyncPoint::watch_asked, SyncPoint::watch_answered};
+                                          SyncPoint::watch_requested, SyncPoint::watch_responded};
 
 std::string whole(int number, const std::string& tail = "") {
     std::string list = kList;
@@ -459,8 +459,8 @@
 TEST_CASE_METHOD(Watched, "the end is heard between any two lines of the watch, whatever hangs") {
     const SyncPoint point = GENERATE(from_range(kWatchPoints));
     // One that takes and never speaks; at the last point one that has spoken and broken off.
-    Discovery discovery(point == SyncPoint::watch_answered ? std::vector<std::string>{"!"}
-                                                           : std::vector<std::string>{""});
+    Discovery discovery(point == SyncPoint::watch_responded ? std::vector<std::string>{"!"}
+                                                            : std::vector<std::string>{""});
     const auto watching = watch(discovery);
     sync.hold(point);
     discovery.begin();
@@ -525,13 +525,13 @@
     old.begin();
     REQUIRE(watching->start());
     CHECK(next<core_event::EndpointListReceived>().message.version == 42);
-    sync.hold(SyncPoint::watch_answered);
+    sync.hold(SyncPoint::watch_responded);
     watching->follow("mute", *address_of("127.0.0.1:1"));
-    sync.await(SyncPoint::watch_answered);  // it came to nothing, and nothing was made of that yet
-    sync.let_go(SyncPoint::watch_answered);
-    sync.hold(SyncPoint::watch_answered);
-    sync.await(SyncPoint::watch_answered);  // and now it was
-    sync.let_go(SyncPoint::watch_answered);
+    sync.await(SyncPoint::watch_responded);  // it came to nothing, and nothing was made of that yet
+    sync.let_go(SyncPoint::watch_responded);
+    sync.hold(SyncPoint::watch_responded);
+    sync.await(SyncPoint::watch_responded);  // and now it was
+    sync.let_go(SyncPoint::watch_responded);
     old.connection(0).send_all(chunk("\n") + chunk(version(43)));
     CHECK(next<core_event::EndpointListReceived>().message.version ==
           43);  // and no word of a lost list before it
@@ -632,15 +632,15 @@
     const Socket proxy = dial(planner.program.address());
     proxy.send_all(hello(3));
     REQUIRE(read_mark(proxy) >= 0);
-    planner.sync.hold(SyncPoint::core_heard_stop);
+    planner.sync.hold(SyncPoint::core_stopped);
     planner.program.stop();
-    planner.sync.await(SyncPoint::core_heard_stop);
+    planner.sync.await(SyncPoint::core_stopped);
     const Socket late = dial(planner.program.address());
     late.send_all(hello(4));
     planner.program.reload([](const char*) -> const char* { return nullptr; });
     proxy.send_all(usage(3) + answer(3, 1));
     planner.program.handle(*protocol::EndpointListReader(names()).read(kList));
-    planner.sync.let_go(SyncPoint::core_heard_stop);
+    planner.sync.let_go(SyncPoint::core_stopped);
     CHECK(planner.stop() < 600ms);
     CHECK(ended(proxy));
     CHECK(ended(late));
--- a/tests/golden_stored_test.cpp
+++ b/tests/golden_stored_test.cpp
@@ -178,7 +178,7 @@
                 }
             }
         }
-        while (recorder_.work().more) {
+        while (recorder_.work().has_more_work) {
         }
     }
 
@@ -338,13 +338,13 @@
     CHECK(start.names.zones == std::vector<std::string>{"a", "b"});
     CHECK(start.names.kinds == std::vector<std::string>{"m1", "m2"});
 
-    CHECK(start.known.version == 12);
-    CHECK(start.known.list.form == event::EndpointListUpdate::Form::complete);
-    CHECK(start.known.addresses.size() == 3);
-    CHECK(start.known.addresses.at({"s-2"}) == "127.0.0.1:4002");
-    CHECK(start.known.dropped.empty());
-    REQUIRE(start.known.list.servers.size() == 3);
-    const ListedEndpoint& second = start.known.list.servers[1];
+    CHECK(start.initial_list.version == 12);
+    CHECK(start.initial_list.list.form == event::EndpointListUpdate::Form::complete);
+    CHECK(start.initial_list.addresses.size() == 3);
+    CHECK(start.initial_list.addresses.at({"s-2"}) == "127.0.0.1:4002");
+    CHECK(start.initial_list.dropped.empty());
+    REQUIRE(start.initial_list.list.servers.size() == 3);
+    const ListedEndpoint& second = start.initial_list.list.servers[1];
     CHECK(second.server == ServerId{"s-2"});
     CHECK(second.zone == ZoneId{1});
     CHECK(second.kind == KindId{1});
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -339,7 +339,7 @@
     start.discovery = text_of(discovery.listener.local());
     start.sockets = 1024, start.memory_mb = 192, start.bounds = {8}, start.settings = test::terms(),
     start.names = test::names();
-    start.known = *protocol::EndpointListReader(start.names).read(test::kList);
+    start.initial_list = *protocol::EndpointListReader(start.names).read(test::kList);
     PlannerProcess program(start, clock_now(), quiet.log);
     CHECK(program.state() == LifecycleState::created);
     int code = -1;
--- a/tests/program_helpers.hpp
+++ b/tests/program_helpers.hpp
@@ -45,7 +45,7 @@
     start.name = "n1", start.listen = "127.0.0.1:0", start.discovery = discovery;
     start.sockets = 1024, start.memory_mb = 192, start.bounds = {8}, start.settings = terms(),
     start.names = names();
-    start.known = *protocol::EndpointListReader(start.names).read(kList);
+    start.initial_list = *protocol::EndpointListReader(start.names).read(kList);
     return start;
 }
 
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -152,7 +152,7 @@
             }
             turn(std::move(arrivals));
             if (work) {
-                while (recorder.work().more) {
+                while (recorder.work().has_more_work) {
                 }
             }
         }
@@ -354,7 +354,7 @@
     }
     const auto after = day.recorder.counts();
     CHECK(after.lost > 100);
-    while (day.recorder.work().more) {
+    while (day.recorder.work().has_more_work) {
     }
     day.run(5);
     day.recorder.close();
--- a/tests/short_days_test.cpp
+++ b/tests/short_days_test.cpp
@@ -38,7 +38,8 @@
 
 StartConfiguration started_with(const std::string& discovery, const std::vector<Listed>& servers) {
     StartConfiguration start = start_file(discovery);
-    start.known = *protocol::EndpointListReader(start.names).read(list_of(41, true, servers));
+    start.initial_list =
+        *protocol::EndpointListReader(start.names).read(list_of(41, true, servers));
     return start;
 }
 
@@ -76,7 +77,7 @@
     "after a reload a drain that only the new discovery tells reaches every proxy within the "
     "grace") {
     const SyncPoint point = GENERATE(SyncPoint::watch_registered, SyncPoint::watch_connected,
-                                     SyncPoint::watch_asked, SyncPoint::watch_answered);
+                                     SyncPoint::watch_requested, SyncPoint::watch_responded);
     Discovery old({kWatch + chunk(version(42))}), moved({kWatch + chunk(kDrain)});
     old.begin(), moved.begin();
     Running planner(text_of(old.listener.local()), started_with("", {{"s-1"}, {"s-2"}, {"s-3"}}));
@@ -88,7 +89,7 @@
     // The old one still speaks, of a time before the drain; where it has been left, nobody hears
     // it.
     old.connection(0).send_now(chunk("\n") + chunk(list_of(42, true, {{"s-1"}, {"s-2"}, {"s-3"}})));
-    if (point == SyncPoint::watch_answered) {
+    if (point == SyncPoint::watch_responded) {
         require_drained(proxies, "s-1");  // whatever becomes of the old one's thread
     }
     planner.sync.let_go(point);
@@ -122,11 +123,11 @@
         std::this_thread::sleep_for(30ms);
     }
     CHECK(discovery.taken == 1);  // it has been listened to for longer than a silence may last
-    planner.sync.hold(SyncPoint::watch_answered);
-    planner.sync.await(SyncPoint::watch_answered);  // silent, and nothing was made of that yet
+    planner.sync.hold(SyncPoint::watch_responded);
+    planner.sync.await(SyncPoint::watch_responded);  // silent, and nothing was made of that yet
     proxies.push_back(std::make_unique<FakeProxy>(planner.program.address(), 4));
     require_drained(proxies, "s-1");
-    planner.sync.let_go(SyncPoint::watch_answered);
+    planner.sync.let_go(SyncPoint::watch_responded);
     discovery.connection(2);  // the whole list has been written
     proxies.push_back(std::make_unique<FakeProxy>(planner.program.address(), 5));
     require_drained(proxies, "s-1");
@@ -190,7 +191,7 @@
 TEST_CASE_METHOD(
     Base,
     "a discovery that resets right after accept is dialled again, from the version that is held") {
-    const SyncPoint point = GENERATE(SyncPoint::watch_connected, SyncPoint::watch_asked);
+    const SyncPoint point = GENERATE(SyncPoint::watch_connected, SyncPoint::watch_requested);
     const Socket listener = Socket::listen(*address_of("127.0.0.1:0")).value();
     REQUIRE(listener.is_open());
     WatchTimeouts timeouts;
