--- a/src/planner/core.cpp
+++ b/src/planner/core.cpp
@@ -11,7 +11,8 @@
 
 constexpr Duration kLagSummaryInterval = std::chrono::seconds(15);
 
-// Of a name that a peer sent and nobody listed; it may have any length.
+// A load report may name a server that was never listed, in any length; the log quotes at most this
+// many bytes of the name.
 constexpr std::size_t kMaxLoggedName = 40;
 
 }  // namespace
@@ -94,8 +95,8 @@
     transport_.write(stream->second, *message);
 }
 
-// A new stream may open before the old one is seen to end. Streams are numbered in the order in
-// which they were accepted; the later one of a proxy is its current one.
+// A proxy's new stream may open before the end of its old one is detected. Streams are numbered in
+// the order in which they were accepted; the one with the larger number is the proxy's current one.
 void Core::handle(core_event::StreamOpened& opened) {
     const event::ProxyJoined& joined = opened.joined;
     const ProxyId proxy = joined.proxy;
@@ -177,8 +178,8 @@
     pass_to_planner(std::move(message.list));
 }
 
-// Where the planner has to subscribe to the list, it asks for it again; elsewhere the watch is
-// taken up again by itself.
+// If the deployment requires a subscription, the planner is told that the list is unavailable, so
+// that it subscribes again. Otherwise the watch reconnects by itself.
 void Core::handle(core_event::WatchLost& /*lost*/) {
     if (subscription_required_) {
         pass_to_planner(
@@ -194,7 +195,7 @@
     }
 }
 
-// A reload changes where the endpoint list comes from and nothing else; the list stays.
+// A reload changes only the address of discovery; the current endpoint list is kept.
 void Core::handle(core_event::ConfigurationReloaded& reloaded) {
     const ReloadedConfiguration& configuration = reloaded.configuration;
     log_.info("configuration: reloaded discovery={}", configuration.discovery);
@@ -262,7 +263,7 @@
 
 void Core::record_lag(const std::vector<Inbox::Item>& items, TimePoint done) {
     for (const Inbox::Item& item : items) {
-        lag_.add_event(std::max(done - item.at, Duration{}));
+        lag_.add_event(std::max(done - item.enqueued_at, Duration{}));
     }
     if (done - lag_.since < kLagSummaryInterval) {
         return;
--- a/src/planner/core.hpp
+++ b/src/planner/core.hpp
@@ -1,5 +1,5 @@
-/// The core: the one owner of the planner. It passes events to the planner, has it decide, and
-/// sends the orders to the proxies.
+/// The core, which alone owns the planner: it passes events to the planner, requests decisions, and
+/// sends the resulting orders to the proxies.
 #pragma once
 
 #include <map>
@@ -19,25 +19,26 @@
 
 /// Translates core events to the planner's events and the planner's orders to updates for proxies.
 ///
-/// Keeps which proxy is joined on which stream, the endpoint list, and the planner's timers. Uses
-/// no socket and reads no clock: whoever calls process() passes the time, which must not go back.
-/// Not thread-safe; one thread calls it. It never blocks.
+/// Holds the stream of each joined proxy, the endpoint list, and the planner's timers. Uses no
+/// socket and reads no clock: the caller of process() passes the time, which must not go back.
+/// Not thread-safe: a single thread calls all methods. No method blocks.
 class Core {
  public:
-    /// `transport`, `log` and `observer` must outlive the core. Without an observer events and
-    /// orders are passed on to nobody else. `seed` is that of the planner's random choices.
+    /// `transport`, `log` and `observer` must outlive the core. `observer` may be null. `seed`
+    /// initializes the planner's random choices.
     Core(const DeploymentSettings& settings, SymbolTable names, std::uint64_t seed,
          Transport& transport, Log& log, Observer* observer = nullptr);
 
-    /// Handles the events in their order and then the timers that are due, decides once, and sends
-    /// what was ordered. The events' contents are consumed.
+    /// Handles the events in order, then the timers that are due, has the planner decide once, and
+    /// sends the resulting orders. The events' contents are moved from.
     void process(std::vector<Inbox::Item>& items, TimePoint now);
 
-    /// Counts how long the events took from their arrival to `done`; logs a summary from time to
-    /// time.
+    /// Adds the time from each event's arrival to `done` to the lag statistics, and logs a
+    /// summary of them periodically.
     void record_lag(const std::vector<Inbox::Item>& items, TimePoint done);
 
-    /// When process() must be called next, even if no event arrives; absent: no timer is running.
+    /// The time at which process() must be called even if no event arrives; absent if no timer is
+    /// running.
     [[nodiscard]] std::optional<TimePoint> next_due() const;
 
     /// Whether a stop has been requested.
@@ -61,7 +62,8 @@
     void execute(const order::SetWithdrawn& order);
     void execute(const order::FetchList& order);
     void execute(const order::LogLine& order);
-    /// The other orders are for proxies alone; the update builder writes them.
+    /// The other orders need no action here: they only affect proxies, and the update builder
+    /// encodes them.
     template <class Other>
     void execute(const Other& /*order*/) {}
 
@@ -75,16 +77,16 @@
     const bool subscription_required_;
     Transport& transport_;
     Log& log_;
-    Observer* const observer_;  // null: none
+    Observer* const observer_;  // may be null
     Planner planner_;
     UpdateBuilder update_builder_;
     EndpointRegistry endpoints_;
     std::map<ProxyId, StreamId> streams_;
     std::map<StreamId, ProxyId> proxies_;
-    std::set<ServerId> health_checks_;  // under way
+    std::set<ServerId> health_checks_;  // in progress
     std::multimap<TimePoint, TimerId> timers_;
-    std::map<MethodId, double> admissions_;          // as last ordered, for the log
-    std::set<std::size_t> unsupported_order_kinds_;  // already logged, by index in Order
+    std::map<MethodId, double> admissions_;          // last ordered amounts, to log only changes
+    std::set<std::size_t> unsupported_order_kinds_;  // already warned about, by index in Order
     bool stopping_ = false;
     TimePoint now_;
     LagStatistics lag_;
--- a/src/planner/endpoint_registry.cpp
+++ b/src/planner/endpoint_registry.cpp
@@ -26,7 +26,8 @@
     return list.form == Form::complete;
 }
 
-// Names that the deployment did not list are unknown; without any list every name is known.
+// Zones and kinds that the deployment's settings don't name get indexes beyond `names`. If the
+// settings name none, every index counts as named.
 bool is_named(int index, const std::vector<std::string>& names) {
     return names.empty() || index < std::ssize(names);
 }
@@ -41,17 +42,18 @@
     event::EndpointListUpdate& list = message.list;
     const bool complete = is_complete(list);
     if (complete && message.version < version_) {
-        drop_removed(list, now);
+        drop_removed_entries(list, now);
     }
     version_ = message.version;
-    keep_known_entries(message);
+    restore_unusable_entries(message);
     if (complete) {
         remove_unlisted(list, now);
     }
     store(message, now);
     log_.info("discovery: endpoint list applied version={} form={} entries={} known_endpoints={}",
               version_, complete ? "complete" : "incremental", list.servers.size(), known_.size());
-    // The message lives until the planner has decided; these parts are not needed any more.
+    // Frees memory early: the message lives until the planner has decided, but these parts are no
+    // longer needed.
     message.addresses.clear();
     message.dropped.clear();
     return ListResult::applied;
@@ -60,7 +62,7 @@
 ListResult EndpointRegistry::check(const protocol::EndpointListMessage& message) const {
     const event::EndpointListUpdate& list = message.list;
     const bool complete = is_complete(list);
-    if (is_foreign(list)) {
+    if (is_of_other_deployment(list)) {
         log_.error(
             "discovery: list rejected version={} reason=\"no server of our zones and kinds\"",
             message.version);
@@ -74,20 +76,21 @@
     }
     log_.warn("discovery: changes dropped version={} current_version={}", message.version,
               version_);
-    // The same version was sent twice. A lower one may mean that discovery counts from the start
-    // again.
+    // An equal version is a duplicate. A lower one may mean that discovery has restarted its
+    // numbering, so a complete list is needed.
     return message.version < version_ ? ListResult::complete_list_needed : ListResult::ignored;
 }
 
-// Guards against another deployment's discovery: its servers would take our RPCs. A list that names
-// some of our zones and kinds beside new ones is ours, and the deployment has grown.
-bool EndpointRegistry::is_foreign(const event::EndpointListUpdate& list) const {
+// Guards against lists from another deployment's discovery, whose servers would receive this
+// deployment's RPCs. A list is rejected only if it has servers and none of them is in a zone and of
+// a kind of this deployment: if only some are unknown, the deployment has grown.
+bool EndpointRegistry::is_of_other_deployment(const event::EndpointListUpdate& list) const {
     bool any_listed = false;
     for (const ListedEndpoint& endpoint : list.servers) {
         if (endpoint.phase == EndpointPhase::gone) {
             continue;
         }
-        if (is_ours(endpoint)) {
+        if (is_of_this_deployment(endpoint)) {
             return false;
         }
         any_listed = true;
@@ -95,12 +98,12 @@
     return any_listed;
 }
 
-bool EndpointRegistry::is_ours(const ListedEndpoint& endpoint) const {
+bool EndpointRegistry::is_of_this_deployment(const ListedEndpoint& endpoint) const {
     return is_named(endpoint.zone.value, names_.zones) &&
            is_named(endpoint.kind.value, names_.kinds);
 }
 
-bool EndpointRegistry::removal_holds(const ListedEndpoint& endpoint, TimePoint now) const {
+bool EndpointRegistry::is_blocked_by_removal(const ListedEndpoint& endpoint, TimePoint now) const {
     const auto removed = removed_at_.find(endpoint.server);
     if (removed == removed_at_.end()) {
         return false;
@@ -110,9 +113,9 @@
            endpoint.last_start.value_or(TimePoint{}) < removed_at;
 }
 
-void EndpointRegistry::drop_removed(event::EndpointListUpdate& list, TimePoint now) const {
+void EndpointRegistry::drop_removed_entries(event::EndpointListUpdate& list, TimePoint now) const {
     std::erase_if(list.servers, [this, now](const ListedEndpoint& endpoint) {
-        if (!removal_holds(endpoint, now)) {
+        if (!is_blocked_by_removal(endpoint, now)) {
             return false;
         }
         log_.warn("discovery: entry of an older list ignored server={} reason=removed",
@@ -121,9 +124,9 @@
     });
 }
 
-// An endpoint whose new entry is unusable is listed all the same: a complete list keeps what was
-// known of it.
-void EndpointRegistry::keep_known_entries(protocol::EndpointListMessage& message) const {
+// An endpoint whose entry in a complete list is unusable is still listed, so its previous entry and
+// address are kept. Otherwise it would be removed as unlisted.
+void EndpointRegistry::restore_unusable_entries(protocol::EndpointListMessage& message) const {
     const bool complete = is_complete(message.list);
     for (const auto& [server, reason] : message.dropped) {
         log_.warn("discovery: unusable entry dropped server={} reason={:?}", server.value,
--- a/src/planner/endpoint_registry.hpp
+++ b/src/planner/endpoint_registry.hpp
@@ -1,4 +1,5 @@
-/// The endpoint list as the planner holds it: which updates of it are applied, which are rejected.
+/// The planner's current endpoint list, and the rules by which received lists are applied, ignored
+/// or rejected.
 #pragma once
 
 #include <cstdint>
@@ -19,20 +20,20 @@
     std::string address;  ///< host and port, for health checks
 };
 
-/// What became of a received list.
+/// The outcome of EndpointRegistry::apply().
 enum class ListResult {
     applied,
     ignored,
-    complete_list_needed,  ///< ignored; only a complete list can tell what is current
+    complete_list_needed,  ///< ignored; the caller must fetch a complete list
 };
 
-/// Holds the endpoints of the newest list, its version, and the endpoints removed a short time ago.
+/// Holds the endpoints of the newest list, its version, and the recently removed endpoints.
 ///
-/// An endpoint is known (listed) or removed. A removal holds for kRemovalRetention: a complete list
-/// of an older version does not bring the endpoint back, unless its process has started since.
-/// After that time nothing is kept of it.
+/// An endpoint is known (listed) or removed. A removal is remembered for kRemovalRetention: until
+/// then, a complete list of an older version does not restore the endpoint unless its process has
+/// started after the removal. Later nothing about the endpoint is kept.
 ///
-/// Not thread-safe; used by the core's thread. Does no I/O but to log, and never blocks.
+/// Not thread-safe; used by the core's thread. Does no I/O except logging, and never blocks.
 class EndpointRegistry {
  public:
     /// How long a removed endpoint is remembered.
@@ -41,28 +42,29 @@
     /// `names` and `log` must outlive the registry.
     EndpointRegistry(const SymbolTable& names, Log& log) : names_(names), log_(log) {}
 
-    /// Applies a received list, and completes or cuts `message.list` to what the planner is to be
-    /// told. The message's addresses and unusable entries are consumed if the result is `applied`.
+    /// Applies a received list, and adjusts `message.list` to what the planner has to be told:
+    /// entries of removed endpoints are dropped, previous entries are added in place of unusable
+    /// ones. If the result is `applied`, the message's addresses and unusable entries are cleared.
     [[nodiscard]] ListResult apply(protocol::EndpointListMessage& message, TimePoint now);
 
-    /// Ends the memory of removals that are older than kRemovalRetention. Where the endpoint is not
-    /// listed again, `forget` is called first; the endpoint stays remembered while that returns
+    /// Deletes the removals that are older than kRemovalRetention. For an endpoint that is not
+    /// listed again, `forget` is called first, and its removal is kept as long as that returns
     /// false.
     void expire_removals(TimePoint now, const std::function<bool(const ServerId&)>& forget);
 
     /// The endpoint if it is listed, else null. Valid until the next call of apply().
     [[nodiscard]] const KnownEndpoint* find(const ServerId& server) const;
 
-    /// Whether the endpoint is listed or was removed a short time ago.
+    /// Whether the endpoint is listed, or was removed recently and its removal is remembered.
     [[nodiscard]] bool is_or_was_listed(const ServerId& server) const;
 
  private:
     [[nodiscard]] ListResult check(const protocol::EndpointListMessage& message) const;
-    [[nodiscard]] bool is_foreign(const event::EndpointListUpdate& list) const;
-    [[nodiscard]] bool is_ours(const ListedEndpoint& endpoint) const;
-    [[nodiscard]] bool removal_holds(const ListedEndpoint& endpoint, TimePoint now) const;
-    void drop_removed(event::EndpointListUpdate& list, TimePoint now) const;
-    void keep_known_entries(protocol::EndpointListMessage& message) const;
+    [[nodiscard]] bool is_of_other_deployment(const event::EndpointListUpdate& list) const;
+    [[nodiscard]] bool is_of_this_deployment(const ListedEndpoint& endpoint) const;
+    [[nodiscard]] bool is_blocked_by_removal(const ListedEndpoint& endpoint, TimePoint now) const;
+    void drop_removed_entries(event::EndpointListUpdate& list, TimePoint now) const;
+    void restore_unusable_entries(protocol::EndpointListMessage& message) const;
     void remove_unlisted(const event::EndpointListUpdate& list, TimePoint now);
     void store(protocol::EndpointListMessage& message, TimePoint now);
 
--- a/src/planner/inbox.cpp
+++ b/src/planner/inbox.cpp
@@ -16,14 +16,14 @@
 bool Inbox::put_bounded(StreamId peer, std::size_t max_events, CoreEvent event) {
     {
         const std::lock_guard lock(mutex_);
-        std::size_t& events_of_peer = events_of_peer_[peer];
-        ++events_of_peer;
-        if (events_of_peer > max_events) {
+        std::size_t& peer_events = bounded_events_by_peer_[peer];
+        ++peer_events;
+        if (peer_events > max_events) {
             return false;
         }
         if (std::holds_alternative<core_event::ReportReceived>(event)) {
-            ++reports_;
-            if (reports_ > kMaxReports) {
+            ++queued_reports_;
+            if (queued_reports_ > kMaxReports) {
                 ++dropped_reports_;
                 return true;
             }
@@ -42,8 +42,8 @@
     } else {
         wake_.wait(lock, any_event);
     }
-    reports_ = 0;
-    events_of_peer_.clear();
+    queued_reports_ = 0;
+    bounded_events_by_peer_.clear();
     return std::exchange(items_, {});
 }
 
--- a/src/planner/inbox.hpp
+++ b/src/planner/inbox.hpp
@@ -1,4 +1,4 @@
-/// The queue of core events: many threads enqueue, the core's thread takes all at once.
+/// The queue of core events: any thread enqueues, and the core's thread takes all events at once.
 #pragma once
 
 #include <condition_variable>
@@ -13,45 +13,45 @@
 
 namespace micaroad {
 
-/// Tells the time. Any thread may call it.
+/// Returns the current time. Any thread may call it.
 using Clock = std::function<TimePoint()>;
 
-/// An unbounded queue for events whose number the number of streams bounds, and a bounded one for
-/// those that a peer may send as often as it likes.
+/// A queue that is unbounded for events whose number is limited by the number of streams, and
+/// bounded for events that a peer may send at any rate.
 ///
-/// Guards against peers that flood and against a core that falls behind: reports past the bounds
-/// are dropped, the newest first, as a core that far behind has no use for them. Enqueueing never
-/// blocks but for the mutex.
+/// Guards against peers that flood and against a core that falls behind: a new report is dropped
+/// when the bound is reached, as a core so far behind has no use for it. Enqueueing waits for the
+/// mutex only.
 class Inbox {
  public:
-    /// Reports of all peers that are held until the core takes them.
+    /// The maximum number of queued reports, of all peers together.
     static constexpr std::size_t kMaxReports = 20'000;
-    /// Of one peer. A peer that floods leaves room for the others.
+    /// The maximum number of queued reports of one peer, so that one that floods leaves room for
+    /// the others.
     static constexpr std::size_t kMaxReportsPerPeer = kMaxReports / 2;
 
     struct Item {
-        TimePoint at;  ///< when it was enqueued
+        TimePoint enqueued_at;
         CoreEvent event;
     };
 
     explicit Inbox(Clock clock) : clock_(std::move(clock)) {}
 
-    /// Enqueues an event, whatever is queued already. Any thread.
+    /// Enqueues an event without a bound. Any thread.
     void put(CoreEvent event);
 
-    /// Enqueues an event of a kind that a peer may send often. False if the peer has already
-    /// enqueued `max_events` since the core last took all: the event is dropped. A report past
-    /// kMaxReports is dropped too, which is counted in take_dropped_reports() and returns true, as
-    /// it is no fault of that peer. Any thread.
+    /// Enqueues an event of a kind that a peer may send at any rate. Returns false and drops the
+    /// event if the peer has already enqueued `max_events` since the core last took all events. A
+    /// report over kMaxReports is also dropped and counted in take_dropped_reports(), but returns
+    /// true, as that peer is not at fault. Any thread.
     [[nodiscard]] bool put_bounded(StreamId peer, std::size_t max_events, CoreEvent event);
 
-    /// Takes all events in the order in which they were enqueued. Blocks until there is one or the
-    /// clock reaches `until`, and then may return none; without `until` it waits for an event. The
-    /// core's thread.
+    /// Takes all events, in the order in which they were enqueued. Blocks until there is an event
+    /// or the clock reaches `until`; in the latter case the result may be empty. Without `until` it
+    /// waits for an event. The core's thread only.
     [[nodiscard]] std::vector<Item> wait(std::optional<TimePoint> until);
 
-    /// How many reports were dropped since the last call because all peers together sent too many.
-    /// Any thread.
+    /// The number of reports dropped over kMaxReports since the last call. Any thread.
     [[nodiscard]] std::size_t take_dropped_reports();
 
  private:
@@ -59,8 +59,9 @@
     std::mutex mutex_;
     std::condition_variable wake_;
     std::vector<Item> items_;
-    std::map<StreamId, std::size_t> events_of_peer_;  // bounded ones since the core took all
-    std::size_t reports_ = 0;
+    // Events enqueued by put_bounded() since the last wait().
+    std::map<StreamId, std::size_t> bounded_events_by_peer_;
+    std::size_t queued_reports_ = 0;
     std::size_t dropped_reports_ = 0;
 };
 
--- a/src/planner/lag_statistics.hpp
+++ b/src/planner/lag_statistics.hpp
@@ -1,4 +1,5 @@
-/// How long events take from their arrival to the orders that answer them.
+/// Statistics of the decision lag: the time from an event's arrival to the sending of the orders
+/// that result from it.
 #pragma once
 
 #include <algorithm>
@@ -13,21 +14,21 @@
     return static_cast<double>(duration.count()) / kUnitsPerMillisecond;
 }
 
-/// What the core did since `since`, for one summary in the log. Not thread-safe.
+/// The counts since `since` for one summary in the log. Not thread-safe.
 struct LagStatistics {
-    TimePoint since;  ///< zero: before the first summary
+    TimePoint since;  ///< zero before the first interval begins
     Duration longest{};
     Duration sum{};
     std::int64_t events = 0;
     std::int64_t updates = 0;       ///< sent to proxies
-    std::int64_t update_lines = 0;  ///< that those cost on the channel
+    std::int64_t update_lines = 0;  ///< channel load of those updates, in lines
 
     void add_event(Duration lag) {
         longest = std::max(longest, lag);
         sum += lag;
         ++events;
     }
-    /// In milliseconds; 0 without events.
+    /// The mean lag in milliseconds; 0 if there are no events.
     [[nodiscard]] double mean_ms() const {
         return events > 0 ? to_milliseconds(sum) / static_cast<double>(events) : 0;
     }
