--- a/src/background/worker.cpp
+++ b/src/background/worker.cpp
@@ -13,7 +13,7 @@
 
 constexpr int kNiceness = 10;
 
-// How long to wait for a job to get work before looking again.
+// How long the thread waits for a job to get work before it checks again.
 constexpr Duration kIdleWait = std::chrono::milliseconds(500);
 
 double thread_processor_seconds() {
@@ -22,7 +22,8 @@
     return static_cast<double>(time.tv_sec) + 1e-9 * static_cast<double>(time.tv_nsec);
 }
 
-// Linux keeps the niceness of each thread. Where it is not permitted the budget alone holds.
+// Raises the niceness of the calling thread only: Linux keeps it per thread. If that is not
+// permitted, only the budget limits the thread.
 void lower_thread_priority() {
     (void)setpriority(PRIO_PROCESS, static_cast<id_t>(syscall(SYS_gettid)), kNiceness);
 }
--- a/src/background/worker.hpp
+++ b/src/background/worker.hpp
@@ -1,4 +1,4 @@
-/// The one thread of background work.
+/// The thread that runs background jobs.
 #pragma once
 
 #include <condition_variable>
@@ -13,12 +13,12 @@
 
 namespace micaroad::background {
 
-/// Runs jobs one at a time, in the order and within the budget of JobScheduler, at low priority for
-/// the system's scheduler.
+/// Runs jobs one at a time on its own thread, in the order and within the budget of JobScheduler.
+/// The thread has a low scheduling priority.
 class Worker {
  public:
-    /// Works for a short while, without blocking. Returns the bytes it wrote and whether it has
-    /// work left; the worker measures the processor time.
+    /// Does a short portion of the job's work without blocking. Returns the bytes it wrote and
+    /// whether it has work left; the worker measures the processor time.
     using Work = std::function<Usage()>;
 
     Worker(Budget budget, Clock clock);
@@ -26,17 +26,17 @@
     Worker(const Worker&) = delete;
     Worker& operator=(const Worker&) = delete;
 
-    /// Before start() only. The larger priority goes first.
+    /// Adds a job. Must be called before start(). A larger number is a higher priority.
     [[nodiscard]] JobId add(int priority, Work work);
 
-    /// False if no thread could be started.
+    /// Starts the thread. Returns false if that fails.
     [[nodiscard]] bool start();
 
-    /// The job has work. Any thread; does not block but for the mutex.
+    /// Marks the job as having work. Any thread; waits for the mutex only.
     void wake(JobId job);
 
-    /// Runs each job until it has no work left, whatever the budget, and ends the thread. Blocks
-    /// until then. Does nothing the second time.
+    /// Runs each job until it has no work left, regardless of the budget, and ends the thread.
+    /// Blocks until then. Further calls do nothing.
     void stop();
 
  private:
@@ -52,7 +52,7 @@
     JobScheduler scheduler_;
     std::map<JobId, Work> work_;
     bool stopping_ = false;
-    net::ThreadGroup threads_{1, kStackBytes};  // last: its thread uses all of the above
+    net::ThreadGroup threads_{1, kStackBytes};  // last, as its thread uses all members above
 };
 
 }  // namespace micaroad::background
--- a/src/daemon/clock.hpp
+++ b/src/daemon/clock.hpp
@@ -1,12 +1,13 @@
-/// The clock of a program that serves.
+/// The clock that the daemon passes to its components.
 #pragma once
 
 #include "planner/inbox.hpp"
 
 namespace micaroad {
 
-/// A clock that counts from the Unix epoch, as endpoint lists do, and never goes back: the system's
-/// clock is read once, now, and setting it later changes nothing. Any thread may call the clock.
+/// Returns a monotonic clock that counts from the Unix epoch, as the times in endpoint lists do.
+/// The system clock is read once, in this call; later adjustments of it have no effect. Any thread
+/// may call the clock.
 [[nodiscard]] Clock clock_from_now();
 
 }  // namespace micaroad
--- a/src/daemon/limits.cpp
+++ b/src/daemon/limits.cpp
@@ -10,8 +10,8 @@
 constexpr std::size_t kMinMemoryMb = 16;
 constexpr std::size_t kMinConnections = 16;
 
-// An eighth of the memory is for updates that wait to be sent, a sixteenth for lines in part, and
-// as much for lines that are copied to be parsed: together a quarter.
+// One eighth of the memory is for updates that wait to be sent, one sixteenth for partially
+// received lines, and one sixteenth for lines that are copied for parsing: together a quarter.
 constexpr std::size_t kUpdateBufferShare = 8;
 constexpr std::size_t kLineBufferShare = 16;
 constexpr std::size_t kBufferShare = 4;
@@ -37,11 +37,12 @@
     limits.max_list_bytes = std::max(memory_bytes / kListShare, kMinListBytes);
     limits.max_connections =
         std::min(connections_by_memory(memory_bytes), connections_by_sockets(sockets));
-    // A collector of each zone may reconnect before its old connection ends.
+    // There is one collector for each zone, which may reconnect before its old connection ends.
     const std::size_t identified = proxies + 2 * zones;
     limits.sufficient = identified + kMinUnidentified <= limits.max_connections;
-    // All proxies may connect within a second, and each is an unidentified peer until it joins: at
-    // least a quarter of the connections is theirs. Idle unidentified peers are closed for others.
+    // All proxies may connect within a second, and each is an unidentified peer until it joins, so
+    // at least a quarter of the connections is available to unidentified peers. Idle ones are
+    // closed to make room for others.
     const std::size_t remaining =
         limits.sufficient ? limits.max_connections - identified : kMinUnidentified;
     limits.max_unidentified = std::max({remaining, limits.max_connections / 4, kMinUnidentified});
--- a/src/daemon/main.cpp
+++ b/src/daemon/main.cpp
@@ -1,6 +1,8 @@
-/// The program `micaroad`: the daemon by itself; other commands in a library beside it.
+/// The program `micaroad`. It contains the daemon; the other commands are in a shared library,
+/// which is loaded from the program's directory.
 ///
-/// Exit codes: 0 stopped by a signal, 1 failed, 2 a broken configuration or a missing library.
+/// Exit codes of the daemon: 0 stopped by a signal, 1 failed, 2 invalid configuration. Exit code 2
+/// also means that the library of the other commands can't be loaded.
 
 #include <dlfcn.h>
 #include <malloc.h>
@@ -22,8 +24,9 @@
 constexpr int kExitCannotLoad = 2;
 constexpr int kExitBadConfiguration = 2;
 
-// Commands other than the daemon are in a library beside the program, which only they load: so the
-// daemon holds no parser and no schema (docs/haproxy-import.md has what linking them would cost).
+// Commands other than the daemon are in a shared library that is loaded only for them. This keeps
+// their parsers and schemas out of the daemon's memory; docs/haproxy-import.md has the cost of
+// linking them.
 int run_command(int argc, char** argv) {
     using Command = int (*)(int, char**);
     std::error_code error;
@@ -42,7 +45,8 @@
     return reinterpret_cast<Command>(symbol)(argc, argv);
 }
 
-// The signals that the signal thread waits for: SIGHUP reloads, the others stop.
+// The signals that the signal thread waits for: SIGHUP reloads the configuration, the others stop
+// the daemon.
 sigset_t handled_signals() {
     sigset_t signals;
     sigemptyset(&signals);
@@ -66,8 +70,8 @@
                                      micaroad::clock_from_now(), log);
     std::thread signal_thread([&signals, &process] { handle_signals(signals, process); });
     const int code = process.run();
-    // A process that failed was not stopped by a signal, so the signal thread still waits for one.
-    // The signal is blocked in all threads and terminates nothing.
+    // After a failure no signal has arrived, so the signal thread still waits for one. The signal
+    // sent here is blocked in all threads and therefore terminates none of them.
     if (code != 0) {
         // NOLINTNEXTLINE(bugprone-bad-signal-to-kill-thread)
         pthread_kill(signal_thread.native_handle(), SIGTERM);
@@ -83,10 +87,10 @@
     if (!is_daemon) {
         return run_command(argc, argv);
     }
-    // The daemon uses one core: more arenas would only hold memory.
+    // The daemon uses one processor core, so further malloc arenas would only waste memory.
     mallopt(M_ARENA_MAX, 1);
     signal(SIGPIPE, SIG_IGN);
-    // Blocked before any thread starts, so that only the signal thread takes them.
+    // Blocked before any thread starts, so that only the signal thread receives them.
     const sigset_t signals = handled_signals();
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
     micaroad::Log log(STDERR_FILENO);
--- a/src/daemon/planner_process.cpp
+++ b/src/daemon/planner_process.cpp
@@ -13,7 +13,8 @@
 net::Address parse_address(const std::string& text, const char* key) {
     const auto address = net::address_of(text);
     if (!address) {
-        throw ConfigurationError(key, std::string("'") + key + "' is no address and port: " + text);
+        throw ConfigurationError(key,
+                                 std::string("'") + key + "' is not an address and port: " + text);
     }
     return *address;
 }
@@ -101,7 +102,7 @@
 void PlannerProcess::reload(const Environment& environment) {
     try {
         ReloadedConfiguration configuration = reload_configuration(environment, start_);
-        (void)parse_discovery_address(configuration.discovery);  // throws if it is none
+        (void)parse_discovery_address(configuration.discovery);  // throws if invalid
         inbox_.put(core_event::ConfigurationReloaded{std::move(configuration)});
     } catch (const std::exception& error) {
         log_.error("configuration: reload rejected planner={} reason={:?}", start_.name,
@@ -109,14 +110,14 @@
     }
 }
 
-// The acceptor opens last: peers are told that the planner is alive as soon as they connect, and
-// the planner must have handled the list it starts with by then.
+// The acceptor opens last: a peer is told that the planner is alive as soon as it connects, and by
+// then the planner must have handled its initial list.
 tl::expected<void, StartError> PlannerProcess::start_serving() {
     enter(LifecycleState::applying_initial_list);
     log_limits();
     apply_initial_list();
     if (!start_.discovery.empty() && !watch_.start()) {
-        return tl::unexpected(StartError{start_.listen, "no thread for discovery"});
+        return tl::unexpected(StartError{start_.listen, "can't start the discovery thread"});
     }
     if (const auto opened = acceptor_.open(listen_); !opened) {
         return tl::unexpected(StartError{start_.listen, describe(opened.error())});
@@ -137,7 +138,7 @@
 
 void PlannerProcess::apply_initial_list() {
     std::vector<Inbox::Item> items;
-    // The list may be large: it is moved, and freed with `items`.
+    // The list may be large, so it is moved into `items` and freed with them.
     items.push_back({clock_(), core_event::EndpointListReceived{std::move(start_.initial_list)}});
     core_.process(items, clock_());
 }
@@ -162,7 +163,8 @@
     }
 }
 
-// All are asked to stop before any is waited for, so that one that hangs does not delay the others.
+// Requests all drivers to stop before it waits for any, so that one that hangs does not delay the
+// others.
 void PlannerProcess::stop_drivers() {
     acceptor_.begin_shutdown();
     watch_.begin_stop();
--- a/src/daemon/planner_process.hpp
+++ b/src/daemon/planner_process.hpp
@@ -1,4 +1,4 @@
-/// The planner as a process: its core, the drivers around it, and the states from start to exit.
+/// The planner process: the core, its drivers, and the lifecycle from start to exit.
 #pragma once
 
 #include <atomic>
@@ -21,13 +21,13 @@
 ///                          │                               │
 ///                          └────────────> failed <─────────┘
 ///
-/// It fails where it can't start to serve, or where its core ended by a fault. Both `stopped` and
+/// It fails if it can't start to serve, or if its core ended with an error. Both `stopped` and
 /// `failed` are final.
 enum class LifecycleState {
     created,
-    applying_initial_list,  ///< the list of the start file, before any peer may connect
+    applying_initial_list,  ///< handling the start file's list, before any peer may connect
     serving,
-    stopping,  ///< no new connections; the drivers' threads end
+    stopping,  ///< no new connections; the drivers' threads are ending
     stopped,
     failed,
 };
@@ -35,18 +35,20 @@
 /// The state's name in log lines.
 [[nodiscard]] const char* to_string(LifecycleState state);
 
-/// Why a process can't start to serve.
+/// The reason why a process can't start to serve.
 struct StartError {
-    std::string address;  ///< that it was to listen on
+    std::string address;  ///< the address it was configured to listen on
     std::string reason;
 };
 
-/// One planner with its core on a thread of its own, the acceptor, discovery and health checks.
+/// One planner: the core on its own thread, the acceptor, the discovery watch and the health
+/// checks.
 class PlannerProcess : private Transport {
  public:
-    /// `log`, `observer` and `sync` must outlive the process. Throws ConfigurationError if
-    /// `start.listen` or `start.discovery` is no address and port; an empty `start.discovery` means
-    /// that lists come by handle() instead. `sync` is for tests.
+    /// `log`, `observer` and `sync` must outlive the process. An empty `start.discovery` means that
+    /// endpoint lists arrive through handle() instead. `sync` is for tests. Throws
+    /// ConfigurationError if `start.listen` or a non-empty `start.discovery` is not an address and
+    /// port.
     PlannerProcess(StartConfiguration start, Clock clock, Log& log, Observer* observer = nullptr,
                    SyncPoints* sync = nullptr, net::WatchTimeouts timeouts = {});
 
@@ -54,14 +56,15 @@
     /// called once.
     [[nodiscard]] int run();
 
-    /// Has run() return. Any thread, at any time.
+    /// Makes run() return. Any thread, at any time.
     void stop();
 
-    /// Takes an endpoint list from a source other than discovery. Any thread; does not block.
+    /// Passes an endpoint list from a source other than discovery to the core. Any thread; does not
+    /// block.
     void handle(protocol::EndpointListMessage message);
 
-    /// Reads the start file again, on the caller's thread, and follows discovery at the address in
-    /// it. A file that can't be used is logged and changes nothing. Any thread.
+    /// Reads the start file again, on the caller's thread, and watches discovery at the address in
+    /// it. An invalid file is logged and has no effect. Any thread.
     void reload(const Environment& environment);
 
     /// Any thread.
@@ -71,7 +74,7 @@
 
  private:
     static constexpr std::size_t kCoreStackBytes = 1024 * 1024;
-    static constexpr std::size_t kReadBuffers = 64;  // the event loop, discovery, health checks
+    static constexpr std::size_t kReadBuffers = 64;  // for the event loop, discovery, health checks
 
     void write(StreamId stream, std::string_view message) override;
     void close(StreamId stream) override;
--- a/src/daemon/start_configuration.cpp
+++ b/src/daemon/start_configuration.cpp
@@ -17,14 +17,14 @@
 
 using nlohmann::json;
 
-// Keys of the start file that take effect at a start only. Neither the seed nor the known list is
-// among them, as both are expected to differ from one file to the next.
+// Keys of the start file whose changes take effect only after a restart and are reported as such.
+// `seed` and `known` are not among them: both are expected to differ from one file to the next.
 constexpr const char* kRestartKeys[] = {"name", "listen", "limits", "settings"};
 
-constexpr double kMaxLimit = 1e9;
+constexpr double kMaxLimit = 1e9;  // exclusive
 
-// A report is counted over at most as much time as 120 usual ones: the connection of its sender may
-// have been broken meanwhile.
+// A report may cover the time of up to 120 regular ones, as its sender may have been disconnected
+// in the meantime.
 constexpr int kMaxReportIntervals = 120;
 constexpr Duration kMinLongestWindow = std::chrono::seconds(1);
 
@@ -33,15 +33,15 @@
 }
 
 ConfigurationError missing_key(const char* key) {
-    return {key, "the start file lacks " + quoted(key)};
+    return {key, "the start file has no key " + quoted(key)};
 }
 
 ConfigurationError not_an_object() {
-    return {"", "the start file holds no JSON object"};
+    return {"", "the start file is not a JSON object"};
 }
 
 ConfigurationError unusable_settings(const json::exception& error) {
-    return {"settings", std::string("'settings' can't be used: ") + error.what()};
+    return {"settings", std::string("'settings' is invalid: ") + error.what()};
 }
 
 const json& member(const json& object, const char* key) {
@@ -55,12 +55,12 @@
 std::string parse_text(const json& file, const char* key) {
     const json& value = member(file, key);
     if (!value.is_string()) {
-        throw ConfigurationError(key, quoted(key) + " is no text");
+        throw ConfigurationError(key, quoted(key) + " is not a string");
     }
     return value.get<std::string>();
 }
 
-// The variable takes precedence where it is set and not empty.
+// The environment variable takes precedence over the key if it is set and not empty.
 std::string variable_or_text(const Environment& environment, const char* variable, const json& file,
                              const char* key) {
     const char* const value = environment(variable);
@@ -79,7 +79,7 @@
     const std::string text = seed.is_string() ? seed.get<std::string>() : "";
     std::uint64_t value = 0;
     if (!protocol::parse_integer(text, value, kHexadecimal)) {
-        throw ConfigurationError("seed", "'seed' is no hexadecimal number");
+        throw ConfigurationError("seed", "'seed' is not a hexadecimal number");
     }
     return value;
 }
@@ -90,12 +90,12 @@
         limit.is_number() && limit.get<double>() >= 0 && limit.get<double>() < kMaxLimit;
     if (!usable) {
         const std::string path = std::string("limits.") + key;
-        throw ConfigurationError(path, "'" + path + "' can't be used");
+        throw ConfigurationError(path, "'" + path + "' is not a number from 0 to less than 1e9");
     }
     return limit.get<std::size_t>();
 }
 
-// Zero if no method has a deadline.
+// The longest deadline of any method; zero if none has a deadline.
 Duration longest_deadline(const json& settings) {
     Duration longest{};
     for (const json& method : settings.value("classes", json::array())) {
@@ -105,8 +105,8 @@
     return longest;
 }
 
-// An attempt ends with its RPC's deadline, where the settings have one; twice that bounds a
-// report's mean latency.
+// An attempt lasts at most until its RPC's deadline. If the settings have deadlines, twice the
+// longest is therefore the bound of a report's mean latency.
 protocol::Bounds parse_bounds(const json& settings_json, const DeploymentSettings& settings) {
     protocol::Bounds bounds;
     bounds.proxies = settings.proxy_count;
@@ -127,13 +127,13 @@
         throw unusable_settings(error);
     }
     if (start.settings.methods.empty()) {
-        throw ConfigurationError("settings", "'settings' names no method");
+        throw ConfigurationError("settings", "'settings' lists no methods");
     }
     if (start.names.zones.empty()) {
-        throw ConfigurationError("settings", "'settings' names no zone");
+        throw ConfigurationError("settings", "'settings' lists no zones");
     }
     if (start.settings.proxy_count < 1) {
-        throw ConfigurationError("settings", "'settings' allows no proxy");
+        throw ConfigurationError("settings", "'settings' allows no proxies");
     }
 }
 
@@ -143,7 +143,7 @@
     }
     auto message = protocol::EndpointListReader(names).read(known);
     if (!message) {
-        throw ConfigurationError("known", "'known' is no list of servers");
+        throw ConfigurationError("known", "'known' is not an endpoint list");
     }
     message->list.form = event::EndpointListUpdate::Form::complete;
     return std::move(*message);
@@ -160,14 +160,14 @@
     return texts;
 }
 
-// The list is kept out of the tree of JSON objects, where it would take many times the memory of
-// its text.
+// The start file without the endpoint list, and the text of the list. A JSON tree of the list would
+// take many times the memory of its text, so it is parsed separately.
 struct SplitFile {
-    json file;               // all but `known`
-    std::string_view known;  // a part of the file's text; empty: the key is missing
+    json file;               // all keys, with `known` replaced by null
+    std::string_view known;  // a view into the file's text; empty if the key is missing
 };
 
-// Replaces `value`, a part of `text`, by null. An empty `value` changes nothing.
+// Returns `text` with `value`, a view into it, replaced by null. An empty `value` changes nothing.
 std::string replace_by_null(const std::string& text, std::string_view value) {
     if (value.empty()) {
         return text;
@@ -211,7 +211,7 @@
     content << file.rdbuf();
     std::string text = std::move(content).str();
     if (!file || text.empty()) {
-        throw ConfigurationError("LB_CONFIG", std::string("LB_CONFIG: ") + path + " can't be read");
+        throw ConfigurationError("LB_CONFIG", std::string("LB_CONFIG: can't read ") + path);
     }
     return text;
 }
@@ -223,8 +223,8 @@
     });
 }
 
-// Guards against another deployment's file in place of this one's: not even its discovery is
-// followed. A file without settings passes.
+// Guards against a reload of another deployment's file, whose discovery address must not be used
+// either. A file without settings is accepted.
 void check_same_deployment(const json& file, const StartConfiguration& start) {
     const auto settings = file.find("settings");
     if (settings == file.end()) {
@@ -240,8 +240,8 @@
                                  have_common_name(names.zones, start.names.zones);
     if (!same_deployment) {
         throw ConfigurationError("settings",
-                                 "'settings' names none of our methods, or none of our zones: "
-                                 "another deployment's file");
+                                 "'settings' has no method or no zone in common with the "
+                                 "running configuration: the file is for another deployment");
     }
 }
 
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -29,7 +29,7 @@
 Log::~Log() {
     {
         const std::lock_guard lock(mutex_);
-        ending_ = true;
+        stopping_ = true;
     }
     wake_.notify_one();
     writer_.join();
@@ -42,10 +42,11 @@
     }
 }
 
-// Counts the line. The first line after the interval says how many were suppressed in it.
+// Counts the line and returns whether it is within the rate limit. Before the first line after an
+// interval, logs the number of lines suppressed in that interval.
 bool Log::is_within_rate(fmt::string_view format) {
     const auto now = std::chrono::steady_clock::now();
-    RepeatedLines& repeated = repeated_[format.data()];
+    RepeatedLines& repeated = repeated_lines_[format.data()];
     const auto elapsed = now - repeated.since;
     if (elapsed >= kRepeatInterval) {
         if (repeated.suppressed > 0) {
@@ -66,7 +67,7 @@
 
 void Log::enqueue(const char* level, const std::string& text) {
     if (queue_.size() == kMaxQueuedLines) {
-        ++lost_;
+        ++dropped_lines_;
         return;
     }
     queue_.push_back(fmt::format("{} {} {}\n", timestamp(), level, text));
@@ -75,8 +76,8 @@
 
 void Log::run_writer() {
     std::unique_lock lock(mutex_);
-    while (!ending_ || !queue_.empty()) {
-        wake_.wait(lock, [this] { return ending_ || !queue_.empty(); });
+    while (!stopping_ || !queue_.empty()) {
+        wake_.wait(lock, [this] { return stopping_ || !queue_.empty(); });
         const std::string text = take_queued();
         lock.unlock();
         const bool written = write_all(text);
@@ -87,36 +88,36 @@
     }
 }
 
-// Under the mutex.
+// The caller holds the mutex.
 std::string Log::take_queued() {
     std::string text;
     for (const std::string& line : std::exchange(queue_, {})) {
         text += line;
     }
-    if (lost_ > 0) {
+    if (dropped_lines_ > 0) {
         text += fmt::format("{} warn log: lines lost count={} reason=\"the output was too slow\"\n",
-                            timestamp(), std::exchange(lost_, 0));
+                            timestamp(), std::exchange(dropped_lines_, 0));
     }
     return text;
 }
 
-// False if the reader of the log has stopped reading while the log is to end.
+// Returns false if the log is ending and the reader of the output has stopped reading.
 bool Log::write_all(std::string_view text) {
     constexpr int kPollMilliseconds = 100;
     while (!text.empty()) {
         pollfd ready{fd_, POLLOUT, 0};
         if (::poll(&ready, 1, kPollMilliseconds) == 0) {
             const std::lock_guard lock(mutex_);
-            if (ending_) {
+            if (stopping_) {
                 return false;
             }
             continue;
         }
-        // A pipe that is ready takes this many bytes without blocking.
+        // A pipe that is ready for writing accepts this many bytes without blocking.
         const std::size_t size = std::min<std::size_t>(text.size(), PIPE_BUF);
         const ssize_t written = ::write(fd_, text.data(), size);
         if (written <= 0) {
-            return true;  // the output is broken for good, and there is nowhere to say so
+            return true;  // the output failed permanently, and there is no other place to report it
         }
         text.remove_prefix(static_cast<std::size_t>(written));
     }
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -1,11 +1,11 @@
-/// The program's log: lines of text to a file descriptor, in the form
+/// The program's log. It writes lines of text to a file descriptor, in the form
 ///
 ///     2026-12-02T14:12:40.123Z warn component: event key=value key="free text"
 ///
-/// Guards against a log that slows the program down or fills the disk: writing a line never blocks
-/// its caller, as a thread of the log's own does the output; lines that find no room are counted;
-/// and lines of one format string are limited to a number in a time. What was left out is said in
-/// the log itself.
+/// Guards against a log that slows the program down or fills the disk. Logging a line never blocks
+/// the caller, as a separate thread writes the output. Lines that arrive while the queue is full
+/// are dropped and counted. Lines of one format string are limited in rate. The log itself reports
+/// the number of dropped and suppressed lines.
 #pragma once
 
 #include <fmt/format.h>
@@ -22,12 +22,12 @@
 
 namespace micaroad {
 
-/// Any thread may write lines. A line is queued, and written soon after.
+/// Any thread may log lines. A line is queued and written asynchronously.
 class Log {
  public:
-    /// Does not own `fd`, which must stay open as long as the log lives.
+    /// Does not own `fd`, which must stay open until the log is destroyed.
     explicit Log(int fd);
-    /// Writes what is queued first, unless the reader of `fd` has stopped reading.
+    /// Writes the queued lines first, unless the reader of `fd` has stopped reading.
     ~Log();
     Log(const Log&) = delete;
     Log& operator=(const Log&) = delete;
@@ -47,11 +47,11 @@
 
  private:
     static constexpr std::size_t kMaxQueuedLines = 1000;
-    // Of one format string; past that number lines are suppressed until the interval has passed.
+    // The lines of one format string within kRepeatInterval; further ones are suppressed.
     static constexpr int kMaxRepeatedLines = 100;
     static constexpr std::chrono::seconds kRepeatInterval{10};
 
-    // The lines of one format string since `since`.
+    // The numbers of lines of one format string in the interval that began at `since`.
     struct RepeatedLines {
         std::chrono::steady_clock::time_point since;
         int count = 0;
@@ -69,11 +69,11 @@
     std::mutex mutex_;
     std::condition_variable wake_;
     std::deque<std::string> queue_;
-    // By the address of the format string: there are as many as calls in the code.
-    std::map<const char*, RepeatedLines> repeated_;
-    std::uint64_t lost_ = 0;  // lines that found the queue full
-    bool ending_ = false;
-    std::thread writer_;  // last: it uses all of the above
+    // By the address of the format string, so there are as many entries as log calls in the code.
+    std::map<const char*, RepeatedLines> repeated_lines_;
+    std::uint64_t dropped_lines_ = 0;  // lines dropped because the queue was full
+    bool stopping_ = false;
+    std::thread writer_;  // last, as it uses all members above
 };
 
 }  // namespace micaroad
