--- a/src/record/block.cpp
+++ b/src/record/block.cpp
@@ -11,17 +11,18 @@
 namespace {
 
 constexpr std::string_view kMagic = "MRB1";
-// Offsets in a block's header.
-constexpr std::size_t kPackedLengthAt = 4;
-constexpr std::size_t kRawLengthAt = 8;
-constexpr std::size_t kRecordCountAt = 12;
-constexpr std::size_t kBlockChecksumAt = 24;
-// Offsets in a record's header, and its length.
-constexpr std::size_t kSequenceAt = 4;
-constexpr std::size_t kRecordChecksumAt = 12;
+// Byte offsets in a block's header.
+constexpr std::size_t kCompressedLengthOffset = 4;
+constexpr std::size_t kRawLengthOffset = 8;
+constexpr std::size_t kRecordCountOffset = 12;
+constexpr std::size_t kBlockChecksumOffset = 24;
+// Byte offsets in a record's header, and the length of that header.
+constexpr std::size_t kSequenceOffset = 4;
+constexpr std::size_t kRecordChecksumOffset = 12;
 constexpr std::size_t kRecordHeaderBytes = 20;
 
-constexpr int kCompressionLevel = 3;  // zstd's default: cheap beside the decisions
+// The default of zstd. Its cost is small compared with that of the decisions.
+constexpr int kCompressionLevel = 3;
 constexpr std::size_t kMaxDamages = 1'000;
 constexpr unsigned kBitsPerByte = 8;
 constexpr unsigned kByteMask = 0xff;
@@ -47,10 +48,10 @@
     return XXH64(record.data(), record.size(), sequence);
 }
 
-// `header`: what stands before the checksum.
-std::uint64_t block_checksum(std::string_view header, std::string_view packed) {
+// `header` is the part of the block's header before the checksum.
+std::uint64_t block_checksum(std::string_view header, std::string_view compressed) {
     const std::uint64_t seed = XXH64(header.data(), header.size(), 0);
-    return XXH64(packed.data(), packed.size(), seed);
+    return XXH64(compressed.data(), compressed.size(), seed);
 }
 
 std::string join_records(const std::vector<std::string>& records, std::uint64_t first_sequence) {
@@ -67,25 +68,27 @@
 }
 
 std::string compress(std::string_view raw) {
-    std::string packed(ZSTD_compressBound(raw.size()), '\0');
-    const std::size_t size =
-        ZSTD_compress(packed.data(), packed.size(), raw.data(), raw.size(), kCompressionLevel);
+    std::string compressed(ZSTD_compressBound(raw.size()), '\0');
+    const std::size_t size = ZSTD_compress(compressed.data(), compressed.size(), raw.data(),
+                                           raw.size(), kCompressionLevel);
     if (ZSTD_isError(size) != 0) {
         throw std::runtime_error(ZSTD_getErrorName(size));
     }
-    packed.resize(size);
-    return packed;
+    compressed.resize(size);
+    return compressed;
 }
 
-// The raw bytes of a block whose length in the header is that of the block.
+// Returns the raw bytes of a block. The caller has checked that `block` has the length that its
+// header says.
 tl::expected<std::string, DamageKind> decompress(std::string_view block) {
-    const std::string_view packed = block.substr(kBlockHeaderBytes);
-    if (read_number<std::uint64_t>(block, kBlockChecksumAt) !=
-        block_checksum(block.substr(0, kBlockChecksumAt), packed)) {
+    const std::string_view compressed = block.substr(kBlockHeaderBytes);
+    if (read_number<std::uint64_t>(block, kBlockChecksumOffset) !=
+        block_checksum(block.substr(0, kBlockChecksumOffset), compressed)) {
         return tl::unexpected(DamageKind::block_checksum);
     }
-    std::string raw(read_number<std::uint32_t>(block, kRawLengthAt), '\0');
-    const std::size_t size = ZSTD_decompress(raw.data(), raw.size(), packed.data(), packed.size());
+    std::string raw(read_number<std::uint32_t>(block, kRawLengthOffset), '\0');
+    const std::size_t size =
+        ZSTD_decompress(raw.data(), raw.size(), compressed.data(), compressed.size());
     if (ZSTD_isError(size) != 0 || size != raw.size()) {
         return tl::unexpected(DamageKind::decompression);
     }
@@ -106,8 +109,8 @@
             return tl::unexpected(DamageKind::truncated_record);
         }
         const auto length = read_number<std::uint32_t>(raw, offset);
-        const auto sequence = read_number<std::uint64_t>(raw, offset + kSequenceAt);
-        const auto checksum = read_number<std::uint64_t>(raw, offset + kRecordChecksumAt);
+        const auto sequence = read_number<std::uint64_t>(raw, offset + kSequenceOffset);
+        const auto checksum = read_number<std::uint64_t>(raw, offset + kRecordChecksumOffset);
         offset += kRecordHeaderBytes;
         if (raw.size() - offset < length) {
             return tl::unexpected(DamageKind::truncated_record);
@@ -130,36 +133,36 @@
 std::string encode_block(const std::vector<std::string>& records, std::uint64_t first_sequence) {
     const std::string raw = join_records(records, first_sequence);
     if (raw.size() > kMaxRawBlockBytes) {
-        throw std::length_error("a block over its longest");
+        throw std::length_error("block exceeds the maximum raw length");
     }
-    const std::string packed = compress(raw);
+    const std::string compressed = compress(raw);
     std::string block(kMagic);
-    append_number(block, static_cast<std::uint32_t>(packed.size()));
+    append_number(block, static_cast<std::uint32_t>(compressed.size()));
     append_number(block, static_cast<std::uint32_t>(raw.size()));
     append_number(block, static_cast<std::uint32_t>(records.size()));
     append_number(block, first_sequence);
-    append_number(block, block_checksum(block, packed));
-    return block + packed;
+    append_number(block, block_checksum(block, compressed));
+    return block + compressed;
 }
 
 std::string describe(DamageKind kind) {
     switch (kind) {
         case DamageKind::no_block:
-            return "no block begins here";
+            return "no block at this offset";
         case DamageKind::truncated_block:
-            return "a block that was cut";
-        case DamageKind::impossible_length:
-            return "a block of impossible length";
+            return "truncated block";
+        case DamageKind::invalid_length:
+            return "block with an invalid length";
         case DamageKind::block_checksum:
-            return "a block whose checksum is wrong";
+            return "block with a wrong checksum";
         case DamageKind::decompression:
-            return "a block that can't be unpacked";
+            return "block that can't be decompressed";
         case DamageKind::truncated_record:
-            return "a record that was cut";
+            return "truncated record";
         case DamageKind::record_checksum:
-            return "a record whose checksum is wrong";
+            return "record with a wrong checksum";
         case DamageKind::unexpected_record_count:
-            return "a block with another number of records";
+            return "block with a wrong number of records";
     }
     return "";
 }
@@ -178,22 +181,22 @@
     }
 }
 
-// Consumes the next block or damage. False: that takes more input.
+// Consumes the next block or damaged range. Returns false if more input is needed.
 bool BlockReader::parse_next(bool at_end) {
-    const std::size_t magic_at = buffer_.find(kMagic);
-    if (magic_at != 0) {
-        return skip_to_magic(magic_at, at_end);
+    const std::size_t magic_offset = buffer_.find(kMagic);
+    if (magic_offset != 0) {
+        return skip_to_magic(magic_offset, at_end);
     }
     if (buffer_.size() < kBlockHeaderBytes) {
         return skip_if_truncated(at_end);
     }
-    const auto packed_length = read_number<std::uint32_t>(buffer_, kPackedLengthAt);
-    const auto raw_length = read_number<std::uint32_t>(buffer_, kRawLengthAt);
-    if (packed_length > kMaxRawBlockBytes || raw_length > kMaxRawBlockBytes) {
-        skip_damage(kMagic.size(), DamageKind::impossible_length);
+    const auto compressed_length = read_number<std::uint32_t>(buffer_, kCompressedLengthOffset);
+    const auto raw_length = read_number<std::uint32_t>(buffer_, kRawLengthOffset);
+    if (compressed_length > kMaxRawBlockBytes || raw_length > kMaxRawBlockBytes) {
+        skip_damage(kMagic.size(), DamageKind::invalid_length);
         return true;
     }
-    const std::size_t block_bytes = kBlockHeaderBytes + packed_length;
+    const std::size_t block_bytes = kBlockHeaderBytes + compressed_length;
     if (buffer_.size() < block_bytes) {
         return skip_if_truncated(at_end);
     }
@@ -201,12 +204,12 @@
     return true;
 }
 
-bool BlockReader::skip_to_magic(std::size_t magic_at, bool at_end) {
+bool BlockReader::skip_to_magic(std::size_t magic_offset, bool at_end) {
     std::size_t kept = 0;
-    if (magic_at != std::string::npos) {
-        kept = buffer_.size() - magic_at;
+    if (magic_offset != std::string::npos) {
+        kept = buffer_.size() - magic_offset;
     } else if (!at_end) {
-        // The input may have been divided within a magic number.
+        // The buffer may end within a magic number.
         kept = std::min(buffer_.size(), kMagic.size() - 1);
     }
     if (buffer_.size() == kept) {
@@ -220,11 +223,11 @@
     if (!at_end) {
         return false;
     }
-    skip_damage(kMagic.size(), DamageKind::truncated_block);  // another block may begin within
+    skip_damage(kMagic.size(), DamageKind::truncated_block);  // a block may begin in the rest
     return true;
 }
 
-// Hands on all records of the block at the front, or none.
+// Passes on all records of the block at the front of the buffer, or none if the block is damaged.
 void BlockReader::take_block(std::size_t bytes) {
     const std::string_view block = std::string_view(buffer_).substr(0, bytes);
     const auto raw = decompress(block);
@@ -232,7 +235,7 @@
         skip_damage(kMagic.size(), raw.error());
         return;
     }
-    const auto records = split_records(*raw, read_number<std::uint32_t>(block, kRecordCountAt));
+    const auto records = split_records(*raw, read_number<std::uint32_t>(block, kRecordCountOffset));
     if (!records) {
         skip_damage(kMagic.size(), records.error());
         return;
@@ -243,7 +246,7 @@
     consume(bytes);
 }
 
-// Damage that adjoins the last one lengthens it.
+// Records a damaged range and consumes it. A range that directly follows the last one extends it.
 void BlockReader::skip_damage(std::uint64_t bytes, DamageKind kind) {
     const bool adjoins =
         !damages_.empty() && damages_.back().offset + damages_.back().bytes == consumed_;
--- a/src/record/directory.cpp
+++ b/src/record/directory.cpp
@@ -15,7 +15,7 @@
 
 constexpr int kFileMode = 0640;
 
-// A file descriptor that is closed with its owner.
+// Owns a file descriptor and closes it in the destructor.
 class OwnedDescriptor {
  public:
     explicit OwnedDescriptor(int fd) : fd_(fd) {}
@@ -61,7 +61,7 @@
 class SystemDirectory : public Directory {
  public:
     explicit SystemDirectory(fs::path path) : path_(std::move(path)) {
-        std::error_code ignored;  // the operations on it fail in their turn
+        std::error_code ignored;  // later operations on the directory fail
         fs::create_directories(path_, ignored);
     }
 
@@ -77,7 +77,7 @@
 
     [[nodiscard]] std::vector<Entry> list() override {
         std::vector<Entry> entries;
-        std::error_code ignored;  // a file that goes meanwhile, or no directory: not listed
+        std::error_code ignored;  // files that vanish, or a missing directory, are not listed
         for (const auto& entry : fs::directory_iterator(path_, ignored)) {
             if (entry.is_regular_file(ignored)) {
                 entries.push_back({entry.path().filename().string(), entry.file_size(ignored)});
--- a/src/record/directory.hpp
+++ b/src/record/directory.hpp
@@ -1,6 +1,6 @@
-/// The directory that keeps a recording's segments: an interface with the few operations that
-/// recordings need, so that tests can make each of them fail, and its implementation on the file
-/// system. Implementations need not be safe for calls by several threads.
+/// The directory that holds a recording's segments: an interface with the few file operations that
+/// recordings need, so that tests can make each of them fail, and its implementation for the file
+/// system. Implementations need not be thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -15,13 +15,14 @@
 
 class Directory {
  public:
-    /// A file that is open for appending; the destructor closes it.
+    /// A file opened for appending. The destructor closes it.
     class File {
      public:
         virtual ~File() = default;
-        /// Blocks until all bytes are written. False on failure: some of them, or none, were.
+        /// Blocks until all bytes are written. Returns false on failure; then some of the bytes may
+        /// have been written.
         [[nodiscard]] virtual bool append(std::string_view bytes) = 0;
-        /// Blocks until what was appended is on the storage device. False on failure.
+        /// Blocks until the appended bytes are on the storage device. Returns false on failure.
         [[nodiscard]] virtual bool sync() = 0;
     };
 
@@ -32,20 +33,21 @@
 
     virtual ~Directory() = default;
 
-    /// A new, empty file. Null on failure, which includes that the file exists.
+    /// Creates an empty file. Returns null on failure, also if the file already exists.
     [[nodiscard]] virtual std::unique_ptr<File> create(const std::string& name) = 0;
-    /// False on failure, which includes that there is no such file.
+    /// Deletes a file. Returns false on failure, also if there is no such file.
     [[nodiscard]] virtual bool remove(const std::string& name) = 0;
-    /// All files in the order of their names; empty on failure.
+    /// Returns all files in the order of their names; empty on failure.
     [[nodiscard]] virtual std::vector<Entry> list() = 0;
-    /// Up to `max_bytes` from `offset` on. Empty at the end of the file, absent on failure.
+    /// Reads up to `max_bytes` at `offset`. The result is empty at the end of the file, and absent
+    /// on failure.
     [[nodiscard]] virtual std::optional<std::string> read(const std::string& name,
                                                           std::uint64_t offset,
                                                           std::size_t max_bytes) = 0;
 };
 
-/// A directory of the file system, created if it does not exist. If that fails, each operation on
-/// the result fails.
+/// Opens a directory of the file system, and creates it if it does not exist. If that fails, all
+/// operations on the result fail.
 [[nodiscard]] std::unique_ptr<Directory> open_directory(const std::string& path);
 
 }  // namespace micaroad::record
--- a/src/record/event_conversion.cpp
+++ b/src/record/event_conversion.cpp
@@ -34,7 +34,7 @@
     return endpoint;
 }
 
-// For each kind of event, write() and its inverse.
+// For each kind of event: write() and the function that reads it back.
 
 void write(const event::EndpointListUpdate& update, records::Event& record) {
     record.set_kind(records::Event::LIST);
--- a/src/record/order_conversion.hpp
+++ b/src/record/order_conversion.hpp
@@ -1,7 +1,8 @@
-/// Orders of the planner to protobuf messages of a recording, without loss. Nothing reads orders
-/// back into the planner's types: a replay compares the messages.
+/// Converts the planner's orders to protobuf messages of a recording, without loss. There is no
+/// conversion back to the planner's types, as a replay compares the messages.
 ///
-/// proto/record.proto keeps the names that it was published with; they lead to these terms:
+/// proto/record.proto keeps the names that it was published with. This table maps them to the
+/// planner's terms:
 ///
 ///     Order.Kind      planner's order      Order field              planner's field
 ///     SET_LINE        SetTableEntry        table, id, figure        table, server, weight
@@ -29,8 +30,8 @@
 
 [[nodiscard]] records::Order to_record(const Order& order);
 
-/// An order for a person to read, such as "SET_LINE table 1 s-1 0.25", in the protobuf names. Lists
-/// of methods, texts and durations are left out.
+/// Human-readable text of an order with the protobuf names, such as "SET_LINE table 1 s-1 0.25".
+/// Lists of methods, texts and durations are omitted.
 [[nodiscard]] std::string describe(const records::Order& order);
 
 }  // namespace micaroad::record
--- a/src/record/recorder.cpp
+++ b/src/record/recorder.cpp
@@ -11,10 +11,10 @@
 namespace micaroad::record {
 namespace {
 
-// An incarnation's first sequence number is the next multiple of this: far behind the last segment,
-// whose length is not known without reading it.
+// The first sequence number of an incarnation is the next multiple of this number. That is far
+// beyond the records of the last segment, whose number is not known without reading the segment.
 constexpr std::uint64_t kSequencesPerIncarnation = 1u << 24;
-constexpr std::size_t kRecordOverheadBytes = 20;  // of a record in a block
+constexpr std::size_t kRecordOverheadBytes = 20;  // size of a record's header in a block
 
 std::uint64_t first_free_sequence(Directory& directory) {
     std::uint64_t free = 0;
@@ -48,8 +48,8 @@
     const std::size_t items = events_.size() + orders.size() + 1;
     {
         const std::lock_guard lock(mutex_);
-        // A replay can't pass a turn that is lost, so those behind it are dropped too until the
-        // queue has been emptied.
+        // A replay can't continue after a lost turn, so the turns that follow it are also dropped
+        // until the background job has emptied the queue.
         if (queued_items_ + items > kMaxQueuedItems || gap_.turns > 0) {
             if (gap_.turns == 0) {
                 gap_.first_at = now;
@@ -86,7 +86,7 @@
     return usage;
 }
 
-// Exchanges the vectors, so that neither has to grow anew.
+// Swaps the vectors, so that both keep their capacity.
 void Recorder::take_queue() {
     if (next_turn_ < taken_turns_.size()) {
         return;
@@ -98,13 +98,13 @@
     queued_items_ = 0;
 }
 
-// Turns to records, until the block is full. The time of the last turn in the block.
+// Converts turns to records until the block is full. Returns the time of the last converted turn.
 TimePoint Recorder::convert_turns() {
-    TimePoint now = block_since_;
+    TimePoint now = block_started_at_;
     for (; next_turn_ < taken_turns_.size() && block_raw_bytes_ < kBlockRawBytes; ++next_turn_) {
         const Turn& turn = taken_turns_[next_turn_];
-        if (block_records_.empty() || block_since_ == TimePoint{}) {
-            block_since_ = turn.at;
+        if (block_records_.empty() || block_started_at_ == TimePoint{}) {
+            block_started_at_ = turn.at;
         }
         now = turn.at;
         records::Record record;
@@ -126,7 +126,7 @@
     block_raw_bytes_ += block_records_.back().size() + kRecordOverheadBytes;
 }
 
-// The gap stands behind the turns that are in the queue, so these have to be converted first.
+// The lost turns follow those in the queue, so the queued turns have to be converted first.
 void Recorder::record_gap() {
     Gap gap;
     {
@@ -145,10 +145,11 @@
 
 bool Recorder::block_due(TimePoint now) const {
     return !block_records_.empty() &&
-           (block_raw_bytes_ >= kBlockRawBytes || now - block_since_ >= kMaxBlockAge);
+           (block_raw_bytes_ >= kBlockRawBytes || now - block_started_at_ >= kMaxBlockAge);
 }
 
-// A block that can't be written whole ends its segment, and its records are a gap in the next.
+// If the block can't be written completely, its segment ends, and the next segment has a gap record
+// in place of the block's records.
 bool Recorder::write_block(TimePoint now) {
     const std::string block = encode_block(block_records_, next_sequence_);
     if (!append_to_segment(block, now)) {
@@ -158,7 +159,7 @@
     next_sequence_ += block_records_.size();
     block_records_.clear();
     block_raw_bytes_ = 0;
-    block_since_ = TimePoint{};
+    block_started_at_ = TimePoint{};
     segment_bytes_ += block.size();
     const std::lock_guard lock(mutex_);
     counts_.bytes += block.size();
@@ -167,9 +168,9 @@
 
 bool Recorder::append_to_segment(const std::string& block, TimePoint now) {
     const bool segment_full = segment_bytes_ + block.size() > retention_.segment_bytes ||
-                              now - segment_since_ >= retention_.segment_age;
+                              now - segment_started_at_ >= retention_.segment_age;
     if (segment_ && segment_full) {
-        (void)segment_->sync();  // the blocks are written; a failure here leaves them to the system
+        (void)segment_->sync();  // the blocks are written; on failure the system syncs them later
         segment_.reset();
     }
     if (!segment_ && !begin_segment(now)) {
@@ -187,7 +188,7 @@
     }
     segment_name_ = name;
     segment_bytes_ = 0;
-    segment_since_ = now;
+    segment_started_at_ = now;
     segment_starts_[name] = now;
     const std::lock_guard lock(mutex_);
     ++counts_.segments;
@@ -195,12 +196,12 @@
 }
 
 void Recorder::replace_block_by_gap(TimePoint now) {
-    // What was written of the block can't be read. A segment without any whole block is deleted, as
-    // the next one has its name.
+    // A partially written block can't be read. A segment without a complete block is deleted, as
+    // the next segment gets the same name.
     const bool had_segment = segment_ != nullptr;
     segment_.reset();
     if (had_segment && segment_bytes_ == 0) {
-        (void)directory_.remove(segment_name_);  // if it stays, create() fails and is retried
+        (void)directory_.remove(segment_name_);  // if this fails, create() fails and is retried
     }
     const std::size_t lost = block_records_.size();
     block_records_.clear();
@@ -242,12 +243,12 @@
 void Recorder::close() {
     while (work().has_more_work) {
     }
-    // If the last block can't be written, the gap that replaces it is tried once.
-    if (!block_records_.empty() && !write_block(block_since_)) {
-        write_block(block_since_);
+    // If the last block can't be written, writing the gap that replaces it is tried once.
+    if (!block_records_.empty() && !write_block(block_started_at_)) {
+        write_block(block_started_at_);
     }
     if (segment_) {
-        (void)segment_->sync();  // as at each segment's end
+        (void)segment_->sync();  // a failure is ignored, as in append_to_segment()
     }
     segment_.reset();
 }
--- a/src/record/recorder.hpp
+++ b/src/record/recorder.hpp
@@ -1,11 +1,11 @@
 /// Records the events that a planner receives and the orders that it decides. The core's thread
-/// hands each turn (one decision with the events before it) to a queue and goes on; a background
-/// job converts the turns, writes them in blocks, begins new segments and deletes old ones.
+/// only enqueues each turn (one decision with the events before it); a background job converts the
+/// turns, writes them in blocks, begins new segments and deletes old ones.
 ///
-/// Guards against a storage device that is slow or full: what finds no space in the queue, or can't
-/// be written, is counted, and the recording says where it has gaps. Decisions should pay no more
-/// than a copy of their events and orders. The risk is memory: the queue is bounded by the number
-/// of events and orders in it.
+/// Guards against a storage device that is slow or full: turns that don't fit in the queue, or
+/// can't be written, are counted, and the recording contains a gap record in their place. The cost
+/// for a decision is a copy of its events and orders. To bound the memory, the queue is limited by
+/// the number of events and orders in it.
 #pragma once
 
 #include <chrono>
@@ -26,47 +26,47 @@
 
 namespace micaroad::record {
 
-/// How long segments grow, and how long they are kept.
+/// When a new segment is begun, and when old segments are deleted.
 struct RetentionPolicy {
-    std::uint64_t segment_bytes = 8u << 20;  ///< a segment of this size is followed by a new one
-    std::uint64_t total_bytes = 512u << 20;  ///< over this, the oldest segments are deleted
-    Duration segment_age = std::chrono::minutes(10);  ///< a segment so old is followed by a new one
-    Duration max_age = std::chrono::hours(72);        ///< segments so old are deleted
+    std::uint64_t segment_bytes = 8u << 20;  ///< a segment ends before it exceeds this size
+    std::uint64_t total_bytes = 512u << 20;  ///< above it, the oldest segments are deleted
+    Duration segment_age = std::chrono::minutes(10);  ///< a segment of this age ends
+    Duration max_age = std::chrono::hours(72);        ///< segments of this age are deleted
 };
 
-/// The planner's observer that records. on_event() and on_decision() belong to the core's thread,
-/// work() and close() to the thread of background jobs (close() after its end); counts() may be
-/// called by any thread.
+/// The observer that records the planner's events and orders. on_event() and on_decision() are
+/// called by the core's thread, and work() by the thread of background jobs. close() is called when
+/// that thread has ended. Any thread may call counts().
 class Recorder : public Observer {
  public:
-    /// The most events and orders in the queue, of some 100 bytes each.
+    /// The maximum number of queued events and orders, which take about 100 bytes each.
     static constexpr std::size_t kMaxQueuedItems = 200'000;
-    /// A block with so many raw bytes is written.
+    /// A block is written when it has this many raw bytes.
     static constexpr std::size_t kBlockRawBytes = 64 * 1024;
-    /// A block whose first turn is so old is written.
+    /// A block is written when its first turn has this age.
     static constexpr Duration kMaxBlockAge = std::chrono::seconds(1);
 
-    /// What was recorded since the start.
+    /// Counts since the start.
     struct Counts {
-        std::uint64_t turns = 0;     ///< that entered the queue
-        std::uint64_t lost = 0;      ///< turns that did not, and records that could not be written
-        std::uint64_t bytes = 0;     ///< that were written
-        std::uint64_t segments = 0;  ///< that were begun
+        std::uint64_t turns = 0;     ///< turns enqueued
+        std::uint64_t lost = 0;      ///< turns not enqueued, and records not written
+        std::uint64_t bytes = 0;     ///< bytes written
+        std::uint64_t segments = 0;  ///< segments begun
         std::uint64_t failures = 0;  ///< blocks that could not be written
     };
 
-    /// Continues behind the segments that `directory` has, which must outlive the recorder.
-    /// `header` becomes the first record; `notify_worker`, if any, is called by the core's thread
-    /// for each turn.
+    /// Continues the recording in `directory`, which must outlive the recorder, with a new segment.
+    /// `header` becomes the first record. `notify_worker` may be empty; otherwise the core's thread
+    /// calls it for each turn.
     Recorder(Directory& directory, RetentionPolicy retention, const records::Head& header,
              std::function<void()> notify_worker);
 
     void on_event(const Event& event) override;
     void on_decision(TimePoint now, const std::vector<Order>& orders) override;
 
-    /// A portion of the background job: writes one block at most.
+    /// Does a portion of the background job: writes at most one block.
     [[nodiscard]] background::Usage work();
-    /// Writes all that is left and ends the segment. Nothing may be recorded after it.
+    /// Writes the queued turns and ends the segment. Nothing may be recorded afterwards.
     void close();
 
     [[nodiscard]] Counts counts() const;
@@ -77,7 +77,7 @@
         std::vector<Event> events;
         std::vector<Order> orders;
     };
-    // Turns that are missing behind those in the queue.
+    // Turns that are lost after those in the queue.
     struct Gap {
         std::uint64_t turns = 0;
         TimePoint first_at;
@@ -106,18 +106,19 @@
     Gap gap_;
     Counts counts_;
 
-    // The background job's own.
-    std::vector<Turn> taken_turns_;  // from the queue
-    std::size_t next_turn_ = 0;      // the first of them that is not converted
+    // Used by the background job only.
+    std::vector<Turn> taken_turns_;  // taken from the queue
+    std::size_t next_turn_ = 0;      // index in taken_turns_ of the first one that is not converted
     std::vector<std::string> block_records_;
     std::size_t block_raw_bytes_ = 0;
-    TimePoint block_since_;  // time of the block's first turn; the epoch if it has none
+    TimePoint block_started_at_;  // time of the block's first turn; the epoch if it has none
     std::uint64_t next_sequence_ = 0;
-    std::unique_ptr<Directory::File> segment_;  // null: the next block begins one
+    std::unique_ptr<Directory::File> segment_;  // null: the next block begins a segment
     std::string segment_name_;
     std::uint64_t segment_bytes_ = 0;
-    TimePoint segment_since_;
-    // When each segment began, or was first seen by this incarnation.
+    TimePoint segment_started_at_;
+    // When each segment began. For segments of an earlier incarnation: when this one first saw
+    // them.
     std::map<std::string, TimePoint> segment_starts_;
 };
 
--- a/src/record/recording_reader.cpp
+++ b/src/record/recording_reader.cpp
@@ -12,7 +12,7 @@
 namespace micaroad::record {
 namespace {
 
-constexpr std::size_t kReadBytes = 64 * 1024;  // read from a segment at a time
+constexpr std::size_t kReadBytes = 64 * 1024;  // size of one read from a segment
 
 class RecordingReader {
  public:
@@ -67,17 +67,18 @@
 
     void read_record(const std::string& segment, std::uint64_t sequence, std::string_view bytes) {
         if (last_sequence_ && sequence <= *last_sequence_) {
-            return;  // it occurs twice
+            return;  // a duplicate
         }
         records::Record record;
         if (!record.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
-            summary_.faults.push_back({.segment = segment,
-                                       .description = fmt::format("record {} is none", sequence),
-                                       .offset = 0,
-                                       .bytes = bytes.size()});
+            summary_.faults.push_back(
+                {.segment = segment,
+                 .description = fmt::format("record {} can't be parsed", sequence),
+                 .offset = 0,
+                 .bytes = bytes.size()});
             return;
         }
-        // An incarnation begins with its header, at a sequence number of its own.
+        // A jump before a header is no gap: each incarnation begins at a new sequence number.
         if (last_sequence_ && sequence != *last_sequence_ + 1 && !record.has_head()) {
             pass_gap(sequence - *last_sequence_ - 1);
         }
--- a/src/record/recording_reader.hpp
+++ b/src/record/recording_reader.hpp
@@ -1,4 +1,4 @@
-/// Reads the records of a recording's segments in order, past whatever is damaged or missing.
+/// Reads the records of a recording's segments in order, skipping damaged and missing ones.
 #pragma once
 
 #include <cstdint>
@@ -11,15 +11,15 @@
 
 namespace micaroad::record {
 
-/// Bytes of a segment that could not be read.
+/// A range of a segment that could not be read.
 struct RecordingFault {
     std::string segment;
-    std::string description;   ///< for a person to read
-    std::uint64_t offset = 0;  ///< in the segment; 0 for a record, whose place is not known
+    std::string description;   ///< human-readable
+    std::uint64_t offset = 0;  ///< in the segment; 0 for a record, whose offset is not known
     std::uint64_t bytes = 0;
 };
 
-/// What a recording holds.
+/// The contents of a recording, in numbers, and its faults.
 struct ReadSummary {
     std::uint64_t records = 0;
     std::uint64_t turns = 0;
@@ -31,9 +31,9 @@
     std::vector<RecordingFault> faults;
 };
 
-/// Calls `on_record` for each record, in the order of sequence numbers. A record that occurs twice
-/// is passed once; sequence numbers that are missing between two records of one incarnation are
-/// passed as a `Hole`.
+/// Calls `on_record` for each record, in the order of sequence numbers. A duplicate record is
+/// passed only once. Missing sequence numbers between two records of one incarnation are passed as
+/// a `Hole` record.
 ReadSummary read_recording(Directory& directory,
                            const std::function<void(const records::Record&)>& on_record);
 
--- a/src/record/replay.cpp
+++ b/src/record/replay.cpp
@@ -32,7 +32,7 @@
     return index < orders.size() ? std::optional(orders.at(index)) : std::nullopt;
 }
 
-// Both to the byte.
+// Compares the serialized orders byte by byte.
 std::optional<OrderMismatch> first_mismatch(const RecordedOrders& recorded,
                                             const RecordedOrders& replayed) {
     const int common = std::min(recorded.size(), replayed.size());
@@ -49,7 +49,7 @@
                          .replayed = order_at(replayed, index)};
 }
 
-// Takes the records of a recording in order.
+// Replays the records of a recording, which are passed to it in order.
 class Replayer {
  public:
     explicit Replayer(ReplayResult& result) : result_(result) {}
@@ -100,7 +100,7 @@
     }
 
     ReplayResult& result_;
-    std::optional<Planner> planner_;  // absent before the first header and behind a gap
+    std::optional<Planner> planner_;  // absent before the first header and after a gap
 };
 
 }  // namespace
--- a/src/record/settings_conversion.hpp
+++ b/src/record/settings_conversion.hpp
@@ -1,5 +1,5 @@
-/// Deployment settings to protobuf messages of a recording and back, without loss, and the header
-/// that begins the records of each run of a planner.
+/// Converts deployment settings to protobuf messages of a recording and back, without loss, and
+/// makes the header that begins the records of each incarnation of a planner.
 ///
 /// proto/record.proto keeps the names that it was published with. `Terms` are `DeploymentSettings`;
 /// a field that is not in this table has the same name in both:
@@ -24,7 +24,7 @@
 ///     write_life                   write_lifetime
 ///
 /// `Terms.Method` is `Method`; its `only_kind` and `only_zone` are `only_kinds` and `only_zones`.
-/// `Head` is called header in code. All functions are pure and may be called by any thread.
+/// `Head` is called header in the code. All functions are pure and may be called by any thread.
 #pragma once
 
 #include <cstdint>
@@ -36,14 +36,15 @@
 
 namespace micaroad::record {
 
-/// The schema that this build writes, and the newest that it reads.
+/// The schema that this build writes, and the newest schema that it reads.
 constexpr std::uint32_t kSchemaVersion = 1;
 
 [[nodiscard]] records::Terms to_record(const DeploymentSettings& settings);
 [[nodiscard]] DeploymentSettings settings_from_record(const records::Terms& record);
 
-/// The header of one run of a planner: what a replay needs to make the same planner again.
-/// `build` is the version of the program, `started_at` the time of the planner's clock.
+/// Makes the header of one incarnation of a planner, which has all that a replay needs to create an
+/// identical planner. `build` is the version of the program, and `started_at` is a time of the
+/// planner's clock.
 [[nodiscard]] records::Head make_header(const DeploymentSettings& settings,
                                         const SymbolTable& names, std::uint64_t seed,
                                         const std::string& planner, const std::string& build,
--- a/tests/golden_stored_test.cpp
+++ b/tests/golden_stored_test.cpp
@@ -302,7 +302,7 @@
     CHECK(record::describe(*result.fault) ==
           "order 4: recorded SET_LINE table 1 s-1 0.25, now SET_LINE table 1 s-1 0");
     REQUIRE(result.summary.faults.size() == 1);
-    CHECK(result.summary.faults[0].description == "a block that was cut");
+    CHECK(result.summary.faults[0].description == "truncated block");
 }
 
 TEST_CASE("golden: the stored operator's file is written back to the same bytes") {
