--- a/src/daemon/start_configuration.cpp
+++ b/src/daemon/start_configuration.cpp
@@ -211,7 +211,7 @@
     content << file.rdbuf();
     std::string text = std::move(content).str();
     if (!file || text.empty()) {
-        throw ConfigurationError("LB_CONFIG", std::string("LB_CONFIG: can't read ") + path);
+        throw ConfigurationError("LB_CONFIG", std::string("LB_CONFIG: ") + path + " can't be read");
     }
     return text;
 }
