--- a/src/planner/endpoint_registry.cpp
+++ b/src/planner/endpoint_registry.cpp
@@ -64,7 +64,7 @@
     const bool complete = is_complete(list);
     if (is_of_other_deployment(list)) {
         log_.error(
-            "discovery: list rejected version={} reason=\"no server of our zones and kinds\"",
+            "discovery: list rejected version={} reason=\"no server of a known zone and kind\"",
             message.version);
         return complete ? ListResult::ignored : ListResult::complete_list_needed;
     }
