--- a/src/planner/endpoint_registry.hpp
+++ b/src/planner/endpoint_registry.hpp
@@ -29,9 +29,9 @@
 
 /// Holds the endpoints of the newest list, its version, and the recently removed endpoints.
 ///
-/// An endpoint is known (listed) or removed. A removal is remembered for kRemovalRetention: until
-/// then, a complete list of an older version does not restore the endpoint unless its process has
-/// started after the removal. Later nothing about the endpoint is kept.
+/// An endpoint is known (listed) or removed. A removal is remembered for kRemovalRetention. During
+/// that time, a complete list of an older version does not restore the endpoint unless its process
+/// has started after the removal. Afterwards nothing about the endpoint is kept.
 ///
 /// Not thread-safe; used by the core's thread. Does no I/O except logging, and never blocks.
 class EndpointRegistry {
