--- a/src/daemon/limits.cpp
+++ b/src/daemon/limits.cpp
@@ -32,8 +32,8 @@
                   std::size_t zones) {
     const std::size_t memory_bytes = std::max(memory_mb, kMinMemoryMb) * 1024 * 1024;
     Limits limits{};
-    limits.update_buffers = memory_bytes / kUpdateBufferShare / protocol::BufferPool::kBlock;
-    limits.line_buffers = memory_bytes / kLineBufferShare / protocol::BufferPool::kBlock;
+    limits.update_buffers = memory_bytes / kUpdateBufferShare / protocol::BufferPool::kBlockBytes;
+    limits.line_buffers = memory_bytes / kLineBufferShare / protocol::BufferPool::kBlockBytes;
     limits.max_list_bytes = std::max(memory_bytes / kListShare, kMinListBytes);
     limits.max_connections =
         std::min(connections_by_memory(memory_bytes), connections_by_sockets(sockets));
--- a/src/daemon/planner_process.cpp
+++ b/src/daemon/planner_process.cpp
@@ -186,7 +186,7 @@
 }
 
 void PlannerProcess::check_health(const ServerId& server, const std::string& address) {
-    health_checks_.ask(server, address);
+    health_checks_.start_check(server, address);
 }
 
 void PlannerProcess::fetch_list() {
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -180,7 +180,7 @@
     }
     role_ = role;
     // At once: a long line may come right behind the joining message.
-    line_reader_.allow(protocol::LineReader::kLongest);
+    line_reader_.allow(protocol::LineReader::kMaxLineBytes);
     return true;
 }
 
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -45,9 +45,9 @@
 /// Threads: on_readable(), on_writable(), on_closed() and deadline() are called by the event loop's
 /// thread only. send(), pending_bytes(), close(), close_if_idle() and role() may be called by any.
 ///
-/// Bounds: a line of kUnidentifiedLine or LineReader::kLongest bytes, kMaxPendingBytes of unsent
-/// bytes (and one message more), kMaxAcknowledgements messages of a proxy that the core has not
-/// taken, and as many reports of a collector as Inbox allows.
+/// Bounds: a line of kUnidentifiedLine or LineReader::kMaxLineBytes bytes, kMaxPendingBytes of
+/// unsent bytes (and one message more), kMaxAcknowledgements messages of a proxy that the core has
+/// not taken, and as many reports of a collector as Inbox allows.
 ///
 /// States, from left to right, and what leads from one to the next:
 ///
--- a/src/net/health_check_runner.cpp
+++ b/src/net/health_check_runner.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-void HealthCheckRunner::ask(const ServerId& server, const std::string& address) {
+void HealthCheckRunner::start_check(const ServerId& server, const std::string& address) {
     const TimePoint begun = clock_();
     const auto complete = [this, server, begun](bool healthy) {
         inbox_.put(core_event::HealthCheckCompleted{{server, healthy, clock_() - begun}});
--- a/src/net/health_check_runner.hpp
+++ b/src/net/health_check_runner.hpp
@@ -34,7 +34,7 @@
 
     /// Starts a check. It counts as failed at once if the address cannot be parsed or kMaxChecks
     /// are under way.
-    void ask(const ServerId& server, const std::string& address);
+    void start_check(const ServerId& server, const std::string& address);
     /// Breaks off all checks, without waiting for them.
     void begin_stop() { sockets_.stop(); }
     /// begin_stop(), then waits.
--- a/src/protocol/buffer_pool.cpp
+++ b/src/protocol/buffer_pool.cpp
@@ -8,7 +8,7 @@
 // Copies what fits of `bytes` into the piece, and removes it from `bytes`.
 void fill(BufferChain::Piece& piece, std::string_view& bytes) {
     char* const free_space = piece.block->data() + piece.size;
-    const std::size_t copied = bytes.copy(free_space, BufferPool::kBlock - piece.size);
+    const std::size_t copied = bytes.copy(free_space, BufferPool::kBlockBytes - piece.size);
     piece.size += copied;
     bytes.remove_prefix(copied);
 }
@@ -35,9 +35,10 @@
 }
 
 bool BufferChain::append(BufferPool& pool, std::string_view bytes) {
-    const std::size_t free_bytes = pieces_.empty() ? 0 : BufferPool::kBlock - pieces_.back().size;
+    const std::size_t free_bytes =
+        pieces_.empty() ? 0 : BufferPool::kBlockBytes - pieces_.back().size;
     std::vector<BufferPool::Lease> added;
-    for (std::size_t space = free_bytes; space < bytes.size(); space += BufferPool::kBlock) {
+    for (std::size_t space = free_bytes; space < bytes.size(); space += BufferPool::kBlockBytes) {
         added.push_back(pool.take());
         if (!added.back()) {
             return false;
--- a/src/protocol/buffer_pool.hpp
+++ b/src/protocol/buffer_pool.hpp
@@ -13,13 +13,13 @@
 
 namespace micaroad::protocol {
 
-/// Hands out blocks of kBlock bytes, at most as many as the constructor was given. Blocks are made
-/// when first needed and reused afterwards. Any thread may call it.
+/// Hands out blocks of kBlockBytes bytes, at most as many as the constructor was given. Blocks are
+/// made when first needed and reused afterwards. Any thread may call it.
 class BufferPool {
  public:
     /// Bytes of a block.
-    static constexpr std::size_t kBlock = 4 * 1024;
-    using Block = std::array<char, kBlock>;
+    static constexpr std::size_t kBlockBytes = 4 * 1024;
+    using Block = std::array<char, kBlockBytes>;
     /// Returns a block to its pool.
     struct Return {
         BufferPool* pool = nullptr;
--- a/src/protocol/endpoint_list.cpp
+++ b/src/protocol/endpoint_list.cpp
@@ -166,7 +166,7 @@
 }
 
 bool EndpointListParser::take_entry() {
-    size_ += kLeastEntry - std::min(kLeastEntry, entry_.size());
+    size_ += kMinEntryBytes - std::min(kMinEntryBytes, entry_.size());
     const std::optional<EndpointEntry> entry = parse_endpoint_entry(entry_);
     if (!entry) {
         return false;
--- a/src/protocol/endpoint_list.hpp
+++ b/src/protocol/endpoint_list.hpp
@@ -42,9 +42,10 @@
  public:
     /// Bytes that an entry counts at least against the bound: what is kept of it takes memory,
     /// however short its text.
-    static constexpr std::size_t kLeastEntry = 128;
+    static constexpr std::size_t kMinEntryBytes = 128;
 
-    /// An object may have `most_bytes`, counted as its text comes; short entries count kLeastEntry.
+    /// An object may have `most_bytes`, counted as its text comes; short entries count
+    /// kMinEntryBytes.
     EndpointListParser(SymbolTable& names, EndpointListFraming framing, std::size_t most_bytes)
         : names_(names), framing_(framing), most_bytes_(most_bytes) {}
 
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -81,7 +81,7 @@
     const bool ended = size < bytes.size();
     line_.append(bytes.substr(0, size));
     bytes.remove_prefix(ended ? size + 1 : size);
-    if (line_.size() > kLongestLine) {
+    if (line_.size() > kMaxLineBytes) {
         state_ = State::broken;
         return;
     }
--- a/src/protocol/http.hpp
+++ b/src/protocol/http.hpp
@@ -33,7 +33,7 @@
 class HttpReader {
  public:
     /// Bytes of a status line, header, chunk size or trailer, at most.
-    static constexpr std::size_t kLongestLine = 8 * 1024;
+    static constexpr std::size_t kMaxLineBytes = 8 * 1024;
     /// Headers and trailers of a response together, at most.
     static constexpr std::size_t kMostHeaders = 64;
 
--- a/src/protocol/line_reader.cpp
+++ b/src/protocol/line_reader.cpp
@@ -14,7 +14,7 @@
             return "a NUL byte";
         case LineFault::no_buffer:
             return "no buffer left for its line";
-        case LineFault::not_taken:
+        case LineFault::rejected:
             return "a message that can't be used";
     }
     return "?";
--- a/src/protocol/line_reader.hpp
+++ b/src/protocol/line_reader.hpp
@@ -17,7 +17,7 @@
     no_carriage_return,  ///< LF without CR before it
     nul_byte,
     no_buffer,  ///< the pool has no block left for the start of a line
-    not_taken,  ///< the callback rejected a line
+    rejected,   ///< the callback rejected a line
 };
 
 /// The fault in words, for a log line.
@@ -28,10 +28,10 @@
 class LineReader {
  public:
     /// The protocol's bound of a line in bytes, CRLF included.
-    static constexpr std::size_t kLongest = 1024 * 1024;
+    static constexpr std::size_t kMaxLineBytes = 1024 * 1024;
 
     /// The pool outlives the reader. `longest` bounds a line in bytes, CRLF included.
-    explicit LineReader(BufferPool& pool, std::size_t longest = kLongest)
+    explicit LineReader(BufferPool& pool, std::size_t longest = kMaxLineBytes)
         : pool_(pool), longest_(longest) {}
 
     /// Changes the bound of a line, from the next piece of bytes on. The callback of feed() may
@@ -58,7 +58,7 @@
             }
             line.remove_suffix(kLineEnd.size());
             if (!on_line(line)) {
-                return LineFault::not_taken;
+                return LineFault::rejected;
             }
             // Cleared after the call, so that all copies together are no larger than the pool.
             held_.clear();
--- a/src/protocol/push_writer.hpp
+++ b/src/protocol/push_writer.hpp
@@ -13,8 +13,8 @@
 
 /// The update as one message of one or more parts, each a line of at most `longest` bytes, CRLF
 /// included. Absent if it needs more parts than a message may have.
-[[nodiscard]] std::optional<std::string> format_update(const ProxyUpdate& update,
-                                                       const SymbolTable& names,
-                                                       std::size_t longest = LineReader::kLongest);
+[[nodiscard]] std::optional<std::string> format_update(
+    const ProxyUpdate& update, const SymbolTable& names,
+    std::size_t longest = LineReader::kMaxLineBytes);
 
 }  // namespace micaroad::protocol
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -249,8 +249,8 @@
     CHECK(small.max_connections - small.max_unidentified >= 156);
     const std::size_t buffers =
         small.max_connections + small.line_buffers * 2 + small.update_buffers;
-    CHECK(small.max_connections * (Limits::kConnectionBytes - protocol::BufferPool::kBlock) +
-              buffers * protocol::BufferPool::kBlock + Limits::kProgramBytes <=
+    CHECK(small.max_connections * (Limits::kConnectionBytes - protocol::BufferPool::kBlockBytes) +
+              buffers * protocol::BufferPool::kBlockBytes + Limits::kProgramBytes <=
           std::size_t{32} << 20);
     const Limits wide = Limits::of(192, 1024, 400, 3);
     CHECK((wide.sufficient && wide.max_connections > 500));
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -577,7 +577,7 @@
     mute.begin();
     HealthCheckRunner health_checks(pool, inbox, clock_now(), &sync);
     sync.hold(point);
-    health_checks.ask({"s-1"}, text_of(mute.listener.local()));
+    health_checks.start_check({"s-1"}, text_of(mute.listener.local()));
     sync.await(point);
     health_checks.begin_stop();
     const auto begun = steady_clock::now();
--- a/tests/large_list_test.cpp
+++ b/tests/large_list_test.cpp
@@ -174,9 +174,9 @@
     for (int i = 1; i < kMany; ++i) {
         text += R"(,{"id":"x","state":"removed"})";
     }
-    REQUIRE(text.size() < kMany * EndpointListParser::kLeastEntry / 2);
+    REQUIRE(text.size() < kMany * EndpointListParser::kMinEntryBytes / 2);
     EndpointListParser short_entries(names, EndpointListFraming::line,
-                                     kMany * EndpointListParser::kLeastEntry / 2);
+                                     kMany * EndpointListParser::kMinEntryBytes / 2);
     CHECK(read_in_pieces(short_entries, text, {4'096}).fault == EndpointListError::too_long);
 }
 
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -322,10 +322,10 @@
     server.begin();
     HealthCheckRunner health_checks(pool, inbox, clock_now());
     for (const bool ok : {true, false, false}) {
-        health_checks.ask({"s-1"}, text_of(server.listener.local()));
+        health_checks.start_check({"s-1"}, text_of(server.listener.local()));
         CHECK(next<core_event::HealthCheckCompleted>().result.healthy == ok);
     }
-    health_checks.ask({"s-1"}, "no address");
+    health_checks.start_check({"s-1"}, "no address");
     CHECK(!next<core_event::HealthCheckCompleted>().result.healthy);
     CHECK(server.all_asked().at(0) == "GET /ping HTTP/1.1");
 }
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -85,7 +85,7 @@
 
 TEST_CASE("a line that spans buffers is one line; one over 1 MiB is a fault") {
     BufferPool pool(800);
-    const std::string longest(LineReader::kLongest - 2, 'x');
+    const std::string longest(LineReader::kMaxLineBytes - 2, 'x');
     LineReader reader(pool);
     const auto [lines, fault] = lines_of(reader, {longest, "\r\n"});
     CHECK(fault == LineFault::none);
@@ -105,10 +105,10 @@
     };
     CHECK(fault_of("probe\n") == LineFault::no_carriage_return);
     CHECK(fault_of(std::string_view("pro\0be\r\n", 8)) == LineFault::nul_byte);
-    CHECK(fault_of(std::string(3 * BufferPool::kBlock, 'x')) == LineFault::no_buffer);
+    CHECK(fault_of(std::string(3 * BufferPool::kBlockBytes, 'x')) == LineFault::no_buffer);
     LineReader reader(pool);
     const auto refuse = [](std::string_view) { return false; };
-    CHECK(reader.feed("probe\r\nprobe\r\n", refuse) == LineFault::not_taken);
+    CHECK(reader.feed("probe\r\nprobe\r\n", refuse) == LineFault::rejected);
 }
 
 TEST_CASE("a pool gives what it has, takes it back, and no more") {
@@ -121,9 +121,9 @@
     one.reset();
     CHECK(pool.take().get() == first);
     BufferChain chain;
-    CHECK(chain.append(pool, std::string(BufferPool::kBlock, 'a')));
+    CHECK(chain.append(pool, std::string(BufferPool::kBlockBytes, 'a')));
     CHECK(!chain.append(pool, "b"));
-    CHECK(chain.size() == BufferPool::kBlock);
+    CHECK(chain.size() == BufferPool::kBlockBytes);
 }
 
 TEST_CASE("each kind of message is read") {
@@ -236,7 +236,7 @@
     body_of(cut, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel", 9);
     CHECK(!cut.end());
     HttpReader endless;
-    CHECK(!endless.feed("HTTP/1.1 200 " + std::string(HttpReader::kLongestLine, 'x'),
+    CHECK(!endless.feed("HTTP/1.1 200 " + std::string(HttpReader::kMaxLineBytes, 'x'),
                         [](std::string_view) {}));
 }
 
--- a/tests/short_days_test.cpp
+++ b/tests/short_days_test.cpp
@@ -216,7 +216,7 @@
     REQUIRE(server.is_open());
     HealthCheckRunner health_checks(pool, inbox, clock_now(), &sync);
     sync.hold(SyncPoint::health_check_connected);
-    health_checks.ask({"s-1"}, text_of(server.local()));
+    health_checks.start_check({"s-1"}, text_of(server.local()));
     sync.await(SyncPoint::health_check_connected);
     reset(Socket(::accept(server.fd(), nullptr, nullptr)));
     sync.let_go(SyncPoint::health_check_connected);
