--- a/src/command/planner_service.cpp
+++ b/src/command/planner_service.cpp
@@ -38,7 +38,7 @@
     start.settings = registry.settings(base_settings());
     start.names = registry.names();
     start.bounds.proxies = start.settings.proxy_count;
-    start.bounds.longest_window =
+    start.bounds.max_window =
         std::max(kReportIntervalsInWindow * start.settings.report_interval, kLeastLongestWindow);
     routing::View view;
     view.now = now;
--- a/src/daemon/start_configuration.cpp
+++ b/src/daemon/start_configuration.cpp
@@ -110,11 +110,10 @@
 protocol::Bounds parse_bounds(const json& settings_json, const DeploymentSettings& settings) {
     protocol::Bounds bounds;
     bounds.proxies = settings.proxy_count;
-    bounds.longest_window =
-        std::max(kMaxReportIntervals * settings.report_interval, kMinLongestWindow);
+    bounds.max_window = std::max(kMaxReportIntervals * settings.report_interval, kMinLongestWindow);
     const Duration deadline = longest_deadline(settings_json);
     if (deadline > Duration{}) {
-        bounds.longest_mean = 2 * deadline;
+        bounds.max_mean_latency = 2 * deadline;
     }
     return bounds;
 }
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -180,7 +180,7 @@
     }
     role_ = role;
     // At once: a long line may come right behind the joining message.
-    line_reader_.allow(protocol::LineReader::kMaxLineBytes);
+    line_reader_.set_max_line_bytes(protocol::LineReader::kMaxLineBytes);
     return true;
 }
 
--- a/src/protocol/buffer_pool.cpp
+++ b/src/protocol/buffer_pool.cpp
@@ -17,21 +17,21 @@
 
 BufferPool::Lease BufferPool::take() {
     const std::lock_guard lock(mutex_);
-    if (idle_.empty()) {
-        if (made_ == max_blocks_) {
+    if (free_blocks_.empty()) {
+        if (allocated_blocks_ == max_blocks_) {
             return Lease{nullptr, Return{this}};
         }
-        idle_.push_back(std::make_unique<Block>());
-        ++made_;
+        free_blocks_.push_back(std::make_unique<Block>());
+        ++allocated_blocks_;
     }
-    Lease lease{idle_.back().release(), Return{this}};
-    idle_.pop_back();
+    Lease lease{free_blocks_.back().release(), Return{this}};
+    free_blocks_.pop_back();
     return lease;
 }
 
 void BufferPool::put(Block* block) {
     const std::lock_guard lock(mutex_);
-    idle_.emplace_back(block);
+    free_blocks_.emplace_back(block);
 }
 
 bool BufferChain::append(BufferPool& pool, std::string_view bytes) {
--- a/src/protocol/buffer_pool.hpp
+++ b/src/protocol/buffer_pool.hpp
@@ -39,9 +39,9 @@
     void put(Block* block);
 
     std::mutex mutex_;
-    std::vector<std::unique_ptr<Block>> idle_;
+    std::vector<std::unique_ptr<Block>> free_blocks_;
     const std::size_t max_blocks_;
-    std::size_t made_ = 0;
+    std::size_t allocated_blocks_ = 0;
 };
 
 /// A queue of bytes in blocks of a pool. Not synchronized.
--- a/src/protocol/endpoint_entry.cpp
+++ b/src/protocol/endpoint_entry.cpp
@@ -9,8 +9,8 @@
 namespace micaroad::protocol {
 namespace {
 
-constexpr double kLatestStartMs = 1e14;
-constexpr double kLargestCell = 1e9;
+constexpr double kMaxStartMs = 1e14;
+constexpr double kMaxCell = 1e9;
 
 // Discovery's keys, each with our term for it.
 struct TextKey {
@@ -48,7 +48,7 @@
     const auto usable = [](char character) {
         return character > ' ' && character < 0x7F && character != ',' && character != ':';
     };
-    return !id.empty() && id.size() <= kLongestEndpointId &&
+    return !id.empty() && id.size() <= kMaxEndpointIdBytes &&
            std::all_of(id.begin(), id.end(), usable);
 }
 
@@ -142,10 +142,10 @@
     if (entry.has_value_of_wrong_type) {
         return tl::unexpected(EndpointRejection::wrong_type);
     }
-    if (entry.started_ms < 0 || entry.started_ms > kLatestStartMs) {
+    if (entry.started_ms < 0 || entry.started_ms > kMaxStartMs) {
         return tl::unexpected(EndpointRejection::bad_start_time);
     }
-    if (std::abs(entry.cell) > kLargestCell || entry.weight < 0) {
+    if (std::abs(entry.cell) > kMaxCell || entry.weight < 0) {
         return tl::unexpected(EndpointRejection::bad_number);
     }
     return state->phase;
--- a/src/protocol/endpoint_entry.hpp
+++ b/src/protocol/endpoint_entry.hpp
@@ -13,7 +13,7 @@
 namespace micaroad::protocol {
 
 /// Bytes of an endpoint's name, at most.
-inline constexpr std::size_t kLongestEndpointId = 256;
+inline constexpr std::size_t kMaxEndpointIdBytes = 256;
 
 /// Why an entry can't be used.
 enum class EndpointRejection {
--- a/src/protocol/endpoint_list.cpp
+++ b/src/protocol/endpoint_list.cpp
@@ -10,11 +10,11 @@
 namespace micaroad::protocol {
 namespace {
 
-constexpr std::size_t kMostDropped = 4'096;
+constexpr std::size_t kMaxDropped = 4'096;
 // Zones or kinds; a list that names more is given the place behind the last for all others.
-constexpr std::size_t kMostNames = 4'096;
+constexpr std::size_t kMaxNames = 4'096;
 // Whole numbers up to this are exact as a double.
-constexpr double kLargestVersion = 9e15;
+constexpr double kMaxVersion = 9e15;
 constexpr double kDurationTicksPerMillisecond = 10;
 static_assert(std::chrono::milliseconds{1} == Duration{10});
 
@@ -31,14 +31,14 @@
 // The place of `name` in `names`, to which it is added if it is new.
 int index_of(std::vector<std::string>& names, const std::string& name) {
     const auto index = std::find(names.begin(), names.end(), name) - names.begin();
-    if (index == std::ssize(names) && names.size() < kMostNames) {
+    if (index == std::ssize(names) && names.size() < kMaxNames) {
         names.push_back(name);
     }
     return static_cast<int>(index);
 }
 
 // Sorts by endpoint, each once; of several entries for one the last counts.
-void keep_last_of_each(std::vector<ListedEndpoint>& endpoints) {
+void keep_last_entry_of_each(std::vector<ListedEndpoint>& endpoints) {
     const auto before = [](const ListedEndpoint& one, const ListedEndpoint& other) {
         return one.server < other.server;
     };
@@ -51,48 +51,48 @@
 }
 
 // What a list's object says besides its entries.
-struct Frame {
+struct Envelope {
     std::int64_t version = 0;
     bool has_version = false;
     bool complete = false;
     bool has_servers = false;
 };
 
-void read_version(JsonCursor& json, Frame& frame) {
+void read_version(JsonCursor& json, Envelope& envelope) {
     const double version = json.number();
-    if (version < 0 || version > kLargestVersion) {
+    if (version < 0 || version > kMaxVersion) {
         json.fail();
         return;
     }
-    frame.version = static_cast<std::int64_t>(version);
-    frame.has_version = true;
+    envelope.version = static_cast<std::int64_t>(version);
+    envelope.has_version = true;
 }
 
 // The entries have been taken out: each has to be `{}`.
-void read_servers(JsonCursor& json, Frame& frame) {
-    frame.has_servers = true;
+void read_servers(JsonCursor& json, Envelope& envelope) {
+    envelope.has_servers = true;
     json.array([&json] { json.object([&json](const std::string&) { json.fail(); }); });
 }
 
 // Absent if `text` is not the object of a list.
-std::optional<Frame> parse_frame(std::string_view text) {
-    Frame frame;
+std::optional<Envelope> parse_envelope(std::string_view text) {
+    Envelope envelope;
     JsonCursor json(text);
     json.object([&](const std::string& key) {
         if (key == kVersionKey) {
-            read_version(json, frame);
+            read_version(json, envelope);
         } else if (key == kCompleteKey) {
-            frame.complete = json.boolean();
+            envelope.complete = json.boolean();
         } else if (key == kServersKey) {
-            read_servers(json, frame);
+            read_servers(json, envelope);
         } else {
             json.skip();
         }
     });
-    if (!json.end() || !frame.has_version || !frame.has_servers) {
+    if (!json.end() || !envelope.has_version || !envelope.has_servers) {
         return std::nullopt;
     }
-    return frame;
+    return envelope;
 }
 
 std::string_view without_trailing_blanks(std::string_view text) {
@@ -103,12 +103,12 @@
 }  // namespace
 
 bool EndpointListParser::is_blank() const {
-    return entry_.empty() && frame_.find_first_not_of(" \t\r") == std::string::npos;
+    return entry_.empty() && envelope_.find_first_not_of(" \t\r") == std::string::npos;
 }
 
 // Whether the `[` that comes now, in the list's object, opens the array of its entries.
 bool EndpointListParser::opens_servers() const {
-    std::string_view before = without_trailing_blanks(frame_);
+    std::string_view before = without_trailing_blanks(envelope_);
     if (!before.ends_with(':')) {
         return false;
     }
@@ -124,22 +124,22 @@
 }
 
 void EndpointListParser::track(char character) {
-    switch (place_) {
-        case Place::escape:
-            place_ = Place::string;
+    switch (json_state_) {
+        case JsonState::escape:
+            json_state_ = JsonState::string;
             return;
-        case Place::string:
+        case JsonState::string:
             if (character == '"') {
-                place_ = Place::outside;
+                json_state_ = JsonState::outside;
             } else if (character == '\\') {
-                place_ = Place::escape;
+                json_state_ = JsonState::escape;
             }
             return;
-        case Place::outside:
+        case JsonState::outside:
             break;
     }
     if (character == '"') {
-        place_ = Place::string;
+        json_state_ = JsonState::string;
     } else if (character == '{' || character == '[') {
         ++depth_;
     } else if (character == '}' || character == ']') {
@@ -149,7 +149,7 @@
 
 bool EndpointListParser::add(char character) {
     ++size_;
-    if (character == '[' && depth_ == kListDepth && place_ == Place::outside) {
+    if (character == '[' && depth_ == kListDepth && json_state_ == JsonState::outside) {
         in_servers_ = opens_servers();
     }
     const int depth_before = depth_;
@@ -158,7 +158,7 @@
         entry_ += character;
         return depth_ > kServersDepth || take_entry();
     }
-    frame_ += character;
+    envelope_ += character;
     if (depth_ <= kListDepth) {
         in_servers_ = false;
     }
@@ -172,17 +172,17 @@
         return false;
     }
     entry_.clear();
-    frame_ += "{}";
+    envelope_ += "{}";
     const tl::expected<EndpointPhase, EndpointRejection> phase = phase_of(*entry);
     if (phase) {
-        keep(*entry, *phase);
+        add_endpoint(*entry, *phase);
     } else {
-        drop(*entry, phase.error());
+        drop_entry(*entry, phase.error());
     }
     return true;
 }
 
-void EndpointListParser::keep(const EndpointEntry& entry, EndpointPhase phase) {
+void EndpointListParser::add_endpoint(const EndpointEntry& entry, EndpointPhase phase) {
     ListedEndpoint& endpoint = message_.list.servers.emplace_back();
     endpoint.server = {entry.id};
     endpoint.zone = {index_of(names_.zones, entry.zone)};
@@ -197,9 +197,9 @@
     message_.addresses[endpoint.server] = entry.address;
 }
 
-void EndpointListParser::drop(const EndpointEntry& entry, EndpointRejection rejection) {
-    if (message_.dropped.size() < kMostDropped) {
-        message_.dropped[ServerId{entry.id.substr(0, kLongestEndpointId)}] = rejection;
+void EndpointListParser::drop_entry(const EndpointEntry& entry, EndpointRejection rejection) {
+    if (message_.dropped.size() < kMaxDropped) {
+        message_.dropped[ServerId{entry.id.substr(0, kMaxEndpointIdBytes)}] = rejection;
     }
 }
 
@@ -207,25 +207,25 @@
     if (!entry_.empty()) {
         return std::nullopt;
     }
-    const std::optional<Frame> frame = parse_frame(frame_);
-    if (!frame) {
+    const std::optional<Envelope> envelope = parse_envelope(envelope_);
+    if (!envelope) {
         return std::nullopt;
     }
     using Form = event::EndpointListUpdate::Form;
-    message_.version = frame->version;
-    message_.list.form = frame->complete ? Form::complete : Form::incremental;
-    keep_last_of_each(message_.list.servers);
+    message_.version = envelope->version;
+    message_.list.form = envelope->complete ? Form::complete : Form::incremental;
+    keep_last_entry_of_each(message_.list.servers);
     return std::move(message_);
 }
 
-void EndpointListParser::start_over() {
+void EndpointListParser::reset() {
     // Assigned, not cleared, so that a large list's memory is freed.
-    frame_ = {};
+    envelope_ = {};
     entry_ = {};
     message_ = {};
     size_ = 0;
     depth_ = 0;
-    place_ = Place::outside;
+    json_state_ = JsonState::outside;
     in_servers_ = false;
 }
 
--- a/src/protocol/endpoint_list.hpp
+++ b/src/protocol/endpoint_list.hpp
@@ -44,10 +44,10 @@
     /// however short its text.
     static constexpr std::size_t kMinEntryBytes = 128;
 
-    /// An object may have `most_bytes`, counted as its text comes; short entries count
+    /// An object may have `max_bytes`, counted as its text comes; short entries count
     /// kMinEntryBytes.
-    EndpointListParser(SymbolTable& names, EndpointListFraming framing, std::size_t most_bytes)
-        : names_(names), framing_(framing), most_bytes_(most_bytes) {}
+    EndpointListParser(SymbolTable& names, EndpointListFraming framing, std::size_t max_bytes)
+        : names_(names), framing_(framing), max_bytes_(max_bytes) {}
 
     /// Calls on_list(std::optional<EndpointListMessage>) for each object, and without a list for
     /// each empty line. After an error the body can't be read any further.
@@ -58,7 +58,7 @@
             if (!readable) {
                 return EndpointListError::malformed;
             }
-            if (size_ > most_bytes_) {
+            if (size_ > max_bytes_) {
                 return EndpointListError::too_long;
             }
         }
@@ -80,7 +80,7 @@
     //     outside --'"'--> string --'\'--> escape
     //        ^              |  ^             |
     //        '-----'"'------'  '--any other--'
-    enum class Place { outside, string, escape };
+    enum class JsonState { outside, string, escape };
 
     template <class OnList>
     bool end_object(OnList on_list) {
@@ -90,7 +90,7 @@
             list = take_list();
         }
         const bool readable = blank || list;
-        start_over();
+        reset();
         if (readable) {
             on_list(std::move(list));
         }
@@ -105,20 +105,20 @@
     void track(char character);
     [[nodiscard]] bool opens_servers() const;
     [[nodiscard]] bool take_entry();
-    void keep(const EndpointEntry& entry, EndpointPhase phase);
-    void drop(const EndpointEntry& entry, EndpointRejection rejection);
+    void add_endpoint(const EndpointEntry& entry, EndpointPhase phase);
+    void drop_entry(const EndpointEntry& entry, EndpointRejection rejection);
     // Absent if what has come is no list.
     [[nodiscard]] std::optional<EndpointListMessage> take_list();
-    void start_over();
+    void reset();
 
     SymbolTable& names_;
     const EndpointListFraming framing_;
-    const std::size_t most_bytes_;
-    std::string frame_;  // the object without its entries: `{}` stands for each
-    std::string entry_;  // the unfinished entry
+    const std::size_t max_bytes_;
+    std::string envelope_;  // the object without its entries: `{}` stands for each
+    std::string entry_;     // the unfinished entry
     std::size_t size_ = 0;
     int depth_ = 0;  // brackets that are open
-    Place place_ = Place::outside;
+    JsonState json_state_ = JsonState::outside;
     bool in_servers_ = false;
     EndpointListMessage message_;
 };
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // The largest size of a body or chunk in bytes: far from where arithmetic on sizes would overflow.
-constexpr std::uint64_t kLargestSize = std::uint64_t{1} << 40;
+constexpr std::uint64_t kMaxSize = std::uint64_t{1} << 40;
 
 // "HTTP/1.1 200 OK": the status stands between these places.
 constexpr std::string_view kVersionPrefix = "HTTP/1.";
@@ -42,7 +42,7 @@
 }
 
 bool parse_size(std::string_view text, int base, std::uint64_t& value) {
-    return parse_integer(text, value, base) && value <= kLargestSize;
+    return parse_integer(text, value, base) && value <= kMaxSize;
 }
 
 }  // namespace
@@ -65,7 +65,7 @@
     return state_ == State::done;
 }
 
-std::string_view HttpReader::cut_body(std::string_view& bytes) {
+std::string_view HttpReader::consume_body(std::string_view& bytes) {
     const std::uint64_t size = std::min<std::uint64_t>(bytes_left_, bytes.size());
     const std::string_view piece = bytes.substr(0, static_cast<std::size_t>(size));
     bytes.remove_prefix(piece.size());
@@ -142,7 +142,7 @@
         return;
     }
     ++headers_;
-    if (headers_ > kMostHeaders) {
+    if (headers_ > kMaxHeaders) {
         state_ = State::broken;
         return;
     }
@@ -205,7 +205,7 @@
         return;
     }
     ++headers_;
-    if (headers_ > kMostHeaders) {
+    if (headers_ > kMaxHeaders) {
         state_ = State::broken;
     }
 }
--- a/src/protocol/http.hpp
+++ b/src/protocol/http.hpp
@@ -35,7 +35,7 @@
     /// Bytes of a status line, header, chunk size or trailer, at most.
     static constexpr std::size_t kMaxLineBytes = 8 * 1024;
     /// Headers and trailers of a response together, at most.
-    static constexpr std::size_t kMostHeaders = 64;
+    static constexpr std::size_t kMaxHeaders = 64;
 
     /// Calls on_body(std::string_view) with each piece of the body. Bytes behind the response are
     /// passed over. Returns false once the response can't be read.
@@ -43,7 +43,7 @@
     bool feed(std::string_view bytes, OnBody on_body) {
         while (!bytes.empty() && state_ != State::done && state_ != State::broken) {
             if (state_ == State::data || state_ == State::chunk) {
-                on_body(cut_body(bytes));
+                on_body(consume_body(bytes));
             } else {
                 feed_line(bytes);
             }
@@ -68,7 +68,7 @@
     enum class State { status, header, broken, data, chunk_size, chunk, chunk_end, trailer, done };
 
     // Removes from `bytes` what is of the body or of the chunk.
-    std::string_view cut_body(std::string_view& bytes);
+    std::string_view consume_body(std::string_view& bytes);
     // Removes from `bytes` what is of the line, and reads it once it has ended.
     void feed_line(std::string_view& bytes);
     void read_line(std::string_view line);
--- a/src/protocol/json_cursor.cpp
+++ b/src/protocol/json_cursor.cpp
@@ -12,7 +12,7 @@
 constexpr unsigned kHighSurrogates = 0xD800;
 constexpr unsigned kLowSurrogates = 0xDC00;
 constexpr unsigned kSurrogatesEnd = 0xE000;
-constexpr unsigned kFirstOfPairs = 0x10000;
+constexpr unsigned kFirstSupplementary = 0x10000;
 
 constexpr unsigned char kFirstPrintable = 0x20;
 
@@ -39,7 +39,7 @@
     } else if (code < 0x800) {
         text += static_cast<char>(0xC0 | code >> 6);
         text += continuation_byte(code, 0);
-    } else if (code < kFirstOfPairs) {
+    } else if (code < kFirstSupplementary) {
         text += static_cast<char>(0xE0 | code >> 12);
         text += continuation_byte(code, 6);
         text += continuation_byte(code, 0);
@@ -55,18 +55,18 @@
 
 void JsonCursor::fail() {
     failed_ = true;
-    at_ = text_.size();
+    position_ = text_.size();
 }
 
 void JsonCursor::skip_blanks() {
-    while (at_ < text_.size() && is_blank(text_[at_])) {
-        ++at_;
+    while (position_ < text_.size() && is_blank(text_[position_])) {
+        ++position_;
     }
 }
 
 char JsonCursor::peek() {
     skip_blanks();
-    return at_ < text_.size() ? text_[at_] : '\0';
+    return position_ < text_.size() ? text_[position_] : '\0';
 }
 
 void JsonCursor::expect(char wanted) {
@@ -74,20 +74,20 @@
         fail();
         return;
     }
-    ++at_;
+    ++position_;
 }
 
 void JsonCursor::enter(char bracket) {
     expect(bracket);
     ++depth_;
-    if (depth_ > kDeepest) {
+    if (depth_ > kMaxDepth) {
         fail();
     }
 }
 
 bool JsonCursor::leave(char bracket, bool first) {
     if (peek() == bracket) {
-        ++at_;
+        ++position_;
         --depth_;
         return true;
     }
@@ -102,20 +102,20 @@
 
 bool JsonCursor::accept(std::string_view word) {
     skip_blanks();
-    if (!text_.substr(at_).starts_with(word)) {
+    if (!text_.substr(position_).starts_with(word)) {
         return false;
     }
-    at_ += word.size();
+    position_ += word.size();
     return true;
 }
 
 char JsonCursor::next() {
-    if (at_ >= text_.size()) {
+    if (position_ >= text_.size()) {
         fail();
         return '\0';
     }
-    const char character = text_[at_];
-    ++at_;
+    const char character = text_[position_];
+    ++position_;
     return character;
 }
 
@@ -186,18 +186,18 @@
         fail();
         return 0;
     }
-    return kFirstOfPairs + ((code - kHighSurrogates) << 10) + (low - kLowSurrogates);
+    return kFirstSupplementary + ((code - kHighSurrogates) << 10) + (low - kLowSurrogates);
 }
 
 unsigned JsonCursor::four_hex_digits() {
     constexpr std::size_t kDigits = 4;
     unsigned code = 0;
-    const std::string_view digits = text_.substr(at_, kDigits);
+    const std::string_view digits = text_.substr(position_, kDigits);
     if (digits.size() != kDigits || !parse_integer(digits, code, 16)) {
         fail();
         return 0;
     }
-    at_ += kDigits;
+    position_ += kDigits;
     return code;
 }
 
@@ -209,12 +209,13 @@
     }
     double value = 0;
     const char* const text_end = text_.data() + text_.size();
-    const std::from_chars_result result = std::from_chars(text_.data() + at_, text_end, value);
+    const std::from_chars_result result =
+        std::from_chars(text_.data() + position_, text_end, value);
     if (result.ec != std::errc{} || !std::isfinite(value)) {
         fail();
         return 0;
     }
-    at_ = static_cast<std::size_t>(result.ptr - text_.data());
+    position_ = static_cast<std::size_t>(result.ptr - text_.data());
     return value;
 }
 
@@ -259,14 +260,14 @@
 
 std::string_view JsonCursor::raw() {
     skip_blanks();
-    const std::size_t begin = at_;
+    const std::size_t begin = position_;
     skip();
-    return text_.substr(begin, at_ - begin);
+    return text_.substr(begin, position_ - begin);
 }
 
 bool JsonCursor::end() {
     skip_blanks();
-    return !failed_ && at_ == text_.size();
+    return !failed_ && position_ == text_.size();
 }
 
 }  // namespace micaroad::protocol
--- a/src/protocol/json_cursor.hpp
+++ b/src/protocol/json_cursor.hpp
@@ -15,7 +15,7 @@
 class JsonCursor {
  public:
     /// Objects and arrays in one another, at most: bounds the recursion of skip().
-    static constexpr int kDeepest = 32;
+    static constexpr int kMaxDepth = 32;
 
     explicit JsonCursor(std::string_view text) : text_(text) {}
 
@@ -76,7 +76,7 @@
     unsigned four_hex_digits();
 
     std::string_view text_;
-    std::size_t at_ = 0;
+    std::size_t position_ = 0;
     int depth_ = 0;
     bool failed_ = false;
 };
--- a/src/protocol/line_reader.cpp
+++ b/src/protocol/line_reader.cpp
@@ -20,7 +20,7 @@
     return "?";
 }
 
-std::string_view LineReader::cut_piece(std::string_view& bytes) {
+std::string_view LineReader::consume_piece(std::string_view& bytes) {
     const std::size_t line_feed = bytes.find('\n');
     const std::size_t size = line_feed == std::string_view::npos ? bytes.size() : line_feed + 1;
     const std::string_view piece = bytes.substr(0, size);
@@ -29,7 +29,7 @@
 }
 
 LineFault LineReader::check(std::string_view piece) const {
-    if (held_.size() + piece.size() > longest_) {
+    if (held_.size() + piece.size() > max_line_bytes_) {
         return LineFault::too_long;
     }
     if (piece.find('\0') != std::string_view::npos) {
--- a/src/protocol/line_reader.hpp
+++ b/src/protocol/line_reader.hpp
@@ -31,19 +31,19 @@
     static constexpr std::size_t kMaxLineBytes = 1024 * 1024;
 
     /// The pool outlives the reader. `longest` bounds a line in bytes, CRLF included.
-    explicit LineReader(BufferPool& pool, std::size_t longest = kMaxLineBytes)
-        : pool_(pool), longest_(longest) {}
+    explicit LineReader(BufferPool& pool, std::size_t max_line_bytes = kMaxLineBytes)
+        : pool_(pool), max_line_bytes_(max_line_bytes) {}
 
     /// Changes the bound of a line, from the next piece of bytes on. The callback of feed() may
     /// call it.
-    void allow(std::size_t longest) { longest_ = longest; }
+    void set_max_line_bytes(std::size_t max_line_bytes) { max_line_bytes_ = max_line_bytes; }
 
     /// Calls on_line(std::string_view) with each complete line, without its CRLF, until one call
     /// returns false. After a fault the stream can't be read any further.
     template <class OnLine>
     [[nodiscard]] LineFault feed(std::string_view bytes, OnLine on_line) {
         while (!bytes.empty()) {
-            const std::string_view piece = cut_piece(bytes);
+            const std::string_view piece = consume_piece(bytes);
             const LineFault fault = check(piece);
             if (fault != LineFault::none) {
                 return fault;
@@ -73,14 +73,14 @@
     static constexpr std::string_view kLineEnd = "\r\n";
 
     // Removes from `bytes` all up to and including the first LF, or everything if there is none.
-    static std::string_view cut_piece(std::string_view& bytes);
+    static std::string_view consume_piece(std::string_view& bytes);
     // The faults that show before the line has ended.
     [[nodiscard]] LineFault check(std::string_view piece) const;
     // The whole line that `piece` ends: `piece` itself, or a copy in `storage` with what is held.
     [[nodiscard]] std::string_view join(std::string_view piece, std::string& storage) const;
 
     BufferPool& pool_;
-    std::size_t longest_;
+    std::size_t max_line_bytes_;
     BufferChain held_;
 };
 
--- a/src/protocol/line_words.cpp
+++ b/src/protocol/line_words.cpp
@@ -9,17 +9,17 @@
 namespace micaroad::protocol {
 namespace {
 
-constexpr std::size_t kMostWords = 32;
-constexpr std::size_t kUsualWords = 8;  // of the longest message of the protocol
-constexpr std::size_t kLongestQuotedWord = 40;
+constexpr std::size_t kMaxWords = 32;
+constexpr std::size_t kExpectedWords = 8;  // of the longest message of the protocol
+constexpr std::size_t kMaxQuotedWordBytes = 40;
 // Sums of numbers up to this stay exact enough and far from any overflow.
-constexpr double kLargestNumber = 1e9;
+constexpr double kMaxNumber = 1e9;
 constexpr double kDurationTicksPerMillisecond = 10;
 static_assert(std::chrono::milliseconds{1} == Duration{10});
 
 }  // namespace
 
-std::string_view cut_word(std::string_view& line) {
+std::string_view next_word(std::string_view& line) {
     const std::size_t size = std::min(line.find(' '), line.size());
     const std::string_view word = line.substr(0, size);
     line.remove_prefix(std::min(size + 1, line.size()));
@@ -27,9 +27,9 @@
 }
 
 LineWords::LineWords(std::string_view line) {
-    words_.reserve(kUsualWords);
+    words_.reserve(kExpectedWords);
     while (!line.empty() && !error_) {
-        const std::string_view word = cut_word(line);
+        const std::string_view word = next_word(line);
         if (!word.empty()) {
             add(word);
         }
@@ -47,7 +47,7 @@
         reject(MalformedReason::repeated_word, name);
         return;
     }
-    if (words_.size() == kMostWords) {
+    if (words_.size() == kMaxWords) {
         reject(MalformedReason::too_many_words);
         return;
     }
@@ -72,7 +72,7 @@
 double LineWords::number(std::string_view name) {
     double value = -1;
     const bool parsed = parse_decimal(text(name), value);
-    const bool in_range = value >= 0 && value <= kLargestNumber;  // not so for NaN
+    const bool in_range = value >= 0 && value <= kMaxNumber;  // not so for NaN
     if (!parsed || !in_range) {
         reject(MalformedReason::bad_value, name);
         return 0;
@@ -109,7 +109,7 @@
 
 void LineWords::reject(MalformedReason reason, std::string_view word) {
     if (!error_) {
-        error_ = Malformed{reason, std::string(word.substr(0, kLongestQuotedWord))};
+        error_ = Malformed{reason, std::string(word.substr(0, kMaxQuotedWordBytes))};
     }
 }
 
--- a/src/protocol/line_words.hpp
+++ b/src/protocol/line_words.hpp
@@ -13,7 +13,7 @@
 namespace micaroad::protocol {
 
 /// Removes the first word of `line`, up to a blank, and returns it.
-[[nodiscard]] std::string_view cut_word(std::string_view& line);
+[[nodiscard]] std::string_view next_word(std::string_view& line);
 
 /// The words of a line, which must outlive it.
 ///
--- a/src/protocol/message.cpp
+++ b/src/protocol/message.cpp
@@ -8,9 +8,9 @@
 namespace micaroad::protocol {
 namespace {
 
-constexpr std::size_t kLongestQuotedKind = 40;
+constexpr std::size_t kMaxQuotedKindBytes = 40;
 // Requests of a proxy, or attempts at an endpoint, within one report.
-constexpr double kLargestCount = 1e6;
+constexpr double kMaxCount = 1e6;
 constexpr int kNonces = 65'536;
 
 struct Counts {
@@ -23,8 +23,8 @@
     Counts counts;
     counts.all = words.number(wire::kCount);
     counts.failures = words.number(wire::kFailures);
-    counts.window = words.milliseconds(wire::kWindow, bounds.longest_window);
-    if (std::max(counts.all, counts.failures) > kLargestCount) {
+    counts.window = words.milliseconds(wire::kWindow, bounds.max_window);
+    if (std::max(counts.all, counts.failures) > kMaxCount) {
         words.reject(MalformedReason::count_too_large);
     }
     if (counts.window <= Duration{}) {
@@ -42,7 +42,7 @@
     report.attempts = counts.all;
     report.failures = counts.failures;
     report.window = counts.window;
-    report.mean_latency = words.milliseconds(wire::kMeanLatency, bounds.longest_mean);
+    report.mean_latency = words.milliseconds(wire::kMeanLatency, bounds.max_mean_latency);
     if (report.failures > report.attempts) {
         words.reject(MalformedReason::more_failures_than_attempts);
     }
@@ -104,12 +104,12 @@
 }  // namespace
 
 ParseResult parse_message(std::string_view line, const SymbolTable& names, const Bounds& bounds) {
-    const std::string_view word = cut_word(line);
+    const std::string_view word = next_word(line);
     const auto* const kind =
         std::find_if(kMessageKinds.begin(), kMessageKinds.end(),
                      [word](const MessageKind& known) { return known.word == word; });
     if (kind == kMessageKinds.end()) {
-        return Unparseable{std::string(word.substr(0, kLongestQuotedKind))};
+        return Unparseable{std::string(word.substr(0, kMaxQuotedKindBytes))};
     }
     LineWords words(line);
     Message message = kind->parse(words, names, bounds);
--- a/src/protocol/message.hpp
+++ b/src/protocol/message.hpp
@@ -57,9 +57,9 @@
 
 /// What values can be in a deployment.
 struct Bounds {
-    int proxies = 1;                                     ///< proxies are numbered below this
-    Duration longest_window = std::chrono::seconds(60);  ///< of a report
-    Duration longest_mean = std::chrono::seconds(60);    ///< mean latency of attempts
+    int proxies = 1;                                       ///< proxies are numbered below this
+    Duration max_window = std::chrono::seconds(60);        ///< of a report
+    Duration max_mean_latency = std::chrono::seconds(60);  ///< mean latency of attempts
 };
 
 /// Parses a line without its CRLF. Words that its kind does not have are passed over. Any thread
--- a/src/protocol/push_writer.cpp
+++ b/src/protocol/push_writer.cpp
@@ -15,7 +15,7 @@
 namespace micaroad::protocol {
 namespace {
 
-constexpr std::size_t kMostParts = 64;
+constexpr std::size_t kMaxParts = 64;
 constexpr std::string_view kLineEnd = "\r\n";
 
 // The shortest text that reads back as the same number, never with an exponent.
@@ -42,20 +42,20 @@
 // words that say what it belongs to.
 class MessageParts {
  public:
-    explicit MessageParts(std::size_t longest)
-        : longest_(longest - continued_word().size() - kLineEnd.size()) {}
+    explicit MessageParts(std::size_t max_line_bytes)
+        : max_line_bytes_(max_line_bytes - continued_word().size() - kLineEnd.size()) {}
 
     // Begins a part. `context` is repeated in the parts that go on with it, `once` is not.
-    void begin(std::string context, std::string_view once = "") {
+    void begin(std::string context, std::string_view first_part_only = "") {
         context_ = std::move(context);
         std::string& part = parts_.emplace_back(wire::kUpdate);
         part += context_;
-        part += once;
+        part += first_part_only;
     }
 
     // Adds words that have to stand in the same part.
     void add_words(const std::string& words) {
-        if (parts_.back().size() + 1 + words.size() > longest_) {
+        if (parts_.back().size() + 1 + words.size() > max_line_bytes_) {
             begin_continuation();
         }
         parts_.back() += ' ';
@@ -64,22 +64,22 @@
 
     // Adds an element to the list `name`, which it begins if the part does not end with that list.
     void add_element(std::string_view name, const std::string& element) {
-        const bool list_goes_on = list_ == name && list_part_ == parts_.size();
-        std::string text = list_goes_on ? ',' + element : first_element(name, element);
-        if (parts_.back().size() + text.size() > longest_) {
+        const bool continues_list = last_list_ == name && last_list_part_ == parts_.size();
+        std::string text = continues_list ? ',' + element : first_element(name, element);
+        if (parts_.back().size() + text.size() > max_line_bytes_) {
             begin_continuation();
             text = first_element(name, element);
         }
         parts_.back() += text;
-        list_ = name;
-        list_part_ = parts_.size();
+        last_list_ = name;
+        last_list_part_ = parts_.size();
     }
 
     [[nodiscard]] bool empty() const { return parts_.empty(); }
 
     // Absent if there are too many.
     [[nodiscard]] std::optional<std::string> join() const {
-        if (parts_.size() > kMostParts) {
+        if (parts_.size() > kMaxParts) {
             return std::nullopt;
         }
         const std::string continued = continued_word();
@@ -101,11 +101,11 @@
     }
     void begin_continuation() { begin(context_); }
 
-    const std::size_t longest_;  // of a part, without the end that any may need
+    const std::size_t max_line_bytes_;  // of a part, without the end that any may need
     std::vector<std::string> parts_;
     std::string context_;
-    std::string list_;           // the list that an element was last added to
-    std::size_t list_part_ = 0;  // how many parts there were then
+    std::string last_list_;           // the list that an element was last added to
+    std::size_t last_list_part_ = 0;  // how many parts there were then
 };
 
 void add_tables(MessageParts& parts, const ProxyUpdate& update, const SymbolTable& names) {
@@ -152,8 +152,8 @@
 }  // namespace
 
 std::optional<std::string> format_update(const ProxyUpdate& update, const SymbolTable& names,
-                                         std::size_t longest) {
-    MessageParts parts(longest);
+                                         std::size_t max_line_bytes) {
+    MessageParts parts(max_line_bytes);
     add_tables(parts, update, names);
     add_admissions(parts, update, names);
     if (parts.empty()) {
--- a/src/protocol/push_writer.hpp
+++ b/src/protocol/push_writer.hpp
@@ -15,6 +15,6 @@
 /// included. Absent if it needs more parts than a message may have.
 [[nodiscard]] std::optional<std::string> format_update(
     const ProxyUpdate& update, const SymbolTable& names,
-    std::size_t longest = LineReader::kMaxLineBytes);
+    std::size_t max_line_bytes = LineReader::kMaxLineBytes);
 
 }  // namespace micaroad::protocol
--- a/tests/golden_stored_test.cpp
+++ b/tests/golden_stored_test.cpp
@@ -373,6 +373,6 @@
     CHECK(settings.admission_kind == AdmissionKind::fraction);
     CHECK(settings.default_retry_policy == RetryPolicy::once_if_not_executed);
     CHECK(start.bounds.proxies == 9);
-    CHECK(start.bounds.longest_window == Duration{600'000});
-    CHECK(start.bounds.longest_mean == Duration{80'000});
+    CHECK(start.bounds.max_window == Duration{600'000});
+    CHECK(start.bounds.max_mean_latency == Duration{80'000});
 }
