--- a/src/net/acceptor.cpp
+++ b/src/net/acceptor.cpp
@@ -149,9 +149,9 @@
 // Closes the oldest idle unidentified peer; false if there is none. Silent ones go before those in
 // the middle of a line, which may be proxies on slow links.
 bool Acceptor::shed_unidentified() {
-    for (const bool even_mid_line : {false, true}) {
+    for (const bool include_mid_line : {false, true}) {
         for (auto at = unidentified_.begin(); at != unidentified_.end(); ++at) {
-            if (!at->second->close_if_idle(even_mid_line)) {
+            if (!at->second->close_if_idle(include_mid_line)) {
                 continue;
             }
             connections_.erase(at->first);
--- a/src/net/active_sockets.hpp
+++ b/src/net/active_sockets.hpp
@@ -20,12 +20,12 @@
         Registration& operator=(const Registration&) = delete;
 
         /// False if stop() came first: then the socket is not listed and must not be waited on.
-        [[nodiscard]] bool listed() const { return listed_; }
+        [[nodiscard]] bool registered() const { return registered_; }
 
      private:
         ActiveSockets& sockets_;
         const Socket& socket_;
-        bool listed_;
+        bool registered_;
     };
 
     /// Shuts down all that are listed and lists no more.
@@ -35,7 +35,7 @@
  private:
     // Guards what follows; a listed socket is not closed while it is held.
     std::mutex mutex_;
-    std::set<const Socket*> listed_;
+    std::set<const Socket*> registered_;
     bool stopped_ = false;
 };
 
--- a/src/net/close_reason.cpp
+++ b/src/net/close_reason.cpp
@@ -7,13 +7,13 @@
         case MessageFault::unparseable:
         case MessageFault::malformed:
             return error.detail;
-        case MessageFault::second_role:
+        case MessageFault::already_identified:
             return "peer has identified itself already";
-        case MessageFault::shed:
+        case MessageFault::connection_closing:
             return "connection was shed before it was identified";
         case MessageFault::peer_not_reading:
             return "peer does not read";
-        case MessageFault::foreign_nonce:
+        case MessageFault::foreign_acknowledgement:
             return "acknowledgement not of this proxy";
         case MessageFault::report_not_allowed:
             return "endpoint load report not of a collector";
--- a/src/net/close_reason.hpp
+++ b/src/net/close_reason.hpp
@@ -8,14 +8,14 @@
 
 /// What is wrong with a message that was received.
 enum class MessageFault {
-    unparseable,         ///< not of this protocol: nothing behind it can be trusted
-    malformed,           ///< a known kind with a value that is out of bounds
-    second_role,         ///< a peer that has identified itself already does so again
-    shed,                ///< identified itself when its connection was closing already
-    peer_not_reading,    ///< the answer to it cannot be sent
-    foreign_nonce,       ///< acknowledges for another proxy, or is of no proxy
-    report_not_allowed,  ///< an endpoint load report of a peer that is no collector
-    demand_not_allowed,  ///< a demand report of neither a collector nor that proxy
+    unparseable,              ///< not of this protocol: nothing behind it can be trusted
+    malformed,                ///< a known kind with a value that is out of bounds
+    already_identified,       ///< a peer that has identified itself already does so again
+    connection_closing,       ///< identified itself when its connection was closing already
+    peer_not_reading,         ///< the answer to it cannot be sent
+    foreign_acknowledgement,  ///< acknowledges for another proxy, or is of no proxy
+    report_not_allowed,       ///< an endpoint load report of a peer that is no collector
+    demand_not_allowed,       ///< a demand report of neither a collector nor that proxy
 };
 
 struct MessageError {
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-constexpr std::size_t kMaxLoggedLine = 200;  // bytes
+constexpr std::size_t kMaxLoggedLineBytes = 200;  // bytes
 
-std::string printable(std::string_view line) {
-    std::string text(line.substr(0, kMaxLoggedLine));
+std::string to_printable(std::string_view line) {
+    std::string text(line.substr(0, kMaxLoggedLineBytes));
     std::replace_if(
         text.begin(), text.end(), [](char byte) { return byte < ' ' || byte > '~'; }, '?');
     return text;
 }
 
-tl::unexpected<MessageError> message_error(MessageFault fault, std::string detail = {}) {
+tl::unexpected<MessageError> make_message_error(MessageFault fault, std::string detail = {}) {
     return tl::unexpected(MessageError{fault, std::move(detail)});
 }
 
@@ -29,10 +29,10 @@
       id_(id),
       socket_(std::move(socket)),
       peer_(std::move(peer)),
-      line_reader_(context.line_buffers, kUnidentifiedLine),
+      line_reader_(context.line_buffers, kMaxUnidentifiedLineBytes),
       accepted_at_(steady_clock::now()),
       last_message_at_(accepted_at_) {
-    socket_.set_up(kSendBuffer, kReceiveBuffer);
+    socket_.set_options(kSendBufferBytes, kReceiveBufferBytes);
 }
 
 bool Connection::watch() {
@@ -42,7 +42,7 @@
 
 void Connection::on_closed(const CloseReason& reason) {
     close();
-    poller_->leave(socket_);
+    poller_->unwatch(socket_);
     switch (role()) {
         case Role::proxy:
             context_.inbox.put(core_event::StreamClosed{id_, describe(reason)});
@@ -154,11 +154,11 @@
 Connection::MessageResult Connection::handle_line(std::string_view line) {
     const auto parsed = protocol::parse_message(line, context_.names, context_.bounds);
     if (const auto* unparseable = std::get_if<protocol::Unparseable>(&parsed)) {
-        return message_error(MessageFault::unparseable, protocol::describe(*unparseable));
+        return make_message_error(MessageFault::unparseable, protocol::describe(*unparseable));
     }
     MessageResult result;
     if (const auto* malformed = std::get_if<protocol::Malformed>(&parsed)) {
-        result = message_error(MessageFault::malformed, protocol::describe(*malformed));
+        result = make_message_error(MessageFault::malformed, protocol::describe(*malformed));
     } else {
         last_message_at_ = steady_clock::now();
         result = std::visit([&](const auto& message) { return handle(message); },
@@ -168,7 +168,7 @@
         return result;
     }
     context_.log.warn("connection: message dropped peer={} reason=\"{}\" line=\"{}\"", peer_,
-                      describe(result.error()), printable(line));
+                      describe(result.error()), to_printable(line));
     return {};
 }
 
@@ -188,17 +188,17 @@
     const bool sent = role_ == Role::proxy ? send(protocol::kAlive) == SendResult::accepted
                                            : socket_.send_now(protocol::kAlive);
     if (!sent) {
-        return message_error(MessageFault::peer_not_reading);
+        return make_message_error(MessageFault::peer_not_reading);
     }
     return {};
 }
 
 Connection::MessageResult Connection::handle(const protocol::CollectorIdentified& collector) {
     if (role_ != Role::unidentified) {
-        return message_error(MessageFault::second_role);
+        return make_message_error(MessageFault::already_identified);
     }
     if (!identify(Role::collector)) {
-        return message_error(MessageFault::shed);
+        return make_message_error(MessageFault::connection_closing);
     }
     context_.log.info("connection: collector identified peer={} zone={}", peer_,
                       context_.names.zone(collector.zone));
@@ -207,10 +207,10 @@
 
 Connection::MessageResult Connection::handle(const event::ProxyJoined& joined) {
     if (role_ != Role::unidentified) {
-        return message_error(MessageFault::second_role);
+        return make_message_error(MessageFault::already_identified);
     }
     if (!identify(Role::proxy)) {
-        return message_error(MessageFault::shed);
+        return make_message_error(MessageFault::connection_closing);
     }
     proxy_ = joined.proxy;
     context_.inbox.put(core_event::StreamOpened{id_, joined});
@@ -219,7 +219,7 @@
 
 Connection::MessageResult Connection::handle(const event::Acknowledgement& acknowledgement) {
     if (role_ != Role::proxy || acknowledgement.proxy != proxy_) {
-        return message_error(MessageFault::foreign_nonce);
+        return make_message_error(MessageFault::foreign_acknowledgement);
     }
     put_bounded(kMaxAcknowledgements, core_event::StreamAcknowledged{id_, acknowledgement});
     return {};
@@ -227,7 +227,7 @@
 
 Connection::MessageResult Connection::handle(const event::EndpointLoadReport& report) {
     if (role_ != Role::collector) {
-        return message_error(MessageFault::report_not_allowed);
+        return make_message_error(MessageFault::report_not_allowed);
     }
     put_bounded(Inbox::kMaxReportsPerPeer, core_event::ReportReceived{report});
     return {};
@@ -237,15 +237,15 @@
     const bool of_collector = role_ == Role::collector;
     const bool of_that_proxy = role_ == Role::proxy && report.proxy == proxy_;
     if (!of_collector && !of_that_proxy) {
-        return message_error(MessageFault::demand_not_allowed);
+        return make_message_error(MessageFault::demand_not_allowed);
     }
     put_bounded(of_that_proxy ? kMaxAcknowledgements : Inbox::kMaxReportsPerPeer,
                 core_event::ReportReceived{report});
     return {};
 }
 
-void Connection::put_bounded(std::size_t most, CoreEvent event) {
-    if (!context_.inbox.put_bounded(id_, most, std::move(event))) {
+void Connection::put_bounded(std::size_t max_events, CoreEvent event) {
+    if (!context_.inbox.put_bounded(id_, max_events, std::move(event))) {
         count_dropped();
     }
 }
@@ -326,7 +326,7 @@
     socket_.shut_down();
 }
 
-bool Connection::close_if_idle(bool even_mid_line) {
+bool Connection::close_if_idle(bool include_mid_line) {
     const std::lock_guard lock(mutex_);
     if (role_ != Role::unidentified || state_ == State::closing || reading_) {
         return false;
@@ -334,7 +334,7 @@
     if (state_ != State::lingering && socket_.has_bytes()) {
         return false;
     }
-    if (mid_line_ && !even_mid_line) {
+    if (mid_line_ && !include_mid_line) {
         return false;
     }
     state_ = State::closing;
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -45,9 +45,9 @@
 /// Threads: on_readable(), on_writable(), on_closed() and deadline() are called by the event loop's
 /// thread only. send(), pending_bytes(), close(), close_if_idle() and role() may be called by any.
 ///
-/// Bounds: a line of kUnidentifiedLine or LineReader::kMaxLineBytes bytes, kMaxPendingBytes of
-/// unsent bytes (and one message more), kMaxAcknowledgements messages of a proxy that the core has
-/// not taken, and as many reports of a collector as Inbox allows.
+/// Bounds: a line of kMaxUnidentifiedLineBytes or LineReader::kMaxLineBytes bytes, kMaxPendingBytes
+/// of unsent bytes (and one message more), kMaxAcknowledgements messages of a proxy that the core
+/// has not taken, and as many reports of a collector as Inbox allows.
 ///
 /// States, from left to right, and what leads from one to the next:
 ///
@@ -83,12 +83,12 @@
     /// unanswered nonces, and as many demand reports. More is a flood, and dropped.
     static constexpr std::size_t kMaxAcknowledgements = 256;
     static constexpr std::chrono::seconds kDropLogInterval{10};
-    static constexpr std::size_t kUnidentifiedLine = 1024;  ///< ten times a joining message
+    static constexpr std::size_t kMaxUnidentifiedLineBytes = 1024;  ///< ten times a joining message
     /// With more unsent bytes than this a message is not taken: the proxy has stopped reading.
     static constexpr std::size_t kMaxPendingBytes = 128 * 1024;
     /// Kernel buffers that are asked for, in bytes; the kernel takes twice as much.
-    static constexpr int kSendBuffer = 16 * 1024;
-    static constexpr int kReceiveBuffer = 8 * 1024;
+    static constexpr int kSendBufferBytes = 16 * 1024;
+    static constexpr int kReceiveBufferBytes = 8 * 1024;
 
     Connection(ConnectionContext& context, StreamId id, Socket socket, std::string peer);
 
@@ -119,8 +119,8 @@
     /// Ends it: drops what waits to be sent, and lets the event loop read the end.
     void close();
     /// Closes it if it is an unidentified peer of whom nothing waits to be read; one that has begun
-    /// a line only if `even_mid_line`. False if it was left as it is.
-    [[nodiscard]] bool close_if_idle(bool even_mid_line);
+    /// a line only if `include_mid_line`. False if it was left as it is.
+    [[nodiscard]] bool close_if_idle(bool include_mid_line);
 
     [[nodiscard]] Role role() const { return role_; }
     [[nodiscard]] StreamId id() const { return id_; }
@@ -150,7 +150,7 @@
     [[nodiscard]] MessageResult handle(const event::Acknowledgement& acknowledgement);
     [[nodiscard]] MessageResult handle(const event::EndpointLoadReport& report);
     [[nodiscard]] MessageResult handle(const event::DemandReport& report);
-    void put_bounded(std::size_t most, CoreEvent event);
+    void put_bounded(std::size_t max_events, CoreEvent event);
     void count_dropped();
     void send_pending();  // under the mutex
 
--- a/src/net/discovery_connection.cpp
+++ b/src/net/discovery_connection.cpp
@@ -13,21 +13,21 @@
 constexpr int kOk = 200;
 
 // Keeps the socket of a connection in the map of those in use, for whoever interrupts it.
-class SocketInUse {
+class SocketRegistration {
  public:
     using Sockets = std::map<int, const Socket*>;
 
-    SocketInUse(std::mutex& mutex, Sockets& sockets, int generation, const Socket& socket)
+    SocketRegistration(std::mutex& mutex, Sockets& sockets, int generation, const Socket& socket)
         : mutex_(mutex), sockets_(sockets), generation_(generation) {
         const std::lock_guard lock(mutex_);
         sockets_[generation_] = &socket;
     }
-    ~SocketInUse() {
+    ~SocketRegistration() {
         const std::lock_guard lock(mutex_);
         sockets_.erase(generation_);
     }
-    SocketInUse(const SocketInUse&) = delete;
-    SocketInUse& operator=(const SocketInUse&) = delete;
+    SocketRegistration(const SocketRegistration&) = delete;
+    SocketRegistration& operator=(const SocketRegistration&) = delete;
 
  private:
     std::mutex& mutex_;
@@ -42,8 +42,8 @@
     protocol::HttpReader http;
     protocol::EndpointListParser lists;
     steady_clock::time_point last_line = steady_clock::now();
-    bool line_came = false;   // since last_line was set
-    bool superseded = false;  // what comes counts no more
+    bool line_received = false;  // since last_line was set
+    bool superseded = false;     // what comes counts no more
     WatchPhase phase = WatchPhase::requested;
 
     [[nodiscard]] WatchEnd end(WatchEndCause cause) const { return {cause, phase}; }
@@ -54,7 +54,7 @@
     if (!socket.is_open()) {
         return {WatchEndCause::no_socket};
     }
-    const SocketInUse in_use(mutex_, sockets_, source.generation, socket);
+    const SocketRegistration registration(mutex_, sockets_, source.generation, socket);
     if (is_interrupted(source, request.kind)) {
         return {WatchEndCause::interrupted};
     }
@@ -80,7 +80,7 @@
                                        const Socket& socket) {
     const auto framing = kind == RequestKind::fetch ? protocol::EndpointListFraming::document
                                                     : protocol::EndpointListFraming::line;
-    Response response{.http = {}, .lists = {names_, framing, list_bytes_}};
+    Response response{.http = {}, .lists = {names_, framing, max_list_bytes_}};
     const protocol::BufferPool::Lease buffer = pool_.take();
     if (!buffer) {
         return response.end(WatchEndCause::no_buffer);
@@ -88,7 +88,7 @@
     for (;;) {
         const ssize_t received = socket.receive(buffer->data(), buffer->size());
         if (received == Socket::kTimedOut) {
-            return response.end(WatchEndCause::silent);
+            return response.end(WatchEndCause::idle_timeout);
         }
         if (received == Socket::kFailed) {
             return response.end(WatchEndCause::reset);
@@ -101,11 +101,11 @@
             return *end;
         }
         const auto now = steady_clock::now();
-        if (std::exchange(response.line_came, false)) {
+        if (std::exchange(response.line_received, false)) {
             response.last_line = now;
         }
         if (now - response.last_line > line_timeout(response.lists.size())) {
-            return response.end(WatchEndCause::line_late);
+            return response.end(WatchEndCause::line_overdue);
         }
     }
 }
@@ -117,11 +117,11 @@
     auto error = EndpointListError::none;
     // Under the mutex, so no clock is read here.
     const auto take_line = [&](std::optional<protocol::EndpointListMessage> message) {
-        response.line_came = true;
+        response.line_received = true;
         if (response.superseded) {
             return;
         }
-        if (accept(source, std::move(message))) {
+        if (accept_line(source, std::move(message))) {
             response.phase = WatchPhase::following;
         } else {
             response.superseded = true;
@@ -149,7 +149,7 @@
     }
     if (error == EndpointListError::too_long) {
         WatchEnd end = response.end(WatchEndCause::list_too_long);
-        end.list_bytes = list_bytes_;
+        end.max_list_bytes = max_list_bytes_;
         return end;
     }
     if (error == EndpointListError::malformed) {
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -17,17 +17,17 @@
 }  // namespace
 
 DiscoveryWatch::DiscoveryWatch(std::string host, Address address, SymbolTable names,
-                               std::int64_t version, std::size_t list_bytes,
+                               std::int64_t version, std::size_t max_list_bytes,
                                protocol::BufferPool& pool, Inbox& inbox, Log& log,
                                WatchTimeouts timeouts, SyncPoints* sync)
     : timeouts_(timeouts),
-      list_bytes_(list_bytes),
+      max_list_bytes_(max_list_bytes),
       pool_(pool),
       inbox_(inbox),
       log_(log),
       sync_(sync),
       names_(std::move(names)),
-      newest_{std::move(host), address, 0},
+      newest_source_{std::move(host), address, 0},
       version_(version) {}
 
 DiscoveryWatch::~DiscoveryWatch() {
@@ -36,7 +36,7 @@
 
 bool DiscoveryWatch::start() {
     const std::lock_guard lock(mutex_);
-    const bool started = threads_.start([this, source = newest_] { run(source); });
+    const bool started = threads_.start([this, source = newest_source_] { run(source); });
     running_sources_ = started ? 1 : 0;
     return started;
 }
@@ -66,29 +66,30 @@
 
 void DiscoveryWatch::follow(std::string host, Address address) {
     const std::lock_guard lock(mutex_);
-    if (stopping_ || host == newest_.host) {
+    if (stopping_ || host == newest_source_.host) {
         return;
     }
-    newest_ = {std::move(host), address, newest_.generation + 1};
+    newest_source_ = {std::move(host), address, newest_source_.generation + 1};
     interrupt_superseded();
     if (running_sources_ == kMaxSources) {
         return;  // the first that ends takes it up
     }
-    const bool started = threads_.start([this, source = newest_] { run(source); });
-    started_generation_ = newest_.generation;
+    const bool started = threads_.start([this, source = newest_source_] { run(source); });
+    started_generation_ = newest_source_.generation;
     if (started) {
         ++running_sources_;
         return;
     }
-    log_.error("discovery: address not followed server={} reason=\"no thread\"", newest_.host);
-    newest_.host.clear();  // so that it can be given again
+    log_.error("discovery: address not followed server={} reason=\"no thread\"",
+               newest_source_.host);
+    newest_source_.host.clear();  // so that it can be given again
 }
 
 // Stopping, superseded, or never heard from and no longer the one given last.
 bool DiscoveryWatch::must_stop(int generation) const {
     const bool current = generation == current_generation_;
     return stopping_ || generation < current_generation_ ||
-           (!current && generation != newest_.generation);
+           (!current && generation != newest_source_.generation);
 }
 
 // Only the current source fetches: another one sends the complete list at first anyway.
@@ -141,12 +142,12 @@
     if (must_stop(source.generation)) {
         // Guards against an address that was given while every thread still had one: none would
         // take it up.
-        if (stopping_ || started_generation_ == newest_.generation) {
+        if (stopping_ || started_generation_ == newest_source_.generation) {
             --running_sources_;
             return std::nullopt;
         }
-        source = newest_;
-        started_generation_ = newest_.generation;
+        source = newest_source_;
+        started_generation_ = newest_source_.generation;
     }
     if (wants_fetch(source.generation) && failed_fetches >= kMaxFetches) {
         fetch_wanted_ = false;
@@ -171,13 +172,13 @@
 }
 
 void DiscoveryWatch::run(Source source) {
-    RetryState retry = fresh_retry_state();
+    RetryState retry = initial_retry_state();
     auto next_fetch = steady_clock::now();
     int generation = source.generation;
     while (const auto request = next_request(source, retry.failed_fetches)) {
         if (source.generation != generation) {
             generation = source.generation;
-            retry = fresh_retry_state();
+            retry = initial_retry_state();
         }
         if (request->kind == RequestKind::fetch) {
             const auto early = next_fetch - steady_clock::now();
@@ -188,14 +189,14 @@
         }
         const WatchEnd end = connect_and_read(source, *request);
         reach(sync_, SyncPoint::watch_answered);
-        after_connection(source, request->kind, end, retry);
+        on_connection_ended(source, request->kind, end, retry);
     }
 }
 
 // Logs a loss once and pauses, unless the connection ended as it should: the list has come that was
 // fetched, or something else is to be done now.
-void DiscoveryWatch::after_connection(const Source& source, RequestKind kind, const WatchEnd& end,
-                                      RetryState& retry) {
+void DiscoveryWatch::on_connection_ended(const Source& source, RequestKind kind,
+                                         const WatchEnd& end, RetryState& retry) {
     const bool fetching = kind == RequestKind::fetch;
     const bool too_long = end.cause == WatchEndCause::list_too_long;
     const bool interrupted = is_interrupted(source, RequestKind::watch);
@@ -222,8 +223,8 @@
 
 // What one line has brought; without a list it was empty, a sign of life as good as any. False if
 // the source counts no more.
-bool DiscoveryWatch::accept(const Source& source,
-                            std::optional<protocol::EndpointListMessage> message) {
+bool DiscoveryWatch::accept_line(const Source& source,
+                                 std::optional<protocol::EndpointListMessage> message) {
     if (!make_current(source)) {
         return false;
     }
--- a/src/net/discovery_watch.hpp
+++ b/src/net/discovery_watch.hpp
@@ -50,7 +50,7 @@
 /// Threads: start() once; fetch(), follow(), begin_stop() and stop() by any. Each source has a
 /// thread of its own that the watch owns, as it owns the sockets.
 ///
-/// Bounds: kMaxSources sources at a time, lists of `list_bytes` as protocol::EndpointListParser
+/// Bounds: kMaxSources sources at a time, lists of `max_list_bytes` as protocol::EndpointListParser
 /// counts them, one read buffer a source. A list that is over the bound or malformed changes
 /// nothing: the one that is held is kept.
 ///
@@ -71,7 +71,7 @@
  public:
     /// `version` is that of the list that is held already. `pool` and `inbox` outlive the watch.
     DiscoveryWatch(std::string host, Address address, SymbolTable names, std::int64_t version,
-                   std::size_t list_bytes, protocol::BufferPool& pool, Inbox& inbox, Log& log,
+                   std::size_t max_list_bytes, protocol::BufferPool& pool, Inbox& inbox, Log& log,
                    WatchTimeouts timeouts = {}, SyncPoints* sync = nullptr);
     ~DiscoveryWatch();
     DiscoveryWatch(const DiscoveryWatch&) = delete;
@@ -120,9 +120,9 @@
     static constexpr int kMaxFetches = 3;
 
     void run(Source source);
-    [[nodiscard]] RetryState fresh_retry_state() const { return {timeouts_.initial_backoff}; }
-    void after_connection(const Source& source, RequestKind kind, const WatchEnd& end,
-                          RetryState& retry);
+    [[nodiscard]] RetryState initial_retry_state() const { return {timeouts_.initial_backoff}; }
+    void on_connection_ended(const Source& source, RequestKind kind, const WatchEnd& end,
+                             RetryState& retry);
     [[nodiscard]] std::optional<Request> next_request(Source& source, int failed_fetches);
     [[nodiscard]] bool must_stop(int generation) const;    // under the mutex
     [[nodiscard]] bool wants_fetch(int generation) const;  // under the mutex
@@ -137,12 +137,12 @@
     [[nodiscard]] std::chrono::milliseconds line_timeout(std::size_t list_size) const;
     [[nodiscard]] bool make_current(const Source& source);  // under the mutex
     // Under the mutex.
-    [[nodiscard]] bool accept(const Source& source,
-                              std::optional<protocol::EndpointListMessage> message);
+    [[nodiscard]] bool accept_line(const Source& source,
+                                   std::optional<protocol::EndpointListMessage> message);
     void pause(int generation, std::chrono::milliseconds time);
 
     const WatchTimeouts timeouts_;
-    const std::size_t list_bytes_;
+    const std::size_t max_list_bytes_;
     protocol::BufferPool& pool_;
     Inbox& inbox_;
     Log& log_;
@@ -154,7 +154,7 @@
     std::mutex mutex_;
     std::condition_variable interrupted_;
     SymbolTable names_;  // those of the deployment, and those that lists have added
-    Source newest_;
+    Source newest_source_;
     int current_generation_ = 0;  // of the latest source that has sent a line
     int started_generation_ = 0;  // of the latest source that a thread has taken up
     int running_sources_ = 0;     // threads that still look for a request
--- a/src/net/health_check_connection.cpp
+++ b/src/net/health_check_connection.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool has_come(const protocol::HttpReader& http, ResponsePart part) {
+bool is_received(const protocol::HttpReader& http, ResponsePart part) {
     return part == ResponsePart::status_line ? http.status() != 0 : http.in_body();
 }
 
@@ -21,7 +21,7 @@
       registration_(sockets, socket_) {}
 
 bool HealthCheckConnection::connect(std::chrono::milliseconds timeout) {
-    if (!socket_.is_open() || !registration_.listed()) {
+    if (!socket_.is_open() || !registration_.registered()) {
         return false;
     }
     reach(sync_, SyncPoint::health_check_registered);
@@ -42,7 +42,7 @@
 std::optional<int> HealthCheckConnection::receive_status(
     std::span<char> buffer, ResponsePart awaited, std::chrono::steady_clock::time_point deadline) {
     protocol::HttpReader http;
-    while (!has_come(http, awaited)) {
+    while (!is_received(http, awaited)) {
         if (std::chrono::steady_clock::now() >= deadline) {
             return std::nullopt;
         }
--- a/src/net/health_checker.cpp
+++ b/src/net/health_checker.cpp
@@ -13,7 +13,7 @@
 // The longest time between two looks at the health checks, in which slow starts move by steps.
 constexpr Duration kMaxSleep = std::chrono::seconds(1);
 // Of a response only the status line counts.
-constexpr std::size_t kResponseBuffer = 2'048;
+constexpr std::size_t kResponseBufferBytes = 2'048;
 
 std::chrono::milliseconds rounded_up(Duration duration) {
     return std::chrono::duration_cast<std::chrono::milliseconds>(duration) +
@@ -42,7 +42,7 @@
         stopping_ = true;
         sockets_.stop();
     }
-    wake_.notify_all();
+    wakeup_.notify_all();
     thread_.wait();
     check_threads_.wait();
 }
@@ -53,9 +53,9 @@
         if (!endpoints_.replace(std::move(plan), clock_())) {
             return false;
         }
-        replaced_ = true;
+        plan_replaced_ = true;
     }
-    wake_.notify_all();
+    wakeup_.notify_all();
     return true;
 }
 
@@ -71,17 +71,17 @@
                           routing::describe(*change));
             }
         }
-        replaced_ = false;
+        plan_replaced_ = false;
         if (auto list = endpoints_.take_changed_list(now)) {
             on_list_(std::move(*list), endpoints_.addresses());
         }
         for (Check& check : endpoints_.take_due(now)) {
             (void)check_threads_.start([this, check = std::move(check)] { run_check(check); });
         }
-        const TimePoint latest = now + kMaxSleep;
-        const TimePoint due = std::min(endpoints_.next_due().value_or(latest), latest);
-        wake_.wait_for(lock, std::max(due - clock_(), Duration{1}),
-                       [this] { return stopping_ || replaced_ || !results_.empty(); });
+        const TimePoint wake_by = now + kMaxSleep;
+        const TimePoint due = std::min(endpoints_.next_due().value_or(wake_by), wake_by);
+        wakeup_.wait_for(lock, std::max(due - clock_(), Duration{1}),
+                         [this] { return stopping_ || plan_replaced_ || !results_.empty(); });
     }
 }
 
@@ -93,7 +93,7 @@
             results_.push_back({check.server, healthy});
         }
     }
-    wake_.notify_all();
+    wakeup_.notify_all();
 }
 
 bool HealthChecker::is_healthy(const Check& check) {
@@ -115,7 +115,7 @@
     if (!connection.send(protocol::http_request(rule.http_method, host, rule.http_path), timeout)) {
         return false;
     }
-    char buffer[kResponseBuffer];
+    char buffer[kResponseBufferBytes];
     const auto status = connection.receive_status(buffer, ResponsePart::status_line, deadline);
     return status && *status >= rule.status_least && *status <= rule.status_most;
 }
--- a/src/net/health_checker.hpp
+++ b/src/net/health_checker.hpp
@@ -59,11 +59,11 @@
 
     // Guards what follows up to the threads.
     std::mutex mutex_;
-    std::condition_variable wake_;
+    std::condition_variable wakeup_;
     routing::HealthCheckedEndpoints endpoints_;
     std::vector<CheckResult> results_;  // that were not passed on yet
     bool stopping_ = false;
-    bool replaced_ = false;
+    bool plan_replaced_ = false;
 
     static constexpr std::size_t kStackBytes = 256 * 1024;
     ThreadGroup check_threads_{kMaxChecks};
--- a/src/net/poller.cpp
+++ b/src/net/poller.cpp
@@ -37,7 +37,7 @@
     return control(descriptor_.get(), EPOLL_CTL_ADD, socket, token, EPOLLIN);
 }
 
-void Poller::leave(const Socket& socket) const {
+void Poller::unwatch(const Socket& socket) const {
     (void)control(descriptor_.get(), EPOLL_CTL_DEL, socket, 0, 0);
 }
 
--- a/src/net/poller.hpp
+++ b/src/net/poller.hpp
@@ -26,7 +26,7 @@
     /// Watches a socket for input, its end and faults. False if the kernel has no room.
     [[nodiscard]] bool watch(const Socket& socket, std::uint64_t token) const;
     /// Watches it no more. One that has ended has to leave, as it is ready for ever.
-    void leave(const Socket& socket) const;
+    void unwatch(const Socket& socket) const;
     /// Whether a watched socket is watched for room to write too.
     void watch_writable(const Socket& socket, std::uint64_t token, bool wanted) const;
     /// Waits for events; gives their number, 0 once the time is over or on a fault.
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -142,7 +142,7 @@
     return result == 0;
 }
 
-void Socket::set_up(int send_bytes, int receive_bytes) const {
+void Socket::set_options(int send_bytes, int receive_bytes) const {
     const int yes = 1;
     ::setsockopt(fd(), IPPROTO_TCP, TCP_NODELAY, &yes, sizeof yes);
     ::setsockopt(fd(), SOL_SOCKET, SO_SNDBUF, &send_bytes, sizeof send_bytes);
@@ -161,9 +161,9 @@
 
 namespace {
 
-ssize_t receive_with(int fd, char* into, std::size_t most, int flags) {
+ssize_t receive_with(int fd, char* buffer, std::size_t max_bytes, int flags) {
     for (;;) {
-        const ssize_t received = ::recv(fd, into, most, flags);
+        const ssize_t received = ::recv(fd, buffer, max_bytes, flags);
         if (received >= 0) {
             return received;
         }
@@ -178,12 +178,12 @@
 
 }  // namespace
 
-ssize_t Socket::receive(char* into, std::size_t most) const {
-    return receive_with(fd(), into, most, 0);
+ssize_t Socket::receive(char* buffer, std::size_t max_bytes) const {
+    return receive_with(fd(), buffer, max_bytes, 0);
 }
 
-ssize_t Socket::receive_now(char* into, std::size_t most) const {
-    return receive_with(fd(), into, most, MSG_DONTWAIT);
+ssize_t Socket::receive_now(char* buffer, std::size_t max_bytes) const {
+    return receive_with(fd(), buffer, max_bytes, MSG_DONTWAIT);
 }
 
 ssize_t Socket::send_some(std::string_view bytes) const {
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -56,16 +56,16 @@
     [[nodiscard]] Address local() const;
     /// No Nagle, and kernel buffers of a stated size in bytes, which bounds what a peer leaves
     /// unread.
-    void set_up(int send_bytes, int receive_bytes) const;
+    void set_options(int send_bytes, int receive_bytes) const;
     /// The longest wait of each receive(); zero: no bound.
     void set_receive_timeout(std::chrono::milliseconds timeout) const;
 
     /// Whether bytes wait to be received.
     [[nodiscard]] bool has_bytes() const;
     /// Number of bytes received, or one of the constants above.
-    [[nodiscard]] ssize_t receive(char* into, std::size_t most) const;
+    [[nodiscard]] ssize_t receive(char* buffer, std::size_t max_bytes) const;
     /// The same; kTimedOut where it would wait.
-    [[nodiscard]] ssize_t receive_now(char* into, std::size_t most) const;
+    [[nodiscard]] ssize_t receive_now(char* buffer, std::size_t max_bytes) const;
     /// Sends as many bytes as go without waiting; gives their number, or kFailed.
     [[nodiscard]] ssize_t send_some(std::string_view bytes) const;
     /// Sends all and waits for the peer where it must. False on a fault.
--- a/src/net/thread_group.cpp
+++ b/src/net/thread_group.cpp
@@ -33,7 +33,7 @@
     if (started) {
         task.release();  // NOLINT(bugprone-unused-return-value): run() owns it now.
     } else {
-        on_ended();
+        on_thread_ended();
     }
     return started;
 }
@@ -43,19 +43,19 @@
     task->work();
     // What the function holds goes before the group may.
     task->work = nullptr;
-    task->group.on_ended();
+    task->group.on_thread_ended();
     return nullptr;
 }
 
-void ThreadGroup::on_ended() {
+void ThreadGroup::on_thread_ended() {
     const std::lock_guard lock(mutex_);
     --running_;
-    ended_.notify_all();
+    thread_ended_.notify_all();
 }
 
 void ThreadGroup::wait() {
     std::unique_lock lock(mutex_);
-    ended_.wait(lock, [this] { return running_ == 0; });
+    thread_ended_.wait(lock, [this] { return running_ == 0; });
 }
 
 }  // namespace micaroad::net
--- a/src/net/thread_group.hpp
+++ b/src/net/thread_group.hpp
@@ -13,9 +13,9 @@
 /// thread; wait() by none of its own.
 class ThreadGroup {
  public:
-    static constexpr std::size_t kStack = 128 * 1024;
+    static constexpr std::size_t kStackBytes = 128 * 1024;
 
-    explicit ThreadGroup(std::size_t max_threads, std::size_t stack_bytes = kStack)
+    explicit ThreadGroup(std::size_t max_threads, std::size_t stack_bytes = kStackBytes)
         : max_threads_(max_threads), stack_bytes_(stack_bytes) {}
     ~ThreadGroup() { wait(); }
     ThreadGroup(const ThreadGroup&) = delete;
@@ -30,12 +30,12 @@
  private:
     struct Task;
     static void* run(void* pointer);
-    void on_ended();
+    void on_thread_ended();
 
     const std::size_t max_threads_;
     const std::size_t stack_bytes_;
     std::mutex mutex_;
-    std::condition_variable ended_;
+    std::condition_variable thread_ended_;
     std::size_t running_ = 0;  // under the mutex
 };
 
--- a/src/net/watch_end.cpp
+++ b/src/net/watch_end.cpp
@@ -16,9 +16,9 @@
             return "interrupted";
         case WatchEndCause::reset:
             return "reset";
-        case WatchEndCause::silent:
+        case WatchEndCause::idle_timeout:
             return "silence";
-        case WatchEndCause::line_late:
+        case WatchEndCause::line_overdue:
             return "no complete line in time";
         case WatchEndCause::peer_closed:
             return "closed by server";
@@ -31,7 +31,8 @@
         case WatchEndCause::malformed_list:
             return "malformed list";
         case WatchEndCause::list_too_long:
-            return fmt::format("list over {} bytes, the bound by the memory limit", end.list_bytes);
+            return fmt::format("list over {} bytes, the bound by the memory limit",
+                               end.max_list_bytes);
     }
     return "unknown cause";
 }
--- a/src/net/watch_end.hpp
+++ b/src/net/watch_end.hpp
@@ -12,8 +12,8 @@
     not_connected,
     interrupted,  ///< superseded, stopped, or the complete list is wanted
     reset,
-    silent,     ///< no byte came in time
-    line_late,  ///< no complete line came in time
+    idle_timeout,  ///< no byte came in time
+    line_overdue,  ///< no complete line came in time
     peer_closed,
     response_complete,
     bad_status,
@@ -32,8 +32,8 @@
 struct WatchEnd {
     WatchEndCause cause;
     WatchPhase phase = WatchPhase::connecting;
-    int http_status = 0;         ///< of bad_status
-    std::size_t list_bytes = 0;  ///< of list_too_long: the bound
+    int http_status = 0;             ///< of bad_status
+    std::size_t max_list_bytes = 0;  ///< of list_too_long: the bound
 };
 std::string describe(const WatchEnd& end);
 
