--- a/src/net/acceptor.cpp
+++ b/src/net/acceptor.cpp
@@ -72,8 +72,8 @@
 void Acceptor::shutdown() {
     begin_shutdown();
     threads_.wait();
-    // Guards against a peer that hangs in sending: a socket that is shut down and holds bytes that
-    // nobody reads tells it nothing before it is closed.
+    // Closes the sockets. A peer that blocks in send() would otherwise hang: a socket that is shut
+    // down but still holds unread bytes signals nothing to the peer until it is closed.
     const std::lock_guard lock(mutex_);
     connections_.clear();
     unidentified_.clear();
@@ -96,7 +96,8 @@
         if (socket.is_open()) {
             add(std::move(socket), peer);
         } else if (is_out_of_resources(error)) {
-            // The connection waits in the backlog; an unidentified peer's end makes room for it.
+            // The connection stays in the backlog; closing an unidentified peer frees a descriptor
+            // for it.
             context_.log.warn("acceptor: accept failed error=\"{}\"", std::strerror(error));
             {
                 const std::lock_guard lock(mutex_);
@@ -126,15 +127,17 @@
     if (loop_.add(connection)) {
         return;
     }
-    context_.log.warn("acceptor: connection rejected peer={} reason=\"no room in the poller\"",
-                      text_of(peer));
+    context_.log.warn(
+        "acceptor: connection rejected peer={} reason=\"poller cannot watch the socket\"",
+        text_of(peer));
     lock.lock();
     connections_.erase(id);
     unidentified_.erase(id);
 }
 
-// Sheds an unidentified peer where it is full; false if it stays full. Whether a peer has joined
-// since it was accepted is looked up only here, where it matters.
+// Closes an idle unidentified peer if a limit is reached; returns false if none could be closed.
+// Peers that have identified themselves since they were accepted are removed from unidentified_
+// only here, when the limit is reached.
 bool Acceptor::make_room() {
     if (unidentified_.size() >= max_unidentified_) {
         std::erase_if(unidentified_, [](const Connections::value_type& entry) {
@@ -146,8 +149,8 @@
     return !full || shed_unidentified();
 }
 
-// Closes the oldest idle unidentified peer; false if there is none. Silent ones go before those in
-// the middle of a line, which may be proxies on slow links.
+// Closes the oldest idle unidentified peer; returns false if there is none. Peers that are in the
+// middle of a line are closed last, as they may be proxies on slow links.
 bool Acceptor::shed_unidentified() {
     for (const bool include_mid_line : {false, true}) {
         for (auto at = unidentified_.begin(); at != unidentified_.end(); ++at) {
@@ -187,8 +190,8 @@
     connection->close();
 }
 
-// Closes the connection that has left most unread, before any that reads loses its messages. False
-// if none has left anything.
+// Closes the connection with the most unread bytes, so that connections that do read lose no
+// messages. Returns false if no connection has unread bytes.
 bool Acceptor::shed_slowest_reader() {
     const std::lock_guard lock(mutex_);
     std::shared_ptr<Connection> slowest;
--- a/src/net/acceptor.hpp
+++ b/src/net/acceptor.hpp
@@ -1,4 +1,4 @@
-/// The planner's listening socket: accepts connections, up to a bound, and keeps the list of them.
+/// The planner's listening socket: accepts connections up to a limit and keeps a list of them.
 #pragma once
 
 #include <map>
@@ -13,22 +13,24 @@
 
 namespace micaroad::net {
 
-/// Why an Acceptor does not serve.
+/// Why Acceptor::open() failed.
 struct AcceptorError {
     enum class Cause { not_listening, no_thread };
     Cause cause;
-    SocketError socket = {};  ///< of not_listening
+    SocketError socket = {};  ///< set for not_listening
 };
 std::string describe(const AcceptorError& error);
 
-/// Accepts connections and has its event loop serve them. Owns the listening socket, the event
-/// loop, the threads of both and, with the event loop, the connections.
+/// Accepts connections and hands them to its event loop. Owns the listening socket, the event loop,
+/// the threads of both and, shared with the event loop, the connections.
 ///
-/// Bounds: the two numbers of the constructor. Past either the oldest idle unidentified peer is
-/// shed; where there is none, the new connection is rejected.
+/// Bounds: `max_connections` and `max_unidentified`. When a new connection would exceed either, the
+/// acceptor closes the oldest idle unidentified peer; if there is none, it rejects the new
+/// connection.
 ///
-/// Threads: open() once, by one thread; write(), close(), address() and begin_shutdown() from any;
-/// shutdown() from any but its own two, and it returns when these have ended.
+/// Threads: open() is called once, by one thread. Any thread may call write(), close(), address()
+/// and begin_shutdown(). Any thread except the acceptor's own two may call shutdown(), which
+/// returns when those two have ended.
 class Acceptor {
  public:
     Acceptor(const ConnectionContext& context, std::size_t max_connections,
@@ -37,31 +39,33 @@
     Acceptor(const Acceptor&) = delete;
     Acceptor& operator=(const Acceptor&) = delete;
 
-    /// Listens and starts the threads.
+    /// Starts to listen and starts the threads.
     [[nodiscard]] tl::expected<void, AcceptorError> open(const Address& address);
-    /// The address it listens on, with the port that the kernel chose if none was given.
+    /// The address the acceptor listens on, with the port that the kernel chose if the given one
+    /// was 0.
     [[nodiscard]] Address address() const { return listener_.local(); }
-    /// Closes every connection and accepts no more.
+    /// Closes every connection and accepts no new ones.
     void begin_shutdown();
     /// begin_shutdown(), then waits for the threads and closes the sockets.
     void shutdown();
-    /// Sends a message on a stream, if it is still there. A proxy that does not read loses its
-    /// stream; so does, where buffers run out, the one that has left most unread.
+    /// Sends a message on a stream; does nothing if the stream has ended. If the proxy has too many
+    /// unread bytes, its stream is closed. If the write buffers run out, the streams with the most
+    /// unread bytes are closed until the message fits.
     void write(StreamId stream, std::string_view message);
-    /// Ends a stream, if it is still there.
+    /// Closes a stream; does nothing if it has ended.
     void close(StreamId stream);
 
  private:
     using Connections = std::map<StreamId, std::shared_ptr<Connection>>;
 
-    static constexpr std::size_t kThreads = 2;  // run() and the event loop
-    /// Between two attempts to accept while descriptors or memory are short.
+    static constexpr std::size_t kThreads = 2;  // one for run(), one for the event loop
+    /// Pause between two attempts to accept while file descriptors or memory are exhausted.
     static constexpr std::chrono::milliseconds kAcceptBackoff{2};
 
     void run();
     void add(Socket socket, const Address& peer);
-    [[nodiscard]] bool make_room();          // under the mutex
-    [[nodiscard]] bool shed_unidentified();  // under the mutex
+    [[nodiscard]] bool make_room();          // requires mutex_
+    [[nodiscard]] bool shed_unidentified();  // requires mutex_
     [[nodiscard]] bool shed_slowest_reader();
     [[nodiscard]] std::shared_ptr<Connection> find(StreamId stream);
 
@@ -70,15 +74,16 @@
     const std::size_t max_unidentified_;
     Socket listener_;
 
-    // Guards what follows up to the event loop.
+    // Guards the members from here to the event loop.
     std::mutex mutex_;
     Connections connections_;
-    Connections unidentified_;  // as they were when last looked at: some may have joined since
+    Connections unidentified_;  // may hold peers that have identified themselves since; pruned by
+                                // make_room()
     std::uint64_t next_id_ = 1;
     bool shutting_down_ = false;
 
     EventLoop loop_;
-    ThreadGroup threads_{kThreads};  // last: its threads use all of the above
+    ThreadGroup threads_{kThreads};  // last member: its threads use all those above
 };
 
 }  // namespace micaroad::net
--- a/src/net/active_sockets.hpp
+++ b/src/net/active_sockets.hpp
@@ -1,4 +1,5 @@
-/// Sockets that threads wait on, so that all can be woken at once when the owner stops.
+/// A set of the sockets that threads block on, so that their owner can wake all of them when it
+/// stops.
 #pragma once
 
 #include <mutex>
@@ -8,10 +9,11 @@
 
 namespace micaroad::net {
 
-/// Refers to sockets that are in use and shuts them down on stop(); owns none. Any thread.
+/// Refers to sockets in use, without owning them, and shuts them down on stop(). All functions may
+/// be called by any thread.
 class ActiveSockets {
  public:
-    /// Keeps one socket listed as long as it lives. The socket outlives it.
+    /// Keeps one socket registered for its own lifetime. The socket must outlive it.
     class Registration {
      public:
         Registration(ActiveSockets& sockets, const Socket& socket);
@@ -19,7 +21,8 @@
         Registration(const Registration&) = delete;
         Registration& operator=(const Registration&) = delete;
 
-        /// False if stop() came first: then the socket is not listed and must not be waited on.
+        /// False if stop() was called before: then the socket is not registered, and no thread may
+        /// block on it.
         [[nodiscard]] bool registered() const { return registered_; }
 
      private:
@@ -28,12 +31,12 @@
         bool registered_;
     };
 
-    /// Shuts down all that are listed and lists no more.
+    /// Shuts down all registered sockets and registers no more.
     void stop();
     [[nodiscard]] bool stopped();
 
  private:
-    // Guards what follows; a listed socket is not closed while it is held.
+    // Guards the members below. No registered socket is closed while the mutex is held.
     std::mutex mutex_;
     std::set<const Socket*> registered_;
     bool stopped_ = false;
--- a/src/net/close_reason.cpp
+++ b/src/net/close_reason.cpp
@@ -8,17 +8,17 @@
         case MessageFault::malformed:
             return error.detail;
         case MessageFault::already_identified:
-            return "peer has identified itself already";
+            return "peer has already identified itself";
         case MessageFault::connection_closing:
-            return "connection was shed before it was identified";
+            return "connection was closed before its peer identified itself";
         case MessageFault::peer_not_reading:
-            return "peer does not read";
+            return "peer is not reading";
         case MessageFault::foreign_acknowledgement:
-            return "acknowledgement not of this proxy";
+            return "acknowledgement is not from the proxy of this connection";
         case MessageFault::report_not_allowed:
-            return "endpoint load report not of a collector";
+            return "endpoint load report is not from a collector";
         case MessageFault::demand_not_allowed:
-            return "demand report of neither a collector nor that proxy";
+            return "demand report is neither from a collector nor from the proxy it names";
     }
     return "unknown fault";
 }
--- a/src/net/close_reason.hpp
+++ b/src/net/close_reason.hpp
@@ -1,42 +1,43 @@
-/// Errors of a connection as values: why a message of its peer was not accepted, and why a
-/// connection ends. Text is made of them in this module only, for the log and for StreamClosed.
+/// Errors of a connection as values: why a peer's message was rejected, and why a connection was
+/// closed. Only this module turns them into text, for the log and for StreamClosed.
 #pragma once
 
 #include <string>
 
 namespace micaroad::net {
 
-/// What is wrong with a message that was received.
+/// Why a received message is rejected.
 enum class MessageFault {
-    unparseable,              ///< not of this protocol: nothing behind it can be trusted
-    malformed,                ///< a known kind with a value that is out of bounds
-    already_identified,       ///< a peer that has identified itself already does so again
-    connection_closing,       ///< identified itself when its connection was closing already
-    peer_not_reading,         ///< the answer to it cannot be sent
-    foreign_acknowledgement,  ///< acknowledges for another proxy, or is of no proxy
-    report_not_allowed,       ///< an endpoint load report of a peer that is no collector
-    demand_not_allowed,       ///< a demand report of neither a collector nor that proxy
+    unparseable,              ///< not of this protocol: nothing after it can be trusted
+    malformed,                ///< of a known kind, with a missing or invalid value
+    already_identified,       ///< the peer identifies itself a second time
+    connection_closing,       ///< the peer identifies itself on a connection that is being closed
+    peer_not_reading,         ///< the answer could not be sent
+    foreign_acknowledgement,  ///< an acknowledgement for another proxy, or from a peer that is no
+                              ///< proxy
+    report_not_allowed,       ///< an endpoint load report from a peer that is no collector
+    demand_not_allowed,       ///< a demand report from neither a collector nor the proxy it names
 };
 
 struct MessageError {
     MessageFault fault;
-    std::string detail;  ///< the parser's text; empty unless unparseable or malformed
+    std::string detail;  ///< the parser's message; empty unless unparseable or malformed
 };
 std::string describe(const MessageError& error);
 
-/// The event that ends a connection.
+/// The event that closes a connection.
 enum class CloseCause {
     peer_closed,
     peer_closed_mid_line,
     reset,
-    invalid_input,  ///< a message or a line that costs the peer its connection
-    join_timeout,   ///< still unidentified at its deadline
-    idle_timeout,   ///< a collector that sent nothing for too long
+    invalid_input,  ///< a message or line that the connection must be closed for
+    join_timeout,   ///< the peer was still unidentified at its deadline
+    idle_timeout,   ///< a collector sent nothing for kCollectorIdleTimeout
 };
 
 struct CloseReason {
     CloseCause cause;
-    std::string detail;  ///< of invalid_input: what was wrong
+    std::string detail;  ///< for invalid_input: what was wrong
 };
 std::string describe(const CloseReason& reason);
 
--- a/src/net/file_descriptor.hpp
+++ b/src/net/file_descriptor.hpp
@@ -7,7 +7,7 @@
 
 namespace micaroad::net {
 
-/// Owns a descriptor and closes it; -1 stands for none.
+/// Owns a file descriptor and closes it on destruction; -1 means none.
 class FileDescriptor {
  public:
     FileDescriptor() = default;
--- a/src/net/poller.hpp
+++ b/src/net/poller.hpp
@@ -1,4 +1,4 @@
-/// Which of many sockets can be read or written without waiting.
+/// Waits until any of a set of sockets can be read or written without blocking.
 #pragma once
 
 #include <cstdint>
@@ -8,28 +8,31 @@
 
 namespace micaroad::net {
 
-/// An epoll instance, level-triggered. It refers to sockets and does not own them: one that is
-/// closed leaves it. All functions may be called by any thread; wait() is for one at a time.
+/// A level-triggered epoll instance. It does not own the sockets; the kernel removes a socket from
+/// it when the socket is closed. All functions may be called by any thread, but wait() only by one
+/// at a time.
 class Poller {
  public:
-    static constexpr int kMaxEvents = 64;  ///< of one wait
-    /// Bits of Ready::events. The end of a connection and a fault count as both.
+    static constexpr int kMaxEvents = 64;  ///< per wait()
+    /// Bits of Ready::events. A closed connection and a socket error set both.
     static constexpr unsigned kReadable = 1;
     static constexpr unsigned kWritable = 2;
     struct Ready {
-        std::uint64_t token;  ///< as it was given to watch()
+        std::uint64_t token;  ///< as passed to watch()
         unsigned events;
     };
 
     Poller();
 
-    /// Watches a socket for input, its end and faults. False if the kernel has no room.
+    /// Starts to watch a socket for input, end of stream and errors. Returns false if the kernel
+    /// cannot add it.
     [[nodiscard]] bool watch(const Socket& socket, std::uint64_t token) const;
-    /// Watches it no more. One that has ended has to leave, as it is ready for ever.
+    /// Stops watching a socket. Must be called for a closed connection, which would otherwise stay
+    /// ready forever.
     void unwatch(const Socket& socket) const;
-    /// Whether a watched socket is watched for room to write too.
+    /// Sets whether a watched socket is also watched for being writable.
     void watch_writable(const Socket& socket, std::uint64_t token, bool wanted) const;
-    /// Waits for events; gives their number, 0 once the time is over or on a fault.
+    /// Waits for events and returns their number, or 0 on a timeout or an error.
     [[nodiscard]] int wait(Ready (&ready)[kMaxEvents], int milliseconds) const;
 
  private:
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-// Connections that wait to be accepted: all proxies and a flood of unidentified peers at once, as
-// far as the kernel allows. A peer that finds no place tries again after a second.
+// The listen backlog holds all proxies and a flood of unidentified peers at once, as far as the
+// kernel allows. A peer that finds it full retries after a second.
 constexpr int kBacklog = 4'096;
 
 constexpr unsigned kMaxPort = 65'535;
@@ -115,7 +115,7 @@
 
 namespace {
 
-// 0 once the socket is connected, else an error number.
+// Waits until the socket is connected. Returns 0, or an error number.
 int await_connection(int fd, std::chrono::milliseconds timeout) {
     pollfd wait{fd, POLLOUT, 0};
     if (::poll(&wait, 1, static_cast<int>(timeout.count())) != 1) {
@@ -124,7 +124,7 @@
     int error = ETIMEDOUT;
     socklen_t size = sizeof error;
     ::getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size);
-    // Shut down from elsewhere before it was connected.
+    // POLLHUP: another thread shut the socket down before it was connected.
     return (wait.revents & POLLHUP) != 0 ? ECONNABORTED : error;
 }
 
--- a/src/net/thread_group.cpp
+++ b/src/net/thread_group.cpp
@@ -12,8 +12,8 @@
     std::function<void()> work;
 };
 
-// Detached, with a count in place of a join: who ends leaves nothing behind that somebody has to
-// collect.
+// Threads are detached and counted instead of joined, so that a thread that has ended leaves
+// nothing behind to be collected.
 bool ThreadGroup::start(std::function<void()> work) {
     {
         const std::lock_guard lock(mutex_);
@@ -41,7 +41,7 @@
 void* ThreadGroup::run(void* pointer) {
     const std::unique_ptr<Task> task(static_cast<Task*>(pointer));
     task->work();
-    // What the function holds goes before the group may.
+    // Destroys what the function captured before the group's destructor can return.
     task->work = nullptr;
     task->group.on_thread_ended();
     return nullptr;
--- a/src/net/thread_group.hpp
+++ b/src/net/thread_group.hpp
@@ -1,4 +1,4 @@
-/// Threads with small stacks of a stated size, up to a bound, that can be waited for.
+/// A bounded group of threads with small stacks that can be waited for.
 #pragma once
 
 #include <condition_variable>
@@ -8,9 +8,9 @@
 
 namespace micaroad::net {
 
-/// Runs functions on threads of its own and owns these until they have ended: the destructor waits
-/// for all. Bounds their number and the stack of each, in bytes. All functions may be called by any
-/// thread; wait() by none of its own.
+/// Runs functions on its own threads. The destructor waits until all have ended. The constructor's
+/// arguments bound the number of threads and the size of each stack in bytes. All functions may be
+/// called by any thread, but wait() not by a thread of the group.
 class ThreadGroup {
  public:
     static constexpr std::size_t kStackBytes = 128 * 1024;
@@ -21,8 +21,8 @@
     ThreadGroup(const ThreadGroup&) = delete;
     ThreadGroup& operator=(const ThreadGroup&) = delete;
 
-    /// Runs `work` on a new thread. False if as many as allowed are running, or the system has no
-    /// thread left; then `work` is not run.
+    /// Runs `work` on a new thread. Returns false, without running it, if `max_threads` are running
+    /// or the system cannot create a thread.
     [[nodiscard]] bool start(std::function<void()> work);
     /// Returns once no thread is running.
     void wait();
@@ -36,7 +36,7 @@
     const std::size_t stack_bytes_;
     std::mutex mutex_;
     std::condition_variable thread_ended_;
-    std::size_t running_ = 0;  // under the mutex
+    std::size_t running_ = 0;  // guarded by mutex_
 };
 
 }  // namespace micaroad::net
--- a/src/net/watch_end.cpp
+++ b/src/net/watch_end.cpp
@@ -7,19 +7,19 @@
 std::string describe(const WatchEnd& end) {
     switch (end.cause) {
         case WatchEndCause::no_socket:
-            return "no socket";
+            return "cannot create a socket";
         case WatchEndCause::no_buffer:
             return "no read buffer left";
         case WatchEndCause::not_connected:
-            return "no connection";
+            return "connection failed or timed out";
         case WatchEndCause::interrupted:
             return "interrupted";
         case WatchEndCause::reset:
             return "reset";
         case WatchEndCause::idle_timeout:
-            return "silence";
+            return "no data received in time";
         case WatchEndCause::line_overdue:
-            return "no complete line in time";
+            return "no complete line received in time";
         case WatchEndCause::peer_closed:
             return "closed by server";
         case WatchEndCause::response_complete:
@@ -31,7 +31,7 @@
         case WatchEndCause::malformed_list:
             return "malformed list";
         case WatchEndCause::list_too_long:
-            return fmt::format("list over {} bytes, the bound by the memory limit",
+            return fmt::format("list over {} bytes, the limit derived from the memory limit",
                                end.max_list_bytes);
     }
     return "unknown cause";
--- a/src/net/watch_end.hpp
+++ b/src/net/watch_end.hpp
@@ -1,4 +1,4 @@
-/// How a connection to discovery ended, as a value; text is made of it for the log only.
+/// How a connection to discovery ended, as a value that is turned into text only for the log.
 #pragma once
 
 #include <cstddef>
@@ -10,10 +10,10 @@
     no_socket,
     no_buffer,
     not_connected,
-    interrupted,  ///< superseded, stopped, or the complete list is wanted
+    interrupted,  ///< the source was superseded, the watch stopped, or a fetch was requested
     reset,
-    idle_timeout,  ///< no byte came in time
-    line_overdue,  ///< no complete line came in time
+    idle_timeout,  ///< no byte was received in time
+    line_overdue,  ///< no complete line was received in time
     peer_closed,
     response_complete,
     bad_status,
@@ -22,18 +22,18 @@
     list_too_long,
 };
 
-/// How far a connection to discovery had come when it ended.
+/// The progress of a connection to discovery when it ended.
 enum class WatchPhase {
     connecting,
-    requested,  ///< the request was sent, no line has come
-    following,  ///< a line has come, an empty one at least
+    requested,  ///< the request was sent, no line was received
+    following,  ///< at least one line, possibly empty, was received
 };
 
 struct WatchEnd {
     WatchEndCause cause;
     WatchPhase phase = WatchPhase::connecting;
-    int http_status = 0;             ///< of bad_status
-    std::size_t max_list_bytes = 0;  ///< of list_too_long: the bound
+    int http_status = 0;             ///< set for bad_status
+    std::size_t max_list_bytes = 0;  ///< set for list_too_long: the limit
 };
 std::string describe(const WatchEnd& end);
 
