--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxLoggedLineBytes = 200;  // bytes
+constexpr std::size_t kMaxLoggedLineBytes = 200;
 
 std::string to_printable(std::string_view line) {
     std::string text(line.substr(0, kMaxLoggedLineBytes));
@@ -58,7 +58,7 @@
     }
 }
 
-// What has come is read before the deadline is looked at.
+// Received bytes are read before the deadline is checked.
 std::optional<CloseReason> Connection::on_readable(std::span<char> buffer) {
     {
         const std::lock_guard lock(mutex_);
@@ -111,8 +111,8 @@
     return role_ == Role::unidentified ? reject(reason) : reason;
 }
 
-// Guards against the `error` that is owed getting lost: the sending half is closed, and the peer is
-// read on for a while. Gives the reason back if `error` cannot be sent.
+// Sends `error` and lets the connection linger: the sending half is shut down and input is read for
+// a while, so that `error` is not lost. Returns the reason if `error` cannot be sent.
 std::optional<CloseReason> Connection::reject(CloseReason reason) {
     {
         const std::lock_guard lock(mutex_);
@@ -149,8 +149,8 @@
     return {unidentified ? CloseCause::join_timeout : CloseCause::idle_timeout, {}};
 }
 
-// An error ends the connection. A malformed message costs an identified peer that line alone; an
-// unidentified one has nothing to lose.
+// Returns an error if the connection must be closed: for an unparseable line, and for any error of
+// an unidentified peer. Another error of an identified peer is logged and costs only that line.
 Connection::MessageResult Connection::handle_line(std::string_view line) {
     const auto parsed = protocol::parse_message(line, context_.names, context_.bounds);
     if (const auto* unparseable = std::get_if<protocol::Unparseable>(&parsed)) {
@@ -172,14 +172,15 @@
     return {};
 }
 
-// False once it is closing: an unidentified peer that was shed must not become a stream.
+// Returns false if the connection is closing: an unidentified peer that was closed to make room
+// must not become a stream.
 bool Connection::identify(Role role) {
     const std::lock_guard lock(mutex_);
     if (state_ == State::closing) {
         return false;
     }
     role_ = role;
-    // At once: a long line may come right behind the joining message.
+    // Takes effect at once, as a long line may directly follow the joining message.
     line_reader_.set_max_line_bytes(protocol::LineReader::kMaxLineBytes);
     return true;
 }
@@ -250,8 +251,8 @@
     }
 }
 
-// Guards against a peer that floods: what it sends past its bound is lost, and the log gets one
-// line an interval.
+// Counts a message dropped because its peer exceeds its bound, and logs one line per
+// kDropLogInterval, so that a flood of messages does not flood the log.
 void Connection::count_dropped() {
     ++dropped_messages_;
     const auto now = steady_clock::now();
@@ -292,7 +293,7 @@
     }
 }
 
-// As much as the kernel takes at once. What is left waits until the socket is writable.
+// Sends as many bytes as the kernel accepts. The rest waits until the socket is writable.
 void Connection::send_pending() {
     bool kernel_full = false;
     while (!kernel_full && (partly_sent_ || !pending_.empty())) {
@@ -302,7 +303,7 @@
         }
         const ssize_t sent = socket_.send_some(partly_sent_->view().substr(partly_sent_bytes_));
         if (sent < 0) {
-            socket_.shut_down();  // the event loop reads its end
+            socket_.shut_down();  // the event loop reads the end of the stream
             return;
         }
         partly_sent_bytes_ += static_cast<std::size_t>(sent);
@@ -320,7 +321,7 @@
 void Connection::close() {
     const std::lock_guard lock(mutex_);
     state_ = State::closing;
-    // At once: others may need the buffers.
+    // Freed at once, as other connections may need the buffers.
     pending_.clear();
     partly_sent_.reset();
     socket_.shut_down();
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -1,5 +1,5 @@
-/// One accepted connection: parses what its peer sends into core events, and sends it what the core
-/// orders, as fast as it reads.
+/// One accepted connection: parses the peer's messages into events for the core, and sends the
+/// core's messages to the peer as fast as the peer reads them.
 #pragma once
 
 #include <atomic>
@@ -23,33 +23,37 @@
 
 namespace micaroad::net {
 
-/// What a peer has identified itself as. It changes once at most, and outlives the end.
+/// What a peer has identified itself as. Changes at most once, and is kept after the connection is
+/// closed.
 enum class Role { unidentified, collector, proxy };
 
-/// What all connections share. Everything it refers to outlives them.
+/// The resources that all connections share. Everything it refers to must outlive the connections.
 struct ConnectionContext {
     const SymbolTable& names;
     const protocol::Bounds& bounds;
-    // Three pools, so that neither endless lines nor unsent updates keep others from being read.
-    protocol::BufferPool& read_buffers;   ///< one for each thread that reads
-    protocol::BufferPool& line_buffers;   ///< parts of unfinished lines
-    protocol::BufferPool& write_buffers;  ///< what waits to be sent
+    // Separate pools, so that neither endless lines nor unsent updates stop other connections from
+    // being read.
+    protocol::BufferPool& read_buffers;   ///< one buffer per reading thread
+    protocol::BufferPool& line_buffers;   ///< unfinished lines
+    protocol::BufferPool& write_buffers;  ///< unsent bytes
     Inbox& inbox;
     Log& log;
     SyncPoints* sync = nullptr;
 };
 
 /// One accepted connection. Owns its socket and the buffers of its unfinished line and its unsent
-/// bytes. Nothing here waits: the EventLoop calls when there is something to read or to send.
+/// bytes. No function blocks: the EventLoop calls the connection when its socket can be read or
+/// written.
 ///
-/// Threads: on_readable(), on_writable(), on_closed() and deadline() are called by the event loop's
-/// thread only. send(), pending_bytes(), close(), close_if_idle() and role() may be called by any.
+/// Threads: on_readable(), on_writable(), on_closed() and deadline() are called only by the event
+/// loop's thread. Any thread may call send(), pending_bytes(), close(), close_if_idle() and role().
 ///
-/// Bounds: a line of kMaxUnidentifiedLineBytes or LineReader::kMaxLineBytes bytes, kMaxPendingBytes
-/// of unsent bytes (and one message more), kMaxAcknowledgements messages of a proxy that the core
-/// has not taken, and as many reports of a collector as Inbox allows.
+/// Bounds: a line has at most kMaxUnidentifiedLineBytes before and LineReader::kMaxLineBytes after
+/// the peer has identified itself; unsent bytes are at most kMaxPendingBytes plus one message; the
+/// core's inbox holds at most kMaxAcknowledgements messages of a proxy, and as many reports of a
+/// collector as Inbox allows.
 ///
-/// States, from left to right, and what leads from one to the next:
+/// States, from left to right, with the events that lead from one to the next:
 ///
 ///                  .-- ProxyJoined ---------> proxy ------ peer ends, bad input, close() --.
 ///                  |                                                                       |
@@ -59,67 +63,75 @@
 ///                  |                                                                       v
 ///                  '-- peer ends, join timeout, close(), close_if_idle() ------------> closing
 ///
-/// `unidentified`, `proxy` and `collector` are the Role, which stays known when the connection
-/// ends; `lingering` and `closing` are the State.
+/// `unidentified`, `proxy` and `collector` are values of Role, which is kept when the connection is
+/// closed; `lingering` and `closing` are values of State.
 class Connection {
  public:
     using TimePoint = std::chrono::steady_clock::time_point;
 
-    /// Join timeouts, from the time it was accepted. A peer that has not identified itself by then
-    /// may be closed, as the platform owes it one second; in the middle of a line it may be on a
-    /// slow link and gets what the platform owes at most, three seconds, less half of one for our
-    /// own delay. What lies in the socket by then is read first: that this process was late is no
-    /// fault of the peer's.
+    /// Time that a peer has to identify itself after it was accepted. The platform guarantees a
+    /// peer one second, so an idle peer may be closed after kJoinTimeout. A peer in the middle of a
+    /// line may be on a slow link and gets kMidLineJoinTimeout: the platform's maximum of three
+    /// seconds, minus half a second for this process's own delay. Bytes that wait in the socket are
+    /// read before the timeout is applied, so that a peer is not closed because this process was
+    /// late.
     static constexpr std::chrono::milliseconds kJoinTimeout{1'500};
     static constexpr std::chrono::milliseconds kMidLineJoinTimeout{2'500};
-    /// After `error` was sent, input is read and dropped for so long, or so many bytes, before the
-    /// close: closing a socket with unread bytes resets it, and the reset overtakes the `error`.
+    /// After `error` was sent, input is read and dropped for this long, or up to this many bytes,
+    /// before the socket is closed: closing a socket with unread bytes resets the connection, and
+    /// the peer may see the reset before the `error`.
     static constexpr std::chrono::milliseconds kLingerTimeout{500};
     static constexpr std::size_t kMaxLingerBytes = 64 * 1024;
-    /// A collector reports twice a second and reconnects at no cost. A proxy has no idle timeout:
-    /// it would lose its stream by our doing.
+    /// A collector that is silent this long is closed: it normally reports twice a second, and
+    /// reconnects at no cost. A proxy has no idle timeout, as that would end its stream without
+    /// need.
     static constexpr std::chrono::seconds kCollectorIdleTimeout{60};
-    /// Of one proxy between two turns of the core: as many acknowledgements as it can have
-    /// unanswered nonces, and as many demand reports. More is a flood, and dropped.
+    /// Messages of one proxy that the inbox holds between two turns of the core: as many
+    /// acknowledgements as a proxy can have unacknowledged nonces, and as many demand reports.
+    /// Further ones are dropped as a flood.
     static constexpr std::size_t kMaxAcknowledgements = 256;
     static constexpr std::chrono::seconds kDropLogInterval{10};
-    static constexpr std::size_t kMaxUnidentifiedLineBytes = 1024;  ///< ten times a joining message
-    /// With more unsent bytes than this a message is not taken: the proxy has stopped reading.
+    static constexpr std::size_t kMaxUnidentifiedLineBytes =
+        1024;  ///< ten times the size of a joining message
+    /// With more unsent bytes than this, send() rejects a message: the proxy has stopped reading.
     static constexpr std::size_t kMaxPendingBytes = 128 * 1024;
-    /// Kernel buffers that are asked for, in bytes; the kernel takes twice as much.
+    /// Requested sizes of the kernel's buffers; the kernel allocates twice as much.
     static constexpr int kSendBufferBytes = 16 * 1024;
     static constexpr int kReceiveBufferBytes = 8 * 1024;
 
     Connection(ConnectionContext& context, StreamId id, Socket socket, std::string peer);
 
-    /// The poller that tells of its socket. To be called before any other thread has it.
+    /// Sets the poller that watches the socket. Must be called before other threads can use the
+    /// connection.
     void attach(const Poller& poller) { poller_ = &poller; }
-    /// Has the poller watch the socket. False if the kernel has no room for it; true also if it was
-    /// closed meanwhile, as it then ends with its last owner.
+    /// Has the poller watch the socket. Returns false if the kernel cannot add it; true also if the
+    /// connection was closed in the meantime, as it is then destroyed with its last owner.
     [[nodiscard]] bool watch();
 
-    /// Reads once, into `buffer`, and handles what came; then looks at the deadline. Gives the
-    /// reason if the connection is to end now.
+    /// Reads once, into `buffer`, and handles the bytes, then checks the deadline. Returns the
+    /// reason if the connection must be closed now.
     [[nodiscard]] std::optional<CloseReason> on_readable(std::span<char> buffer);
-    /// Sends what the kernel has room for.
+    /// Sends as many pending bytes as the kernel accepts.
     void on_writable();
-    /// Closes it and notifies the core, or the log, of its end.
+    /// Closes the connection and reports that to the core, for a proxy, or to the log.
     void on_closed(const CloseReason& reason);
-    /// When it has to be looked at although nothing came; absent: never.
+    /// When the connection must be checked even without input; absent if never.
     [[nodiscard]] std::optional<TimePoint> deadline() const;
 
     enum class SendResult {
-        accepted,          ///< sent or queued, or dropped as the connection is closing
-        peer_not_reading,  ///< over kMaxPendingBytes
+        accepted,          ///< sent or queued, or dropped because the connection is closing
+        peer_not_reading,  ///< more than kMaxPendingBytes are unsent
         no_buffer,         ///< the write pool is empty
     };
     [[nodiscard]] SendResult send(std::string_view message);
-    /// Bytes that wait to be sent.
+    /// Number of unsent bytes.
     [[nodiscard]] std::size_t pending_bytes();
-    /// Ends it: drops what waits to be sent, and lets the event loop read the end.
+    /// Drops unsent bytes and shuts the socket down; the event loop then reads the end of the
+    /// stream.
     void close();
-    /// Closes it if it is an unidentified peer of whom nothing waits to be read; one that has begun
-    /// a line only if `include_mid_line`. False if it was left as it is.
+    /// Closes the connection if its peer is unidentified and none of its bytes wait to be read. A
+    /// peer in the middle of a line is closed only if `include_mid_line`. Returns whether it was
+    /// closed.
     [[nodiscard]] bool close_if_idle(bool include_mid_line);
 
     [[nodiscard]] Role role() const { return role_; }
@@ -129,10 +141,10 @@
  private:
     using MessageResult = tl::expected<void, MessageError>;
 
-    /// `lingering`: `error` was sent and input counts no more. `closing`: the socket is shut down.
+    /// `lingering`: `error` was sent, input is dropped. `closing`: the socket is shut down.
     enum class State { open, lingering, closing };
 
-    /// Since when and how much a lingering connection has been read.
+    /// Why a connection lingers, since when, and how much was read since.
     struct Linger {
         CloseReason reason;
         TimePoint since;
@@ -152,7 +164,7 @@
     [[nodiscard]] MessageResult handle(const event::DemandReport& report);
     void put_bounded(std::size_t max_events, CoreEvent event);
     void count_dropped();
-    void send_pending();  // under the mutex
+    void send_pending();  // requires mutex_
 
     ConnectionContext& context_;
     const Poller* poller_ = nullptr;
@@ -161,24 +173,24 @@
     const std::string peer_;
     std::atomic<Role> role_{Role::unidentified};
 
-    // The event loop's thread alone uses these.
+    // Used only by the event loop's thread.
     ProxyId proxy_{-1};
     protocol::LineReader line_reader_;
     const TimePoint accepted_at_;
     TimePoint last_message_at_;
     TimePoint drops_logged_at_;
     std::size_t dropped_messages_ = 0;  // since drops_logged_at_
-    std::optional<Linger> linger_;      // set exactly while it lingers, and kept when it closes
+    std::optional<Linger> linger_;      // set when lingering begins, and kept after the close
 
-    // Guards what follows, and the change of role_: no peer is identified once it is closing.
+    // Guards the members below and changes of role_: no peer is identified once it is closing.
     std::mutex mutex_;
     State state_ = State::open;
-    protocol::BufferChain pending_;                            // not given to the kernel yet
-    std::optional<protocol::BufferChain::Piece> partly_sent_;  // stands before pending_
-    std::size_t partly_sent_bytes_ = 0;                        // of partly_sent_, already sent
+    protocol::BufferChain pending_;                            // not yet passed to the kernel
+    std::optional<protocol::BufferChain::Piece> partly_sent_;  // precedes pending_
+    std::size_t partly_sent_bytes_ = 0;                        // how much of partly_sent_ is sent
     bool watches_writable_ = false;
-    bool reading_ = false;   // bytes may be out of the kernel and not handled yet
-    bool mid_line_ = false;  // as line_reader_ was after the last read
+    bool reading_ = false;   // received bytes may not be handled yet
+    bool mid_line_ = false;  // state of line_reader_ after the last read
 };
 
 }  // namespace micaroad::net
--- a/src/net/discovery_connection.cpp
+++ b/src/net/discovery_connection.cpp
@@ -1,4 +1,4 @@
-// One connection of the watch, from the request to its end. Sources are in discovery_watch.cpp.
+// One connection of the watch, from its request to its end. Sources are in discovery_watch.cpp.
 #include <utility>
 
 #include "net/discovery_watch.hpp"
@@ -12,7 +12,7 @@
 
 constexpr int kOk = 200;
 
-// Keeps the socket of a connection in the map of those in use, for whoever interrupts it.
+// Keeps a connection's socket in the map of open ones, so that other threads can interrupt it.
 class SocketRegistration {
  public:
     using Sockets = std::map<int, const Socket*>;
@@ -37,13 +37,13 @@
 
 }  // namespace
 
-/// A response that is being read.
+/// The state of a response that is being read.
 struct DiscoveryWatch::Response {
     protocol::HttpReader http;
     protocol::EndpointListParser lists;
     steady_clock::time_point last_line = steady_clock::now();
     bool line_received = false;  // since last_line was set
-    bool superseded = false;     // what comes counts no more
+    bool superseded = false;     // further lines are ignored
     WatchPhase phase = WatchPhase::requested;
 
     [[nodiscard]] WatchEnd end(WatchEndCause cause) const { return {cause, phase}; }
@@ -63,8 +63,8 @@
         return {WatchEndCause::not_connected};
     }
     reach(sync_, SyncPoint::watch_connected);
-    // A socket that is shut down before it is connected may not notice: an interruption in between
-    // is looked up.
+    // A shutdown before the socket was connected may have had no effect, so this checks for an
+    // interruption again.
     if (is_interrupted(source, request.kind)) {
         return {WatchEndCause::interrupted};
     }
@@ -110,12 +110,13 @@
     }
 }
 
-// Absent: the response goes on.
+// Handles received bytes. Returns the end of the connection, or nothing while the response
+// continues.
 std::optional<WatchEnd> DiscoveryWatch::handle_bytes(const Source& source, Response& response,
                                                      std::string_view bytes) {
     using protocol::EndpointListError;
     auto error = EndpointListError::none;
-    // Under the mutex, so no clock is read here.
+    // Called with mutex_ held, so it does not read the clock.
     const auto take_line = [&](std::optional<protocol::EndpointListMessage> message) {
         response.line_received = true;
         if (response.superseded) {
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -1,4 +1,4 @@
-// Sources and what is asked of them. One connection is in discovery_connection.cpp.
+// The watch's sources, requests and retries. A single connection is in discovery_connection.cpp.
 #include "net/discovery_watch.hpp"
 
 #include <fmt/format.h>
@@ -72,7 +72,7 @@
     newest_source_ = {std::move(host), address, newest_source_.generation + 1};
     interrupt_superseded();
     if (running_sources_ == kMaxSources) {
-        return;  // the first that ends takes it up
+        return;  // the first thread whose source must stop takes the new one
     }
     const bool started = threads_.start([this, source = newest_source_] { run(source); });
     started_generation_ = newest_source_.generation;
@@ -82,17 +82,18 @@
     }
     log_.error("discovery: address not followed server={} reason=\"no thread\"",
                newest_source_.host);
-    newest_source_.host.clear();  // so that it can be given again
+    newest_source_.host.clear();  // so that follow() accepts the same host again
 }
 
-// Stopping, superseded, or never heard from and no longer the one given last.
+// True if the watch is stopping, if the source is superseded, or if it is neither current nor the
+// newest.
 bool DiscoveryWatch::must_stop(int generation) const {
     const bool current = generation == current_generation_;
     return stopping_ || generation < current_generation_ ||
            (!current && generation != newest_source_.generation);
 }
 
-// Only the current source fetches: another one sends the complete list at first anyway.
+// Only the current source fetches: a new source sends the complete list first anyway.
 bool DiscoveryWatch::wants_fetch(int generation) const {
     return fetch_wanted_ && generation == current_generation_;
 }
@@ -114,13 +115,13 @@
     interrupted_.notify_all();
 }
 
-// Ends early if the source must stop.
+// Waits for `time`, or until the source must stop.
 void DiscoveryWatch::pause(int generation, std::chrono::milliseconds time) {
     std::unique_lock lock(mutex_);
     (void)interrupted_.wait_for(lock, time, [this, generation] { return must_stop(generation); });
 }
 
-// Of a source that has sent a line. False if it counts no more.
+// Makes a source that has sent a line the current one. Returns false if it must stop.
 bool DiscoveryWatch::make_current(const Source& source) {
     if (must_stop(source.generation)) {
         return false;
@@ -134,14 +135,14 @@
     return true;
 }
 
-// Absent: this thread has nothing left to do. A thread whose source must stop goes on with the
-// newest one, if no other has it.
+// Returns the next request, or nothing if the thread must end. A thread whose source must stop
+// takes the newest source if no other thread has it.
 std::optional<DiscoveryWatch::Request> DiscoveryWatch::next_request(Source& source,
                                                                     int failed_fetches) {
     const std::lock_guard lock(mutex_);
     if (must_stop(source.generation)) {
-        // Guards against an address that was given while every thread still had one: none would
-        // take it up.
+        // The thread ends unless a source was given while every thread had one: no other thread
+        // would follow that source.
         if (stopping_ || started_generation_ == newest_source_.generation) {
             --running_sources_;
             return std::nullopt;
@@ -159,8 +160,8 @@
     return Request{RequestKind::watch, fmt::format("{}?stream=1&index={}", kFetchTarget, version_)};
 }
 
-// Only the list of the current source can be lost: one that was given and has sent nothing takes
-// nothing away.
+// Logs a failed connection. Only the current source's failure is reported to the core: a new source
+// that has sent nothing yet does not affect the list.
 void DiscoveryWatch::report_loss(const Source& source, const WatchEnd& end) {
     const std::lock_guard lock(mutex_);
     const bool current = source.generation == current_generation_;
@@ -193,15 +194,15 @@
     }
 }
 
-// Logs a loss once and pauses, unless the connection ended as it should: the list has come that was
-// fetched, or something else is to be done now.
+// Logs a loss once and pauses, unless the connection ended as intended: the fetched list was
+// received, or another request is due at once.
 void DiscoveryWatch::on_connection_ended(const Source& source, RequestKind kind,
                                          const WatchEnd& end, RetryState& retry) {
     const bool fetching = kind == RequestKind::fetch;
     const bool too_long = end.cause == WatchEndCause::list_too_long;
     const bool interrupted = is_interrupted(source, RequestKind::watch);
     retry.failed_fetches = fetching && interrupted ? retry.failed_fetches + 1 : 0;
-    // A list that is too long is logged once, not after each empty line that came before it.
+    // A list over the limit is logged once, not again after each empty line that precedes it.
     if (end.phase == WatchPhase::following && !too_long) {
         retry.backoff = timeouts_.initial_backoff;
         retry.loss_logged = false;
@@ -221,8 +222,8 @@
     retry.backoff = std::min(retry.backoff * 2, timeouts_.max_backoff);
 }
 
-// What one line has brought; without a list it was empty, a sign of life as good as any. False if
-// the source counts no more.
+// Handles one received line: a list, or none for an empty line, which only shows that the source is
+// alive. Returns false if the source must stop.
 bool DiscoveryWatch::accept_line(const Source& source,
                                  std::optional<protocol::EndpointListMessage> message) {
     if (!make_current(source)) {
@@ -233,7 +234,7 @@
     }
     const bool complete = message->list.form == event::EndpointListUpdate::Form::complete;
     if (complete) {
-        // Not before it has come: a response that breaks off is asked for again.
+        // Cleared only now, so that a response that breaks off is requested again.
         fetch_wanted_ = false;
     }
     if (complete || message->version > version_) {
--- a/src/net/discovery_watch.hpp
+++ b/src/net/discovery_watch.hpp
@@ -1,4 +1,4 @@
-/// The watch on discovery's endpoint list.
+/// Follows discovery's endpoint list.
 #pragma once
 
 #include <chrono>
@@ -22,39 +22,40 @@
 
 namespace micaroad::net {
 
-/// Times that a DiscoveryWatch goes by.
+/// Timeouts and pauses of a DiscoveryWatch.
 struct WatchTimeouts {
-    /// Without a byte: discovery sends something every 2 s.
+    /// Longest time without a received byte; discovery sends something every 2 s.
     std::chrono::milliseconds idle{2'600};
-    /// Between two lines, and a second more for each kMinListRate bytes of a list: it may take
-    /// longer to come in full than its first byte.
+    /// Longest time between two lines, plus one second for each kMinListRate bytes of an unfinished
+    /// list, as a large list takes longer to transfer.
     std::chrono::milliseconds line{5'000};
     std::chrono::milliseconds connect{400};
-    /// Between two connections; the pause doubles from the first to the second.
+    /// Pause between two connections; it doubles from initial_backoff up to max_backoff.
     std::chrono::milliseconds initial_backoff{100};
     std::chrono::milliseconds max_backoff{500};
-    /// After a list over the bound, which is likely to come again as long; below the 6 s in which a
-    /// change is due.
+    /// Pause after a list over the limit, as the next one is likely to be as long; below the 6 s
+    /// within which a change must take effect.
     std::chrono::milliseconds oversized_list_backoff{5'000};
-    /// Between two fetches of the complete list, so that a discovery whose versions never fit is
-    /// asked no faster.
+    /// Minimum time between two fetches of the complete list, which limits the load on a discovery
+    /// service whose versions never match.
     std::chrono::milliseconds fetch_interval{500};
     static constexpr std::size_t kMinListRate = 512 * 1024;  ///< bytes a second
 };
 
-/// Follows discovery's endpoint list on one connection, reconnects with a growing pause whenever it
-/// breaks or falls silent, and puts what comes into the inbox. Fetches the complete list on demand.
-/// Given another address it connects to that at once, and keeps the old connection until the new
-/// one has sent its first line: the new source then supersedes the old one.
+/// Follows discovery's endpoint list over one connection and puts each received list into the
+/// inbox. Reconnects with a growing pause when the connection breaks or times out. Fetches the
+/// complete list on request. When given another address, it connects to that at once but keeps the
+/// old connection until the new one has sent its first line; the new source then supersedes the old
+/// one.
 ///
-/// Threads: start() once; fetch(), follow(), begin_stop() and stop() by any. Each source has a
-/// thread of its own that the watch owns, as it owns the sockets.
+/// Threads: start() is called once; any thread may call fetch(), follow(), begin_stop() and stop().
+/// Each source has its own thread. The watch owns these threads and the sockets.
 ///
-/// Bounds: kMaxSources sources at a time, lists of `max_list_bytes` as protocol::EndpointListParser
-/// counts them, one read buffer a source. A list that is over the bound or malformed changes
-/// nothing: the one that is held is kept.
+/// Bounds: kMaxSources sources at a time, one read buffer per source, and lists of at most
+/// `max_list_bytes` as protocol::EndpointListParser counts them. A list that is over the limit or
+/// malformed is ignored, and the previous list is kept.
 ///
-/// It ends with stop(): sockets are shut down, pauses are broken off, threads are waited for.
+/// stop() shuts the sockets down, interrupts pauses and waits for the threads.
 ///
 /// A source's thread goes through these phases; all but `backoff` are the WatchPhase of a
 /// connection:
@@ -65,11 +66,12 @@
 ///       |                                |  end, fault, timeout
 ///       '----------- backoff <-----------'
 ///
-/// From any of them it goes to its end once it is superseded or the watch stops, and from
-/// `following` at once to `connecting` when the complete list is wanted.
+/// A source that is superseded, or whose watch stops, leaves any phase at once. A requested fetch
+/// leads from `following` to `connecting` at once.
 class DiscoveryWatch {
  public:
-    /// `version` is that of the list that is held already. `pool` and `inbox` outlive the watch.
+    /// `version` is the version of the list that the planner already has. `pool` and `inbox` must
+    /// outlive the watch.
     DiscoveryWatch(std::string host, Address address, SymbolTable names, std::int64_t version,
                    std::size_t max_list_bytes, protocol::BufferPool& pool, Inbox& inbox, Log& log,
                    WatchTimeouts timeouts = {}, SyncPoints* sync = nullptr);
@@ -77,46 +79,46 @@
     DiscoveryWatch(const DiscoveryWatch&) = delete;
     DiscoveryWatch& operator=(const DiscoveryWatch&) = delete;
 
-    /// False if there is no thread for it.
+    /// Returns false if no thread can be started.
     [[nodiscard]] bool start();
-    /// Breaks off all that is under way, without waiting.
+    /// Interrupts all connections and pauses without waiting for the threads.
     void begin_stop();
     /// begin_stop(), then waits for the threads.
     void stop();
-    /// Fetches the complete list once more; it is asked for until it has come, or kMaxFetches in a
-    /// row came to nothing.
+    /// Requests the complete list, until it has been received or kMaxFetches requests in a row have
+    /// failed.
     void fetch();
-    /// Follows another address; nothing happens if it has the host that was given last.
+    /// Follows another address; does nothing if `host` is the same as in the last call.
     void follow(std::string host, Address address);
 
  private:
-    /// An address to follow. Generations count up; a source supersedes all earlier ones once it has
-    /// sent a line.
+    /// An address to follow. Each source has a higher generation than the one before, and
+    /// supersedes all earlier ones once it has sent a line.
     struct Source {
         std::string host;
         Address address;
         int generation = 0;
     };
     enum class RequestKind {
-        watch,  ///< changes from a version on, in an answer without end
+        watch,  ///< changes since a version, in a response that does not end
         fetch,  ///< the complete list
     };
     struct Request {
         RequestKind kind;
         std::string target;
     };
-    /// What a source's thread remembers from one connection to the next.
+    /// State of a source's thread that is kept from one connection to the next.
     struct RetryState {
         std::chrono::milliseconds backoff;
-        bool loss_logged = false;  // since it last received a line
+        bool loss_logged = false;  // since a line was last received
         int failed_fetches = 0;    // in a row
     };
     struct Response;
 
-    /// The current source, the one given last, and one that is being left. What is given while all
-    /// have their thread is taken up by the first that ends.
+    /// The current source, the newest one, and one that is ending. A source that is given while all
+    /// three have a thread is taken over by the first thread whose source must stop.
     static constexpr int kMaxSources = 3;
-    /// After so many fetches in a row that came to nothing the watch goes on, from version 0.
+    /// After this many failed fetches in a row, the watch resumes from version 0.
     static constexpr int kMaxFetches = 3;
 
     void run(Source source);
@@ -124,10 +126,10 @@
     void on_connection_ended(const Source& source, RequestKind kind, const WatchEnd& end,
                              RetryState& retry);
     [[nodiscard]] std::optional<Request> next_request(Source& source, int failed_fetches);
-    [[nodiscard]] bool must_stop(int generation) const;    // under the mutex
-    [[nodiscard]] bool wants_fetch(int generation) const;  // under the mutex
+    [[nodiscard]] bool must_stop(int generation) const;    // requires mutex_
+    [[nodiscard]] bool wants_fetch(int generation) const;  // requires mutex_
     [[nodiscard]] bool is_interrupted(const Source& source, RequestKind under_way);
-    void interrupt_superseded();  // under the mutex
+    void interrupt_superseded();  // requires mutex_
     void report_loss(const Source& source, const WatchEnd& end);
     [[nodiscard]] WatchEnd connect_and_read(const Source& source, const Request& request);
     [[nodiscard]] WatchEnd read_response(const Source& source, RequestKind kind,
@@ -135,8 +137,8 @@
     [[nodiscard]] std::optional<WatchEnd> handle_bytes(const Source& source, Response& response,
                                                        std::string_view bytes);
     [[nodiscard]] std::chrono::milliseconds line_timeout(std::size_t list_size) const;
-    [[nodiscard]] bool make_current(const Source& source);  // under the mutex
-    // Under the mutex.
+    [[nodiscard]] bool make_current(const Source& source);  // requires mutex_
+    // Requires mutex_.
     [[nodiscard]] bool accept_line(const Source& source,
                                    std::optional<protocol::EndpointListMessage> message);
     void pause(int generation, std::chrono::milliseconds time);
@@ -148,23 +150,23 @@
     Log& log_;
     SyncPoints* const sync_;
 
-    // Guards what follows up to the threads. Held while lists are parsed, as names_ grows by them,
-    // and while they go into the inbox: so nothing of a superseded source comes behind the first
-    // list of a later one.
+    // Guards the members from here to the threads. Held while lists are parsed, as that adds names
+    // to names_, and while they are put into the inbox, so that no list of a superseded source
+    // follows the first list of a later one.
     std::mutex mutex_;
     std::condition_variable interrupted_;
-    SymbolTable names_;  // those of the deployment, and those that lists have added
+    SymbolTable names_;  // the deployment's names and those added by lists
     Source newest_source_;
-    int current_generation_ = 0;  // of the latest source that has sent a line
-    int started_generation_ = 0;  // of the latest source that a thread has taken up
-    int running_sources_ = 0;     // threads that still look for a request
-    std::int64_t version_;        // of the list that is held
+    int current_generation_ = 0;  // latest source that has sent a line
+    int started_generation_ = 0;  // latest source that has had a thread
+    int running_sources_ = 0;     // threads that may still make requests
+    std::int64_t version_;        // version of the list that the planner has
     bool fetch_wanted_ = false;
     bool stopping_ = false;
-    std::map<int, const Socket*> sockets_;  // in use, by generation
+    std::map<int, const Socket*> sockets_;  // open connections by generation
 
-    // Last: its threads use all of the above. Some may look for no request any more and not have
-    // ended yet, so there is room for twice as many.
+    // Last member: its threads use all those above. A thread that makes no more requests may not
+    // have ended yet, hence twice as many threads as sources.
     ThreadGroup threads_{2 * kMaxSources};
 };
 
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -10,7 +10,7 @@
 EventLoop::EventLoop(ConnectionContext& context, std::function<void(StreamId)> on_closed)
     : context_(context), on_closed_(std::move(on_closed)) {}
 
-// In the maps before it is watched, so that its first event finds it.
+// Inserts the connection before the poller watches it, so that its first event finds it.
 bool EventLoop::add(const std::shared_ptr<Connection>& connection) {
     const StreamId id = connection->id();
     const auto deadline = connection->deadline();
@@ -69,7 +69,7 @@
         close(connection, *reason);
         return;
     }
-    // Only a connection that lingers since just now has an earlier deadline than before.
+    // Only a connection that has just begun to linger has an earlier deadline than before.
     const auto after = connection->deadline();
     if (before && after && *after < *before) {
         schedule(connection->id(), *after);
@@ -85,8 +85,9 @@
     on_closed_(connection->id());
 }
 
-// A connection whose deadline has moved meanwhile gets the new one, or none. One whose bytes have
-// not been read yet, as this process had no time, is read now.
+// Handles the connections whose entry in deadlines_ has expired. If a connection's deadline has
+// moved, it is scheduled again, if it still has one. Otherwise the connection is read first, in
+// case this process was late to read its bytes, and closed if the deadline still holds.
 void EventLoop::serve_overdue(std::span<char> buffer) {
     const TimePoint now = steady_clock::now();
     while (const auto connection = take_overdue(now)) {
@@ -104,8 +105,8 @@
     }
 }
 
-// Takes the earliest entry that is over; empty: none is. Entries of connections that have ended
-// are passed over.
+// Removes the earliest expired entry and returns its connection, or null if no entry has expired.
+// Skips entries of connections that are closed.
 std::shared_ptr<Connection> EventLoop::take_overdue(TimePoint now) {
     const std::lock_guard lock(mutex_);
     while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -1,4 +1,4 @@
-/// The thread that serves all connections: whichever can be read or written gets its turn.
+/// Serves all connections on one thread, each when its socket can be read or written.
 #pragma once
 
 #include <atomic>
@@ -13,36 +13,38 @@
 
 namespace micaroad::net {
 
-/// Serves all connections from one thread. Owns the poller and, with the Acceptor, the connections.
+/// Serves all connections on one thread. Owns the poller and, shared with the Acceptor, the
+/// connections.
 ///
-/// The design has a thread for each reader and writer. A planner of the whole fleet has two
-/// thousand connections, and processes may not have two threads for each of these everywhere
-/// (docs/limits.md has what was seen); a planner has one core, so one thread loses nothing.
-/// The sockets stay blocking: they are read and written only as far as they can be without waiting.
+/// The design has a thread for each reader and writer; this class deviates from it. A planner of
+/// the whole fleet has two thousand connections, and not every host lets a process have two threads
+/// for each (see docs/limits.md). A planner has one core, so a single thread costs nothing. The
+/// sockets stay blocking, but are read and written only as far as that does not block.
 ///
-/// Threads: add() and stop() from any; run() on a thread of its own, which alone calls the
-/// connections' handlers; release_all() once run() has returned. It ends within kMaxWait of stop().
+/// Threads: any thread may call add() and stop(). run() has a thread of its own, the only one that
+/// calls the connections' handlers, and returns within kMaxWait of stop(). release_all() is called
+/// once run() has returned.
 class EventLoop {
  public:
     using TimePoint = std::chrono::steady_clock::time_point;
-    /// `on_closed` is called for each connection that ended, by the thread of run().
+    /// `on_closed` is called for each closed connection, on the thread of run().
     EventLoop(ConnectionContext& context, std::function<void(StreamId)> on_closed);
     EventLoop(const EventLoop&) = delete;
     EventLoop& operator=(const EventLoop&) = delete;
 
-    /// Serves the connection from now on. False if the poller has no room for it; then it is not
-    /// kept.
+    /// Starts to serve the connection. Returns false, without keeping it, if the poller cannot
+    /// watch it.
     [[nodiscard]] bool add(const std::shared_ptr<Connection>& connection);
-    /// Serves until stop(). Needs one read buffer; without it, logs that and returns.
+    /// Serves until stop(). Needs one read buffer; logs an error and returns if there is none.
     void run();
     /// Makes run() return.
     void stop() { stopping_ = true; }
-    /// Drops all connections that are left.
+    /// Releases all remaining connections.
     void release_all();
 
  private:
-    /// The longest wait for events. A new connection's deadline and stop() do not wake the poller,
-    /// so they may be noticed so much late.
+    /// Maximum wait for events. A new connection's deadline and stop() do not wake the poller, so
+    /// they are noticed up to this much late.
     static constexpr std::chrono::milliseconds kMaxWait{200};
 
     [[nodiscard]] std::shared_ptr<Connection> find(StreamId id);
@@ -59,10 +61,11 @@
     Poller poller_;
     std::atomic<bool> stopping_{false};
 
-    // Guards both maps. No connection is called with it held.
+    // Guards both maps. Not held while a connection is called.
     std::mutex mutex_;
     std::map<StreamId, std::shared_ptr<Connection>> connections_;
-    // When to look at a connection. An entry may be out of date: the connection is asked again.
+    // When to check which connection. Entries may be outdated, so Connection::deadline() is checked
+    // again.
     std::multimap<TimePoint, StreamId> deadlines_;
 };
 
--- a/src/net/health_check_connection.cpp
+++ b/src/net/health_check_connection.cpp
@@ -29,7 +29,7 @@
         return false;
     }
     reach(sync_, SyncPoint::health_check_connected);
-    // A socket that is shut down before it is connected may not notice.
+    // A shutdown before the socket was connected may have had no effect.
     return !sockets_.stopped();
 }
 
--- a/src/net/health_check_connection.hpp
+++ b/src/net/health_check_connection.hpp
@@ -12,25 +12,27 @@
 
 namespace micaroad::net {
 
-/// How much of a response has to come before its status counts.
+/// The part of a response that must be received before its status is used.
 enum class ResponsePart { status_line, headers };
 
-/// Connects to an endpoint and, if the check asks for it, reads the status of an HTTP response.
-/// Owns its socket, which is listed in `sockets` for as long: stopping these ends every wait here
-/// early, as failed. For one thread; each function is to be called once, in this order.
+/// Connects to an endpoint and, if the check needs it, reads the status of an HTTP response. Owns
+/// its socket, which stays registered in `sockets`: stopping these makes a blocked call fail at
+/// once. For one thread; each function is called once, in the order below.
 class HealthCheckConnection {
  public:
-    /// `sync`, with its two points around the connecting, is for tests; absent in service.
+    /// `sync`, with one point before and one after connecting, is for tests; null in production.
     HealthCheckConnection(ActiveSockets& sockets, const Address& address,
                           SyncPoints* sync = nullptr);
 
-    /// False if there is no connection within `timeout`, or the check was stopped.
+    /// Connects. Returns false on an error, after `timeout`, or if the check was stopped.
     [[nodiscard]] bool connect(std::chrono::milliseconds timeout);
-    /// Sends a request; each later receive waits `receive_timeout` at most. False on a fault.
+    /// Sends a request and limits each later receive to `receive_timeout`. Returns false on an
+    /// error.
     [[nodiscard]] bool send(std::string_view request, std::chrono::milliseconds receive_timeout);
-    /// Gives the status of the response once `awaited` has come; absent if the peer ended, what it
-    /// sent is no HTTP, a receive timed out, or `deadline` passed. A receive that began before the
-    /// deadline may go on after it. What is read goes through `buffer`; a body is dropped.
+    /// Returns the status of the response once `awaited` was received. Absent if the peer closed
+    /// the connection, its response is not valid HTTP, a receive timed out, or `deadline` passed. A
+    /// receive that began before the deadline may continue after it. `buffer` holds the received
+    /// bytes; a body is dropped.
     [[nodiscard]] std::optional<int> receive_status(std::span<char> buffer, ResponsePart awaited,
                                                     std::chrono::steady_clock::time_point deadline);
 
@@ -39,7 +41,7 @@
     const Address address_;
     SyncPoints* const sync_;
     const Socket socket_;
-    const ActiveSockets::Registration registration_;  // last: it goes before its socket
+    const ActiveSockets::Registration registration_;  // last member: destroyed before its socket
 };
 
 }  // namespace micaroad::net
--- a/src/net/health_check_runner.hpp
+++ b/src/net/health_check_runner.hpp
@@ -1,4 +1,4 @@
-/// Health checks that the core orders, each over a connection of its own.
+/// Runs the health checks that the core orders, each over its own connection.
 #pragma once
 
 #include <chrono>
@@ -13,13 +13,13 @@
 
 namespace micaroad::net {
 
-/// Checks endpoints with `GET /ping` when it is asked, and puts a HealthCheckCompleted into the
-/// inbox for each: healthy if the status is 200.
+/// Checks endpoints with `GET /ping` on request and puts a HealthCheckCompleted into the inbox for
+/// each: the endpoint is healthy if the status is 200.
 ///
-/// Threads: ask(), begin_stop() and stop() by any. Each check runs on a thread of its own, which
-/// the health_checks owns. Bounds: kMaxChecks at a time, and kTimeout to connect, and again to
-/// answer. It ends with stop(): checks that are under way are broken off, count as failed, and are
-/// waited for.
+/// Threads: any thread may call start_check(), begin_stop() and stop(). Each check runs on its own
+/// thread, which the runner owns. Bounds: kMaxChecks run at a time; a check has kTimeout to connect
+/// and again kTimeout to receive the response. stop() aborts running checks, which then count as
+/// failed, and waits for them.
 class HealthCheckRunner {
  public:
     static constexpr std::size_t kMaxChecks = 16;
@@ -32,10 +32,10 @@
     HealthCheckRunner(const HealthCheckRunner&) = delete;
     HealthCheckRunner& operator=(const HealthCheckRunner&) = delete;
 
-    /// Starts a check. It counts as failed at once if the address cannot be parsed or kMaxChecks
-    /// are under way.
+    /// Starts a check. The check fails at once if the address cannot be parsed or kMaxChecks are
+    /// running.
     void start_check(const ServerId& server, const std::string& address);
-    /// Breaks off all checks, without waiting for them.
+    /// Aborts all checks without waiting for them.
     void begin_stop() { sockets_.stop(); }
     /// begin_stop(), then waits.
     void stop();
@@ -48,7 +48,7 @@
     const Clock clock_;
     SyncPoints* const sync_;
     ActiveSockets sockets_;
-    ThreadGroup threads_{kMaxChecks};  // last: its threads use all of the above
+    ThreadGroup threads_{kMaxChecks};  // last member: its threads use all those above
 };
 
 }  // namespace micaroad::net
--- a/src/net/health_checker.cpp
+++ b/src/net/health_checker.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-// The longest time between two looks at the health checks, in which slow starts move by steps.
+// Longest sleep between two passes over the health checks, and so the longest step of a slow start.
 constexpr Duration kMaxSleep = std::chrono::seconds(1);
-// Of a response only the status line counts.
+// Only the status line of a response is used.
 constexpr std::size_t kResponseBufferBytes = 2'048;
 
 std::chrono::milliseconds rounded_up(Duration duration) {
--- a/src/net/health_checker.hpp
+++ b/src/net/health_checker.hpp
@@ -1,4 +1,4 @@
-/// Periodic health checks of a plan's servers, by the rules of their pools.
+/// Periodic health checks of a plan's servers, following the rules of their pools.
 #pragma once
 
 #include <chrono>
@@ -17,13 +17,13 @@
 
 namespace micaroad::net {
 
-/// Drives routing::HealthCheckedEndpoints, which decides whom to check and when: makes the checks,
-/// gives it the results, and passes on each endpoint list that comes of them.
+/// Drives routing::HealthCheckedEndpoints, which decides which servers to check and when: runs the
+/// checks, passes it the results, and forwards each endpoint list that changes because of them.
 ///
-/// Threads: start() once; replace() and stop() by any. One thread of its own drives it and
-/// calls `on_list`, with the mutex held; each check runs on another. Bounds: kMaxChecks at a time;
-/// a check that finds no thread is left out and comes with its server's next turn. It ends with
-/// stop(), which breaks off checks that are under way and waits for them.
+/// Threads: start() is called once; any thread may call replace() and stop(). One own thread
+/// schedules the checks and calls `on_list` with the mutex held; each check runs on another own
+/// thread. Bounds: kMaxChecks run at a time; a check that no thread can be started for is skipped
+/// until its server is due again. stop() aborts running checks and waits for them.
 class HealthChecker {
  public:
     static constexpr std::size_t kMaxChecks = 16;
@@ -35,10 +35,10 @@
     HealthChecker(const HealthChecker&) = delete;
     HealthChecker& operator=(const HealthChecker&) = delete;
 
-    /// False if there is no thread for it.
+    /// Returns false if no thread can be started.
     [[nodiscard]] bool start();
     void stop();
-    /// Goes on with another plan. False if its pools differ; then nothing is changed.
+    /// Continues with another plan. Returns false, changing nothing, if its pools differ.
     [[nodiscard]] bool replace(routing::Plan plan);
 
  private:
@@ -57,11 +57,11 @@
     Log& log_;
     ActiveSockets sockets_;
 
-    // Guards what follows up to the threads.
+    // Guards the members from here to the threads.
     std::mutex mutex_;
     std::condition_variable wakeup_;
     routing::HealthCheckedEndpoints endpoints_;
-    std::vector<CheckResult> results_;  // that were not passed on yet
+    std::vector<CheckResult> results_;  // not yet passed to endpoints_
     bool stopping_ = false;
     bool plan_replaced_ = false;
 
