--- a/src/simhost/main.cpp
+++ b/src/simhost/main.cpp
@@ -1,5 +1,5 @@
-// Hosts planners for the simulator: batches on standard input, replies on standard output. Ends
-// with 1 at the first line that can't be read.
+// Hosts planners for the simulator: reads batches from standard input and writes replies to
+// standard output. Exits with code 1 at the first line that cannot be parsed.
 #include <cstddef>
 #include <iostream>
 #include <string>
--- a/src/simhost/planner_host.cpp
+++ b/src/simhost/planner_host.cpp
@@ -31,7 +31,8 @@
     }
 }
 
-// The planners that have to decide, in the order of their first message since their last kill.
+// Applies all messages. Returns the planners that must decide, in the order of their first message
+// since their last kill.
 std::vector<std::string> PlannerHost::apply_all(std::vector<Message> messages) {
     std::vector<std::string> addressed;
     for (Message& message : messages) {
--- a/src/simhost/planner_host.hpp
+++ b/src/simhost/planner_host.hpp
@@ -1,4 +1,4 @@
-/// Runs the planners of a simulation and answers the simulator's batches.
+/// Runs the planners of a simulation and replies to the simulator's batches.
 #pragma once
 
 #include <map>
@@ -15,21 +15,23 @@
 /// The planners of one simulation, by name. For one thread at a time.
 class PlannerHost {
  public:
-    /// The reply to one line of the simulator: what the planners that the batch names decide, in
-    /// the order in which it names them first. After an error the host's state is unspecified.
+    /// Returns the reply to one line of the simulator: the decisions of the planners that the batch
+    /// addresses, in the order in which it first names them. After an error, the host's state is
+    /// unspecified.
     [[nodiscard]] tl::expected<std::string, WireError> answer(const std::string& line);
 
  private:
-    // A planner that threw stays out until its next launch.
+    // A planner that threw an exception ignores events until its next launch.
     //
     //     absent --launch--> running --exception--> failed
     //        ^                  |                     |
     //        +-------kill-------+---------kill--------+
     //
-    // An event for a planner that is absent or failed changes nothing; a launch replaces any.
+    // An event for an absent or failed planner is ignored. A launch replaces a planner in any
+    // state.
     struct Instance {
-        std::optional<Planner> planner;  // running
-        std::string failure;             // failed: what it threw
+        std::optional<Planner> planner;  // set while running
+        std::string failure;             // if failed: text of the exception
     };
 
     void apply(const Launch& launch, Instance& instance);
--- a/src/simhost/wire.cpp
+++ b/src/simhost/wire.cpp
@@ -12,18 +12,17 @@
 
 using nlohmann::json;
 
-constexpr int kEveryProxy = 65535;
-constexpr int kEveryPeer = -1;
+constexpr int kAllProxies = 65535;
+constexpr int kAllPeers = -1;
 
 TimePoint time_point_of_micros(std::int64_t micros) {
     return TimePoint{duration_of_micros(micros)};
 }
 
-// The values of a message, taken one after the other. Throws json::exception for a value of another
-// type.
-class Values {
+// Reads the values of a message in order. Throws json::exception for a value of the wrong type.
+class ValueReader {
  public:
-    explicit Values(const json& message) : message_(message) {}
+    explicit ValueReader(const json& message) : message_(message) {}
 
     template <class T>
     T take() {
@@ -60,7 +59,7 @@
 }
 
 ListedEndpoint parse_endpoint(const json& entry) {
-    Values values(entry);
+    ValueReader values(entry);
     ListedEndpoint endpoint;
     endpoint.server = values.take_id<ServerId>();
     endpoint.zone = values.take_id<ZoneId>();
@@ -75,24 +74,24 @@
     return endpoint;
 }
 
-Event parse_endpoint_list_update(Values& values) {
+Event parse_endpoint_list_update(ValueReader& values) {
     event::EndpointListUpdate update;
     update.form = parse_form(values.take<std::string>());
-    values.take<std::int64_t>();  // the list's version: lists come in order
+    values.take<std::int64_t>();  // the list's version is not used, as lists arrive in order
     for (const json& entry : values.take<json>()) {
         update.servers.push_back(parse_endpoint(entry));
     }
     return update;
 }
 
-Event parse_timer_expired(Values& values) {
+Event parse_timer_expired(ValueReader& values) {
     return event::TimerExpired{.timer = values.take_id<TimerId>()};
 }
 
-// Initializers are evaluated in the order of the members, which is not that of the wire: hence one
-// statement for each value in the functions below.
+// Initializers are evaluated in the order of the members, which differs from the order of the
+// values in a message. The functions below therefore read each value in its own statement.
 
-Event parse_proxy_joined(Values& values) {
+Event parse_proxy_joined(ValueReader& values) {
     event::ProxyJoined joined;
     joined.zone = values.take_id<ZoneId>();
     joined.rpcs_per_second = values.take<double>();
@@ -101,18 +100,18 @@
     return joined;
 }
 
-Event parse_proxy_left(Values& values) {
+Event parse_proxy_left(ValueReader& values) {
     return event::ProxyLeft{.proxy = values.take_id<ProxyId>()};
 }
 
-Event parse_acknowledgement(Values& values) {
+Event parse_acknowledgement(ValueReader& values) {
     event::Acknowledgement acknowledgement;
     acknowledgement.proxy = values.take_id<ProxyId>();
     acknowledgement.nonce = values.take_id<Nonce>();
     return acknowledgement;
 }
 
-Event parse_endpoint_load_report(Values& values) {
+Event parse_endpoint_load_report(ValueReader& values) {
     event::EndpointLoadReport report;
     report.failures = values.take<double>();
     report.attempts = values.take<double>();
@@ -123,7 +122,7 @@
     return report;
 }
 
-Event parse_demand_report(Values& values) {
+Event parse_demand_report(ValueReader& values) {
     event::DemandReport report;
     report.window = values.take_duration();
     report.requests = values.take<double>();
@@ -133,7 +132,7 @@
     return report;
 }
 
-Event parse_slice_demand_report(Values& values) {
+Event parse_slice_demand_report(ValueReader& values) {
     event::SliceDemandReport report;
     report.slice = values.take_id<TableId>();
     report.method = values.take_id<MethodId>();
@@ -143,14 +142,14 @@
     return report;
 }
 
-Event parse_slice_assigned(Values& values) {
+Event parse_slice_assigned(ValueReader& values) {
     event::SliceAssigned assigned;
     assigned.slice = values.take_id<TableId>();
     assigned.ours = values.take<bool>();
     return assigned;
 }
 
-Event parse_slice_owner_reported(Values& values) {
+Event parse_slice_owner_reported(ValueReader& values) {
     event::SliceOwnerReported owner;
     owner.slice = values.take_id<TableId>();
     owner.server = values.take_id<ServerId>();
@@ -158,7 +157,7 @@
     return owner;
 }
 
-Event parse_health_check_result(Values& values) {
+Event parse_health_check_result(ValueReader& values) {
     event::HealthCheckResult result;
     result.server = values.take_id<ServerId>();
     result.healthy = values.take<std::string>() == "GOOD";
@@ -166,7 +165,7 @@
     return result;
 }
 
-Event parse_peer_message(Values& values) {
+Event parse_peer_message(ValueReader& values) {
     event::PeerMessage message;
     message.from = values.take_id<PlannerId>();
     message.text = values.take<std::string>();
@@ -175,7 +174,7 @@
 
 struct EventParser {
     std::string_view word;
-    Event (*parse)(Values& values);
+    Event (*parse)(ValueReader& values);
 };
 
 constexpr std::array kEventParsers{
@@ -193,21 +192,21 @@
     EventParser{"peer_data", parse_peer_message},
 };
 
-Launch parse_launch(Values& values) {
+Launch parse_launch(ValueReader& values) {
     Launch launch;
     launch.seed = values.take<std::uint64_t>();
     const json profile = values.take<json>();
     try {
         launch.settings = parse_deployment_settings(profile);
     } catch (const json::exception&) {
-        throw;  // the line's fault, not that of the settings
+        throw;  // the line is malformed, not the settings
     } catch (const std::exception& failure) {
         launch.settings = tl::unexpected<std::string>(failure.what());
     }
     return launch;
 }
 
-tl::expected<Command, WireError> parse_command(const std::string& word, Values& values) {
+tl::expected<Command, WireError> parse_command(const std::string& word, ValueReader& values) {
     if (word == "kill") {
         return Kill{};
     }
@@ -225,13 +224,13 @@
 
 tl::expected<Message, WireError> parse_message(const json& message) {
     if (!message.is_array()) {
-        return tl::unexpected(WireError{"an event is not an array"});
+        return tl::unexpected(WireError{"event is not an array"});
     }
-    Values values(message);
+    ValueReader values(message);
     const auto word = values.take<std::string>();
     auto planner = values.take<std::string>();
     if (planner.empty()) {
-        return tl::unexpected(WireError{"an event names no instance"});
+        return tl::unexpected(WireError{"event does not name a planner"});
     }
     auto command = parse_command(word, values);
     if (!command) {
@@ -261,7 +260,7 @@
 }
 
 json format(const std::string& planner, const order::SetAdmission& admission) {
-    const int table = admission.table ? admission.table->value : kEveryProxy;
+    const int table = admission.table ? admission.table->value : kAllProxies;
     const int retry_policy = static_cast<int>(admission.retry_policy);
     return {"ration",         planner,     table, method_bits(admission.methods),
             admission.amount, retry_policy};
@@ -292,7 +291,7 @@
 }
 
 json format(const std::string& planner, const order::SendPeerMessage& message) {
-    const int peer = message.to ? message.to->value : kEveryPeer;
+    const int peer = message.to ? message.to->value : kAllPeers;
     return {"publish", planner, peer, message.text};
 }
 
