--- a/src/net/acceptor.hpp
+++ b/src/net/acceptor.hpp
@@ -77,8 +77,9 @@
     // Guards the members from here to the event loop.
     std::mutex mutex_;
     Connections connections_;
-    Connections unidentified_;  // may hold peers that have identified themselves since; pruned by
-                                // make_room()
+    // May contain peers that have identified themselves since they were accepted: make_room()
+    // removes those when it looks for room.
+    Connections unidentified_;
     std::uint64_t next_id_ = 1;
     bool shutting_down_ = false;
 
--- a/src/net/connection.hpp
+++ b/src/net/connection.hpp
@@ -83,16 +83,16 @@
     static constexpr std::chrono::milliseconds kLingerTimeout{500};
     static constexpr std::size_t kMaxLingerBytes = 64 * 1024;
     /// A collector that is silent this long is closed: it normally reports twice a second, and
-    /// reconnects at no cost. A proxy has no idle timeout, as that would end its stream without
-    /// need.
+    /// reconnects at no cost. A proxy has no idle timeout, as the planner itself would then end its
+    /// stream.
     static constexpr std::chrono::seconds kCollectorIdleTimeout{60};
     /// Messages of one proxy that the inbox holds between two turns of the core: as many
     /// acknowledgements as a proxy can have unacknowledged nonces, and as many demand reports.
     /// Further ones are dropped as a flood.
     static constexpr std::size_t kMaxAcknowledgements = 256;
     static constexpr std::chrono::seconds kDropLogInterval{10};
-    static constexpr std::size_t kMaxUnidentifiedLineBytes =
-        1024;  ///< ten times the size of a joining message
+    /// Ten times the size of a joining message.
+    static constexpr std::size_t kMaxUnidentifiedLineBytes = 1024;
     /// With more unsent bytes than this, send() rejects a message: the proxy has stopped reading.
     static constexpr std::size_t kMaxPendingBytes = 128 * 1024;
     /// Requested sizes of the kernel's buffers; the kernel allocates twice as much.
--- a/src/net/discovery_connection.cpp
+++ b/src/net/discovery_connection.cpp
@@ -167,7 +167,7 @@
 
 std::chrono::milliseconds DiscoveryWatch::line_timeout(std::size_t list_size) const {
     return timeouts_.line +
-           std::chrono::milliseconds{1'000 * list_size / WatchTimeouts::kMinListRate};
+           std::chrono::milliseconds{1'000 * list_size / WatchTimeouts::kMinListBytesPerSecond};
 }
 
 }  // namespace micaroad::net
--- a/src/net/discovery_watch.hpp
+++ b/src/net/discovery_watch.hpp
@@ -26,8 +26,8 @@
 struct WatchTimeouts {
     /// Longest time without a received byte; discovery sends something every 2 s.
     std::chrono::milliseconds idle{2'600};
-    /// Longest time between two lines, plus one second for each kMinListRate bytes of an unfinished
-    /// list, as a large list takes longer to transfer.
+    /// Longest time between two lines, plus one second for each kMinListBytesPerSecond bytes of an
+    /// unfinished list, as a large list takes longer to transfer.
     std::chrono::milliseconds line{5'000};
     std::chrono::milliseconds connect{400};
     /// Pause between two connections; it doubles from initial_backoff up to max_backoff.
@@ -39,7 +39,7 @@
     /// Minimum time between two fetches of the complete list, which limits the load on a discovery
     /// service whose versions never match.
     std::chrono::milliseconds fetch_interval{500};
-    static constexpr std::size_t kMinListRate = 512 * 1024;  ///< bytes a second
+    static constexpr std::size_t kMinListBytesPerSecond = 512 * 1024;
 };
 
 /// Follows discovery's endpoint list over one connection and puts each received list into the
--- a/src/net/event_loop.hpp
+++ b/src/net/event_loop.hpp
@@ -1,4 +1,4 @@
-/// Serves all connections on one thread, each when its socket can be read or written.
+/// The event loop that serves all connections on one thread.
 #pragma once
 
 #include <atomic>
@@ -13,8 +13,8 @@
 
 namespace micaroad::net {
 
-/// Serves all connections on one thread. Owns the poller and, shared with the Acceptor, the
-/// connections.
+/// Serves each connection when its socket can be read or written. Owns the poller and, shared with
+/// the Acceptor, the connections.
 ///
 /// The design has a thread for each reader and writer; this class deviates from it. A planner of
 /// the whole fleet has two thousand connections, and not every host lets a process have two threads
--- a/src/protocol/message.hpp
+++ b/src/protocol/message.hpp
@@ -37,7 +37,8 @@
     more_failures_than_attempts,
 };
 
-/// A line of a known kind with an invalid value. It is dropped; other lines are not affected.
+/// A line of a known kind with a missing or invalid value. It is dropped; other lines are not
+/// affected.
 struct Malformed {
     MalformedReason reason = MalformedReason::bad_value;
     std::string word;  ///< name of the word concerned, truncated; may be empty
