--- a/src/net/health_check_runner.cpp
+++ b/src/net/health_check_runner.cpp
@@ -12,17 +12,18 @@
 }  // namespace
 
 void HealthCheckRunner::start_check(const ServerId& server, const std::string& address) {
-    const TimePoint begun = clock_();
-    const auto complete = [this, server, begun](bool healthy) {
-        inbox_.put(core_event::HealthCheckCompleted{{server, healthy, clock_() - begun}});
+    const TimePoint started_at = clock_();
+    const auto complete = [this, server, started_at](bool healthy) {
+        inbox_.put(core_event::HealthCheckCompleted{{server, healthy, clock_() - started_at}});
     };
     const auto parsed = address_of(address);
     if (!parsed) {
         complete(false);
         return;
     }
-    const bool started = threads_.start(
-        [this, complete, where = *parsed, host = address] { complete(is_healthy(where, host)); });
+    const bool started = threads_.start([this, complete, parsed_address = *parsed, host = address] {
+        complete(is_healthy(parsed_address, host));
+    });
     if (!started) {
         complete(false);
     }
--- a/src/protocol/endpoint_entry.cpp
+++ b/src/protocol/endpoint_entry.cpp
@@ -44,12 +44,12 @@
 };
 
 // Updates separate ids by commas and colons.
-bool is_usable_id(const std::string& id) {
-    const auto usable = [](char character) {
+bool is_valid_id(const std::string& id) {
+    const auto is_valid_character = [](char character) {
         return character > ' ' && character < 0x7F && character != ',' && character != ':';
     };
     return !id.empty() && id.size() <= kMaxEndpointIdBytes &&
-           std::all_of(id.begin(), id.end(), usable);
+           std::all_of(id.begin(), id.end(), is_valid_character);
 }
 
 // A value that is not a string counts as absent.
@@ -94,7 +94,7 @@
 
 const char* describe(EndpointRejection rejection) {
     switch (rejection) {
-        case EndpointRejection::unusable_id:
+        case EndpointRejection::invalid_id:
             return "invalid id";
         case EndpointRejection::unknown_state:
             return "unknown state";
@@ -123,8 +123,8 @@
 }
 
 tl::expected<EndpointPhase, EndpointRejection> phase_of(const EndpointEntry& entry) {
-    if (!is_usable_id(entry.id)) {
-        return tl::unexpected(EndpointRejection::unusable_id);
+    if (!is_valid_id(entry.id)) {
+        return tl::unexpected(EndpointRejection::invalid_id);
     }
     const auto* const state =
         std::find_if(kStates.begin(), kStates.end(),
--- a/src/protocol/endpoint_entry.hpp
+++ b/src/protocol/endpoint_entry.hpp
@@ -17,7 +17,7 @@
 
 /// Why an entry is rejected.
 enum class EndpointRejection {
-    unusable_id,  ///< empty, too long, or with characters that an update cannot contain
+    invalid_id,  ///< empty, too long, or with characters that an update cannot contain
     unknown_state,
     no_address,
     no_zone,
--- a/src/protocol/message.cpp
+++ b/src/protocol/message.cpp
@@ -14,17 +14,17 @@
 constexpr int kNonces = 65'536;
 
 struct Counts {
-    double all = 0;
+    double total = 0;
     double failures = 0;  // failed requests may have been received in an earlier window
     Duration window{};
 };
 
 Counts parse_counts(LineWords& words, const Bounds& bounds) {
     Counts counts;
-    counts.all = words.number(wire::kCount);
+    counts.total = words.number(wire::kCount);
     counts.failures = words.number(wire::kFailures);
     counts.window = words.milliseconds(wire::kWindow, bounds.max_window);
-    if (std::max(counts.all, counts.failures) > kMaxCount) {
+    if (std::max(counts.total, counts.failures) > kMaxCount) {
         words.reject(MalformedReason::count_too_large);
     }
     if (counts.window <= Duration{}) {
@@ -39,7 +39,7 @@
     report.server = {std::string(words.text(wire::kEndpoint))};
     report.proxy_zone = {words.index_in(names.zones, wire::kZone)};
     const Counts counts = parse_counts(words, bounds);
-    report.attempts = counts.all;
+    report.attempts = counts.total;
     report.failures = counts.failures;
     report.window = counts.window;
     report.mean_latency = words.milliseconds(wire::kMeanLatency, bounds.max_mean_latency);
@@ -54,7 +54,7 @@
     report.proxy = {words.integer(wire::kProxy, bounds.proxies)};
     report.method = {words.index_in(names.methods, wire::kMethod)};
     const Counts counts = parse_counts(words, bounds);
-    report.requests = counts.all;
+    report.requests = counts.total;
     report.unanswered = counts.failures;
     report.window = counts.window;
     return report;
