--- a/src/protocol/http.hpp
+++ b/src/protocol/http.hpp
@@ -20,7 +20,7 @@
 /// headers that tell where the body ends, and skips interim responses (1xx). Not synchronized.
 ///
 ///     status -> header --> done                           204, 304 or Content-Length: 0
-///       ^         |------> data --> done                  at Content-Length, or by end()
+///       ^         |------> data --> done                  after Content-Length, or at end()
 ///       '--1xx----|
 ///                 '------> chunk_size -> chunk -> chunk_end
 ///                           ^   |                   |
