--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-constexpr std::size_t kMaxLoggedLine = 200;  // bytes
+constexpr std::size_t kMaxLoggedLineBytes = 200;
 
-std::string printable(std::string_view line) {
-    std::string text(line.substr(0, kMaxLoggedLine));
+std::string to_printable(std::string_view line) {
+    std::string text(line.substr(0, kMaxLoggedLineBytes));
     std::replace_if(
         text.begin(), text.end(), [](char byte) { return byte < ' ' || byte > '~'; }, '?');
     return text;
 }
 
-tl::unexpected<MessageError> message_error(MessageFault fault, std::string detail = {}) {
+tl::unexpected<MessageError> make_message_error(MessageFault fault, std::string detail = {}) {
     return tl::unexpected(MessageError{fault, std::move(detail)});
 }
 
@@ -29,10 +29,10 @@
       id_(id),
       socket_(std::move(socket)),
       peer_(std::move(peer)),
-      line_reader_(context.line_buffers, kUnidentifiedLine),
+      line_reader_(context.line_buffers, kMaxUnidentifiedLineBytes),
       accepted_at_(steady_clock::now()),
       last_message_at_(accepted_at_) {
-    socket_.set_up(kSendBuffer, kReceiveBuffer);
+    socket_.set_options(kSendBufferBytes, kReceiveBufferBytes);
 }
 
 bool Connection::watch() {
@@ -42,7 +42,7 @@
 
 void Connection::on_closed(const CloseReason& reason) {
     close();
-    poller_->leave(socket_);
+    poller_->unwatch(socket_);
     switch (role()) {
         case Role::proxy:
             context_.inbox.put(core_event::StreamClosed{id_, describe(reason)});
@@ -58,7 +58,7 @@
     }
 }
 
-// What has come is read before the deadline is looked at.
+// Received bytes are read before the deadline is checked.
 std::optional<CloseReason> Connection::on_readable(std::span<char> buffer) {
     {
         const std::lock_guard lock(mutex_);
@@ -111,8 +111,8 @@
     return role_ == Role::unidentified ? reject(reason) : reason;
 }
 
-// Guards against the `error` that is owed getting lost: the sending half is closed, and the peer is
-// read on for a while. Gives the reason back if `error` cannot be sent.
+// Sends `error` and lets the connection linger: the sending half is shut down and input is read for
+// a while, so that `error` is not lost. Returns the reason if `error` cannot be sent.
 std::optional<CloseReason> Connection::reject(CloseReason reason) {
     {
         const std::lock_guard lock(mutex_);
@@ -149,16 +149,16 @@
     return {unidentified ? CloseCause::join_timeout : CloseCause::idle_timeout, {}};
 }
 
-// An error ends the connection. A malformed message costs an identified peer that line alone; an
-// unidentified one has nothing to lose.
+// Returns an error if the connection must be closed: for an unparseable line, and for any error of
+// an unidentified peer. Another error of an identified peer is logged and costs only that line.
 Connection::MessageResult Connection::handle_line(std::string_view line) {
     const auto parsed = protocol::parse_message(line, context_.names, context_.bounds);
     if (const auto* unparseable = std::get_if<protocol::Unparseable>(&parsed)) {
-        return message_error(MessageFault::unparseable, protocol::describe(*unparseable));
+        return make_message_error(MessageFault::unparseable, protocol::describe(*unparseable));
     }
     MessageResult result;
     if (const auto* malformed = std::get_if<protocol::Malformed>(&parsed)) {
-        result = message_error(MessageFault::malformed, protocol::describe(*malformed));
+        result = make_message_error(MessageFault::malformed, protocol::describe(*malformed));
     } else {
         last_message_at_ = steady_clock::now();
         result = std::visit([&](const auto& message) { return handle(message); },
@@ -168,19 +168,20 @@
         return result;
     }
     context_.log.warn("connection: message dropped peer={} reason=\"{}\" line=\"{}\"", peer_,
-                      describe(result.error()), printable(line));
+                      describe(result.error()), to_printable(line));
     return {};
 }
 
-// False once it is closing: an unidentified peer that was shed must not become a stream.
+// Returns false if the connection is closing: an unidentified peer that was closed to make room
+// must not become a stream.
 bool Connection::identify(Role role) {
     const std::lock_guard lock(mutex_);
     if (state_ == State::closing) {
         return false;
     }
     role_ = role;
-    // At once: a long line may come right behind the joining message.
-    line_reader_.allow(protocol::LineReader::kLongest);
+    // Takes effect at once, as a long line may directly follow the joining message.
+    line_reader_.set_max_line_bytes(protocol::LineReader::kMaxLineBytes);
     return true;
 }
 
@@ -188,17 +189,17 @@
     const bool sent = role_ == Role::proxy ? send(protocol::kAlive) == SendResult::accepted
                                            : socket_.send_now(protocol::kAlive);
     if (!sent) {
-        return message_error(MessageFault::peer_not_reading);
+        return make_message_error(MessageFault::peer_not_reading);
     }
     return {};
 }
 
 Connection::MessageResult Connection::handle(const protocol::CollectorIdentified& collector) {
     if (role_ != Role::unidentified) {
-        return message_error(MessageFault::second_role);
+        return make_message_error(MessageFault::already_identified);
     }
     if (!identify(Role::collector)) {
-        return message_error(MessageFault::shed);
+        return make_message_error(MessageFault::connection_closing);
     }
     context_.log.info("connection: collector identified peer={} zone={}", peer_,
                       context_.names.zone(collector.zone));
@@ -207,10 +208,10 @@
 
 Connection::MessageResult Connection::handle(const event::ProxyJoined& joined) {
     if (role_ != Role::unidentified) {
-        return message_error(MessageFault::second_role);
+        return make_message_error(MessageFault::already_identified);
     }
     if (!identify(Role::proxy)) {
-        return message_error(MessageFault::shed);
+        return make_message_error(MessageFault::connection_closing);
     }
     proxy_ = joined.proxy;
     context_.inbox.put(core_event::StreamOpened{id_, joined});
@@ -219,7 +220,7 @@
 
 Connection::MessageResult Connection::handle(const event::Acknowledgement& acknowledgement) {
     if (role_ != Role::proxy || acknowledgement.proxy != proxy_) {
-        return message_error(MessageFault::foreign_nonce);
+        return make_message_error(MessageFault::foreign_acknowledgement);
     }
     put_bounded(kMaxAcknowledgements, core_event::StreamAcknowledged{id_, acknowledgement});
     return {};
@@ -227,7 +228,7 @@
 
 Connection::MessageResult Connection::handle(const event::EndpointLoadReport& report) {
     if (role_ != Role::collector) {
-        return message_error(MessageFault::report_not_allowed);
+        return make_message_error(MessageFault::report_not_allowed);
     }
     put_bounded(Inbox::kMaxReportsPerPeer, core_event::ReportReceived{report});
     return {};
@@ -237,21 +238,21 @@
     const bool of_collector = role_ == Role::collector;
     const bool of_that_proxy = role_ == Role::proxy && report.proxy == proxy_;
     if (!of_collector && !of_that_proxy) {
-        return message_error(MessageFault::demand_not_allowed);
+        return make_message_error(MessageFault::demand_not_allowed);
     }
     put_bounded(of_that_proxy ? kMaxAcknowledgements : Inbox::kMaxReportsPerPeer,
                 core_event::ReportReceived{report});
     return {};
 }
 
-void Connection::put_bounded(std::size_t most, CoreEvent event) {
-    if (!context_.inbox.put_bounded(id_, most, std::move(event))) {
+void Connection::put_bounded(std::size_t max_events, CoreEvent event) {
+    if (!context_.inbox.put_bounded(id_, max_events, std::move(event))) {
         count_dropped();
     }
 }
 
-// Guards against a peer that floods: what it sends past its bound is lost, and the log gets one
-// line an interval.
+// Counts a message dropped because its peer exceeds its bound, and logs one line per
+// kDropLogInterval, so that a flood of messages does not flood the log.
 void Connection::count_dropped() {
     ++dropped_messages_;
     const auto now = steady_clock::now();
@@ -292,7 +293,7 @@
     }
 }
 
-// As much as the kernel takes at once. What is left waits until the socket is writable.
+// Sends as many bytes as the kernel accepts. The rest waits until the socket is writable.
 void Connection::send_pending() {
     bool kernel_full = false;
     while (!kernel_full && (partly_sent_ || !pending_.empty())) {
@@ -302,7 +303,7 @@
         }
         const ssize_t sent = socket_.send_some(partly_sent_->view().substr(partly_sent_bytes_));
         if (sent < 0) {
-            socket_.shut_down();  // the event loop reads its end
+            socket_.shut_down();  // the event loop reads the end of the stream
             return;
         }
         partly_sent_bytes_ += static_cast<std::size_t>(sent);
@@ -320,13 +321,13 @@
 void Connection::close() {
     const std::lock_guard lock(mutex_);
     state_ = State::closing;
-    // At once: others may need the buffers.
+    // Freed at once, as other connections may need the buffers.
     pending_.clear();
     partly_sent_.reset();
     socket_.shut_down();
 }
 
-bool Connection::close_if_idle(bool even_mid_line) {
+bool Connection::close_if_idle(bool include_mid_line) {
     const std::lock_guard lock(mutex_);
     if (role_ != Role::unidentified || state_ == State::closing || reading_) {
         return false;
@@ -334,7 +335,7 @@
     if (state_ != State::lingering && socket_.has_bytes()) {
         return false;
     }
-    if (mid_line_ && !even_mid_line) {
+    if (mid_line_ && !include_mid_line) {
         return false;
     }
     state_ = State::closing;
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-// Connections that wait to be accepted: all proxies and a flood of unidentified peers at once, as
-// far as the kernel allows. A peer that finds no place tries again after a second.
+// The listen backlog holds all proxies and a flood of unidentified peers at once, as far as the
+// kernel allows. A peer that finds it full retries after a second.
 constexpr int kBacklog = 4'096;
 
 constexpr unsigned kMaxPort = 65'535;
@@ -115,7 +115,7 @@
 
 namespace {
 
-// 0 once the socket is connected, else an error number.
+// Waits until the socket is connected. Returns 0, or an error number.
 int await_connection(int fd, std::chrono::milliseconds timeout) {
     pollfd wait{fd, POLLOUT, 0};
     if (::poll(&wait, 1, static_cast<int>(timeout.count())) != 1) {
@@ -124,7 +124,7 @@
     int error = ETIMEDOUT;
     socklen_t size = sizeof error;
     ::getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size);
-    // Shut down from elsewhere before it was connected.
+    // POLLHUP: another thread shut the socket down before it was connected.
     return (wait.revents & POLLHUP) != 0 ? ECONNABORTED : error;
 }
 
@@ -142,7 +142,7 @@
     return result == 0;
 }
 
-void Socket::set_up(int send_bytes, int receive_bytes) const {
+void Socket::set_options(int send_bytes, int receive_bytes) const {
     const int yes = 1;
     ::setsockopt(fd(), IPPROTO_TCP, TCP_NODELAY, &yes, sizeof yes);
     ::setsockopt(fd(), SOL_SOCKET, SO_SNDBUF, &send_bytes, sizeof send_bytes);
@@ -161,9 +161,9 @@
 
 namespace {
 
-ssize_t receive_with(int fd, char* into, std::size_t most, int flags) {
+ssize_t receive_with(int fd, char* buffer, std::size_t max_bytes, int flags) {
     for (;;) {
-        const ssize_t received = ::recv(fd, into, most, flags);
+        const ssize_t received = ::recv(fd, buffer, max_bytes, flags);
         if (received >= 0) {
             return received;
         }
@@ -178,12 +178,12 @@
 
 }  // namespace
 
-ssize_t Socket::receive(char* into, std::size_t most) const {
-    return receive_with(fd(), into, most, 0);
+ssize_t Socket::receive(char* buffer, std::size_t max_bytes) const {
+    return receive_with(fd(), buffer, max_bytes, 0);
 }
 
-ssize_t Socket::receive_now(char* into, std::size_t most) const {
-    return receive_with(fd(), into, most, MSG_DONTWAIT);
+ssize_t Socket::receive_now(char* buffer, std::size_t max_bytes) const {
+    return receive_with(fd(), buffer, max_bytes, MSG_DONTWAIT);
 }
 
 ssize_t Socket::send_some(std::string_view bytes) const {
--- a/src/net/thread_group.cpp
+++ b/src/net/thread_group.cpp
@@ -12,8 +12,8 @@
     std::function<void()> work;
 };
 
-// Detached, with a count in place of a join: who ends leaves nothing behind that somebody has to
-// collect.
+// Threads are detached and counted instead of joined, so that a thread that has ended leaves
+// nothing behind to be collected.
 bool ThreadGroup::start(std::function<void()> work) {
     {
         const std::lock_guard lock(mutex_);
@@ -33,7 +33,7 @@
     if (started) {
         task.release();  // NOLINT(bugprone-unused-return-value): run() owns it now.
     } else {
-        on_ended();
+        on_thread_ended();
     }
     return started;
 }
@@ -41,21 +41,21 @@
 void* ThreadGroup::run(void* pointer) {
     const std::unique_ptr<Task> task(static_cast<Task*>(pointer));
     task->work();
-    // What the function holds goes before the group may.
+    // Destroys what the function captured before the group's destructor can return.
     task->work = nullptr;
-    task->group.on_ended();
+    task->group.on_thread_ended();
     return nullptr;
 }
 
-void ThreadGroup::on_ended() {
+void ThreadGroup::on_thread_ended() {
     const std::lock_guard lock(mutex_);
     --running_;
-    ended_.notify_all();
+    thread_ended_.notify_all();
 }
 
 void ThreadGroup::wait() {
     std::unique_lock lock(mutex_);
-    ended_.wait(lock, [this] { return running_ == 0; });
+    thread_ended_.wait(lock, [this] { return running_ == 0; });
 }
 
 }  // namespace micaroad::net
--- a/src/protocol/buffer_pool.cpp
+++ b/src/protocol/buffer_pool.cpp
@@ -5,10 +5,10 @@
 namespace micaroad::protocol {
 namespace {
 
-// Copies what fits of `bytes` into the piece, and removes it from `bytes`.
+// Copies as many of `bytes` as fit into the piece, and removes those from `bytes`.
 void fill(BufferChain::Piece& piece, std::string_view& bytes) {
     char* const free_space = piece.block->data() + piece.size;
-    const std::size_t copied = bytes.copy(free_space, BufferPool::kBlock - piece.size);
+    const std::size_t copied = bytes.copy(free_space, BufferPool::kBlockBytes - piece.size);
     piece.size += copied;
     bytes.remove_prefix(copied);
 }
@@ -17,27 +17,28 @@
 
 BufferPool::Lease BufferPool::take() {
     const std::lock_guard lock(mutex_);
-    if (idle_.empty()) {
-        if (made_ == max_blocks_) {
+    if (free_blocks_.empty()) {
+        if (allocated_blocks_ == max_blocks_) {
             return Lease{nullptr, Return{this}};
         }
-        idle_.push_back(std::make_unique<Block>());
-        ++made_;
+        free_blocks_.push_back(std::make_unique<Block>());
+        ++allocated_blocks_;
     }
-    Lease lease{idle_.back().release(), Return{this}};
-    idle_.pop_back();
+    Lease lease{free_blocks_.back().release(), Return{this}};
+    free_blocks_.pop_back();
     return lease;
 }
 
 void BufferPool::put(Block* block) {
     const std::lock_guard lock(mutex_);
-    idle_.emplace_back(block);
+    free_blocks_.emplace_back(block);
 }
 
 bool BufferChain::append(BufferPool& pool, std::string_view bytes) {
-    const std::size_t free_bytes = pieces_.empty() ? 0 : BufferPool::kBlock - pieces_.back().size;
+    const std::size_t free_bytes =
+        pieces_.empty() ? 0 : BufferPool::kBlockBytes - pieces_.back().size;
     std::vector<BufferPool::Lease> added;
-    for (std::size_t space = free_bytes; space < bytes.size(); space += BufferPool::kBlock) {
+    for (std::size_t space = free_bytes; space < bytes.size(); space += BufferPool::kBlockBytes) {
         added.push_back(pool.take());
         if (!added.back()) {
             return false;
--- a/src/protocol/endpoint_entry.cpp
+++ b/src/protocol/endpoint_entry.cpp
@@ -9,10 +9,10 @@
 namespace micaroad::protocol {
 namespace {
 
-constexpr double kLatestStartMs = 1e14;
-constexpr double kLargestCell = 1e9;
+constexpr double kMaxStartMs = 1e14;
+constexpr double kMaxCell = 1e9;
 
-// Discovery's keys, each with our term for it.
+// Discovery's keys, each with the member it is read into.
 struct TextKey {
     std::string_view key;
     std::string EndpointEntry::* value;
@@ -32,7 +32,7 @@
     NumberKey{"started_ms", &EndpointEntry::started_ms},
 };
 
-// Discovery's states, each with our term for it.
+// Discovery's states, each with the phase it stands for.
 struct State {
     std::string_view word;
     EndpointPhase phase;
@@ -43,16 +43,16 @@
     State{"removed", EndpointPhase::gone},
 };
 
-// Names stand in updates between commas and colons.
-bool is_usable_id(const std::string& id) {
-    const auto usable = [](char character) {
+// Updates separate ids by commas and colons.
+bool is_valid_id(const std::string& id) {
+    const auto is_valid_character = [](char character) {
         return character > ' ' && character < 0x7F && character != ',' && character != ':';
     };
-    return !id.empty() && id.size() <= kLongestEndpointId &&
-           std::all_of(id.begin(), id.end(), usable);
+    return !id.empty() && id.size() <= kMaxEndpointIdBytes &&
+           std::all_of(id.begin(), id.end(), is_valid_character);
 }
 
-// Anything but a string reads as no value.
+// A value that is not a string counts as absent.
 void read_text(JsonCursor& json, std::string& value) {
     if (json.peek() == '"') {
         value = json.string();
@@ -61,7 +61,7 @@
     }
 }
 
-// A null reads as no value; anything else but a number is of a wrong type.
+// A null counts as absent; any other value that is not a number sets `wrong_type`.
 void read_number(JsonCursor& json, double& value, bool& wrong_type) {
     const char first = json.peek();
     if (first == '-' || (first >= '0' && first <= '9')) {
@@ -94,20 +94,20 @@
 
 const char* describe(EndpointRejection rejection) {
     switch (rejection) {
-        case EndpointRejection::unusable_id:
-            return "an id that can't be used";
+        case EndpointRejection::invalid_id:
+            return "invalid id";
         case EndpointRejection::unknown_state:
-            return "an unknown state";
+            return "unknown state";
         case EndpointRejection::no_address:
             return "no address";
         case EndpointRejection::no_zone:
             return "no zone";
         case EndpointRejection::wrong_type:
-            return "a value of the wrong type";
+            return "value of the wrong type";
         case EndpointRejection::bad_start_time:
-            return "a start that can't be";
+            return "start time out of range";
         case EndpointRejection::bad_number:
-            return "a figure that can't be";
+            return "number out of range";
     }
     return "?";
 }
@@ -123,8 +123,8 @@
 }
 
 tl::expected<EndpointPhase, EndpointRejection> phase_of(const EndpointEntry& entry) {
-    if (!is_usable_id(entry.id)) {
-        return tl::unexpected(EndpointRejection::unusable_id);
+    if (!is_valid_id(entry.id)) {
+        return tl::unexpected(EndpointRejection::invalid_id);
     }
     const auto* const state =
         std::find_if(kStates.begin(), kStates.end(),
@@ -142,10 +142,10 @@
     if (entry.has_value_of_wrong_type) {
         return tl::unexpected(EndpointRejection::wrong_type);
     }
-    if (entry.started_ms < 0 || entry.started_ms > kLatestStartMs) {
+    if (entry.started_ms < 0 || entry.started_ms > kMaxStartMs) {
         return tl::unexpected(EndpointRejection::bad_start_time);
     }
-    if (std::abs(entry.cell) > kLargestCell || entry.weight < 0) {
+    if (std::abs(entry.cell) > kMaxCell || entry.weight < 0) {
         return tl::unexpected(EndpointRejection::bad_number);
     }
     return state->phase;
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -9,10 +9,10 @@
 namespace micaroad::protocol {
 namespace {
 
-// The largest size of a body or chunk in bytes: far from where arithmetic on sizes would overflow.
-constexpr std::uint64_t kLargestSize = std::uint64_t{1} << 40;
+// Maximum size of a body or chunk in bytes, far below where arithmetic on sizes could overflow.
+constexpr std::uint64_t kMaxSize = std::uint64_t{1} << 40;
 
-// "HTTP/1.1 200 OK": the status stands between these places.
+// Position of the status in a line such as "HTTP/1.1 200 OK".
 constexpr std::string_view kVersionPrefix = "HTTP/1.";
 constexpr std::size_t kStatusBegin = 9;
 constexpr std::size_t kStatusEnd = 12;
@@ -42,7 +42,7 @@
 }
 
 bool parse_size(std::string_view text, int base, std::uint64_t& value) {
-    return parse_integer(text, value, base) && value <= kLargestSize;
+    return parse_integer(text, value, base) && value <= kMaxSize;
 }
 
 }  // namespace
@@ -65,7 +65,7 @@
     return state_ == State::done;
 }
 
-std::string_view HttpReader::cut_body(std::string_view& bytes) {
+std::string_view HttpReader::consume_body(std::string_view& bytes) {
     const std::uint64_t size = std::min<std::uint64_t>(bytes_left_, bytes.size());
     const std::string_view piece = bytes.substr(0, static_cast<std::size_t>(size));
     bytes.remove_prefix(piece.size());
@@ -81,7 +81,7 @@
     const bool ended = size < bytes.size();
     line_.append(bytes.substr(0, size));
     bytes.remove_prefix(ended ? size + 1 : size);
-    if (line_.size() > kLongestLine) {
+    if (line_.size() > kMaxLineBytes) {
         state_ = State::broken;
         return;
     }
@@ -121,7 +121,7 @@
         case State::data:
         case State::chunk:
         case State::done:
-            return;  // no lines there
+            return;  // these states read no lines
     }
 }
 
@@ -142,7 +142,7 @@
         return;
     }
     ++headers_;
-    if (headers_ > kMostHeaders) {
+    if (headers_ > kMaxHeaders) {
         state_ = State::broken;
         return;
     }
@@ -164,7 +164,7 @@
         state_ = State::broken;
         return;
     }
-    // Guards against two lengths: which one an intermediary went by is unknown.
+    // Rejects two different lengths, as it is unknown which one an intermediary used.
     if (has_length_ && size != bytes_left_) {
         state_ = State::broken;
         return;
@@ -205,7 +205,7 @@
         return;
     }
     ++headers_;
-    if (headers_ > kMostHeaders) {
+    if (headers_ > kMaxHeaders) {
         state_ = State::broken;
     }
 }
--- a/src/protocol/line_reader.cpp
+++ b/src/protocol/line_reader.cpp
@@ -7,20 +7,20 @@
         case LineFault::none:
             return "none";
         case LineFault::too_long:
-            return "a line that is too long";
+            return "line too long";
         case LineFault::no_carriage_return:
-            return "a line that ends without CR";
+            return "line does not end in CRLF";
         case LineFault::nul_byte:
-            return "a NUL byte";
+            return "line contains a NUL byte";
         case LineFault::no_buffer:
-            return "no buffer left for its line";
-        case LineFault::not_taken:
-            return "a message that can't be used";
+            return "no buffer left for the line";
+        case LineFault::rejected:
+            return "message rejected";
     }
     return "?";
 }
 
-std::string_view LineReader::cut_piece(std::string_view& bytes) {
+std::string_view LineReader::consume_piece(std::string_view& bytes) {
     const std::size_t line_feed = bytes.find('\n');
     const std::size_t size = line_feed == std::string_view::npos ? bytes.size() : line_feed + 1;
     const std::string_view piece = bytes.substr(0, size);
@@ -29,7 +29,7 @@
 }
 
 LineFault LineReader::check(std::string_view piece) const {
-    if (held_.size() + piece.size() > longest_) {
+    if (held_.size() + piece.size() > max_line_bytes_) {
         return LineFault::too_long;
     }
     if (piece.find('\0') != std::string_view::npos) {
--- a/src/protocol/message.cpp
+++ b/src/protocol/message.cpp
@@ -8,23 +8,23 @@
 namespace micaroad::protocol {
 namespace {
 
-constexpr std::size_t kLongestQuotedKind = 40;
-// Requests of a proxy, or attempts at an endpoint, within one report.
-constexpr double kLargestCount = 1e6;
+constexpr std::size_t kMaxQuotedKindBytes = 40;
+// Limit for the requests of a proxy, or the attempts at an endpoint, in one report.
+constexpr double kMaxCount = 1e6;
 constexpr int kNonces = 65'536;
 
 struct Counts {
-    double all = 0;
-    double failures = 0;  // of requests, these may have come in an earlier window
+    double total = 0;
+    double failures = 0;  // failed requests may have been received in an earlier window
     Duration window{};
 };
 
 Counts parse_counts(LineWords& words, const Bounds& bounds) {
     Counts counts;
-    counts.all = words.number(wire::kCount);
+    counts.total = words.number(wire::kCount);
     counts.failures = words.number(wire::kFailures);
-    counts.window = words.milliseconds(wire::kWindow, bounds.longest_window);
-    if (std::max(counts.all, counts.failures) > kLargestCount) {
+    counts.window = words.milliseconds(wire::kWindow, bounds.max_window);
+    if (std::max(counts.total, counts.failures) > kMaxCount) {
         words.reject(MalformedReason::count_too_large);
     }
     if (counts.window <= Duration{}) {
@@ -39,10 +39,10 @@
     report.server = {std::string(words.text(wire::kEndpoint))};
     report.proxy_zone = {words.index_in(names.zones, wire::kZone)};
     const Counts counts = parse_counts(words, bounds);
-    report.attempts = counts.all;
+    report.attempts = counts.total;
     report.failures = counts.failures;
     report.window = counts.window;
-    report.mean_latency = words.milliseconds(wire::kMeanLatency, bounds.longest_mean);
+    report.mean_latency = words.milliseconds(wire::kMeanLatency, bounds.max_mean_latency);
     if (report.failures > report.attempts) {
         words.reject(MalformedReason::more_failures_than_attempts);
     }
@@ -54,14 +54,14 @@
     report.proxy = {words.integer(wire::kProxy, bounds.proxies)};
     report.method = {words.index_in(names.methods, wire::kMethod)};
     const Counts counts = parse_counts(words, bounds);
-    report.requests = counts.all;
+    report.requests = counts.total;
     report.unanswered = counts.failures;
     report.window = counts.window;
     return report;
 }
 
 Message parse_acknowledgement(LineWords& words, const SymbolTable&, const Bounds& bounds) {
-    // The delay is not used, but has to be there.
+    // The delay is not used but must be present.
     static_cast<void>(words.number(wire::kDelay));
     event::Acknowledgement acknowledgement;
     acknowledgement.proxy = {words.integer(wire::kProxy, bounds.proxies)};
@@ -91,7 +91,7 @@
     Message (*parse)(LineWords&, const SymbolTable&, const Bounds&);
 };
 
-// The most frequent first.
+// Most frequent kinds first.
 constexpr std::array kMessageKinds{
     MessageKind{wire::kEndpointLoadReport, parse_endpoint_load_report},
     MessageKind{wire::kDemandReport, parse_demand_report},
@@ -104,12 +104,12 @@
 }  // namespace
 
 ParseResult parse_message(std::string_view line, const SymbolTable& names, const Bounds& bounds) {
-    const std::string_view word = cut_word(line);
+    const std::string_view word = next_word(line);
     const auto* const kind =
         std::find_if(kMessageKinds.begin(), kMessageKinds.end(),
                      [word](const MessageKind& known) { return known.word == word; });
     if (kind == kMessageKinds.end()) {
-        return Unparseable{std::string(word.substr(0, kLongestQuotedKind))};
+        return Unparseable{std::string(word.substr(0, kMaxQuotedKindBytes))};
     }
     LineWords words(line);
     Message message = kind->parse(words, names, bounds);
@@ -123,7 +123,7 @@
 std::string describe(const Malformed& malformed) {
     switch (malformed.reason) {
         case MalformedReason::no_name_or_value:
-            return "a word without name and value";
+            return "word is not name=value";
         case MalformedReason::repeated_word:
             return "repeated word " + malformed.word;
         case MalformedReason::too_many_words:
@@ -131,11 +131,11 @@
         case MalformedReason::missing_word:
             return "missing word " + malformed.word;
         case MalformedReason::bad_value:
-            return "bad value of " + malformed.word;
+            return "invalid value of " + malformed.word;
         case MalformedReason::count_too_large:
             return "count too large";
         case MalformedReason::no_window:
-            return "no window";
+            return "window is not positive";
         case MalformedReason::more_failures_than_attempts:
             return "more failures than attempts";
     }
@@ -143,7 +143,7 @@
 }
 
 std::string describe(const Unparseable& unparseable) {
-    return "unknown kind " + unparseable.kind;
+    return "unknown message kind " + unparseable.kind;
 }
 
 }  // namespace micaroad::protocol
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -76,7 +76,7 @@
                  "why a stream was ended is what it did last, not what it might have done before") {
     peer.send_all(kHello + "probe\r\nprobe\n");
     next<core_event::StreamOpened>();
-    CHECK(next<core_event::StreamClosed>().reason == "a line that ends without CR");
+    CHECK(next<core_event::StreamClosed>().reason == "line does not end in CRLF");
 }
 
 TEST_CASE_METHOD(Pair, "a spoilt line costs a stream that line, what can't be read its end") {
@@ -322,10 +322,10 @@
     server.begin();
     HealthCheckRunner health_checks(pool, inbox, clock_now());
     for (const bool ok : {true, false, false}) {
-        health_checks.ask({"s-1"}, text_of(server.listener.local()));
+        health_checks.start_check({"s-1"}, text_of(server.listener.local()));
         CHECK(next<core_event::HealthCheckCompleted>().result.healthy == ok);
     }
-    health_checks.ask({"s-1"}, "no address");
+    health_checks.start_check({"s-1"}, "no address");
     CHECK(!next<core_event::HealthCheckCompleted>().result.healthy);
     CHECK(server.all_asked().at(0) == "GET /ping HTTP/1.1");
 }
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -85,7 +85,7 @@
 
 TEST_CASE("a line that spans buffers is one line; one over 1 MiB is a fault") {
     BufferPool pool(800);
-    const std::string longest(LineReader::kLongest - 2, 'x');
+    const std::string longest(LineReader::kMaxLineBytes - 2, 'x');
     LineReader reader(pool);
     const auto [lines, fault] = lines_of(reader, {longest, "\r\n"});
     CHECK(fault == LineFault::none);
@@ -105,10 +105,10 @@
     };
     CHECK(fault_of("probe\n") == LineFault::no_carriage_return);
     CHECK(fault_of(std::string_view("pro\0be\r\n", 8)) == LineFault::nul_byte);
-    CHECK(fault_of(std::string(3 * BufferPool::kBlock, 'x')) == LineFault::no_buffer);
+    CHECK(fault_of(std::string(3 * BufferPool::kBlockBytes, 'x')) == LineFault::no_buffer);
     LineReader reader(pool);
     const auto refuse = [](std::string_view) { return false; };
-    CHECK(reader.feed("probe\r\nprobe\r\n", refuse) == LineFault::not_taken);
+    CHECK(reader.feed("probe\r\nprobe\r\n", refuse) == LineFault::rejected);
 }
 
 TEST_CASE("a pool gives what it has, takes it back, and no more") {
@@ -121,9 +121,9 @@
     one.reset();
     CHECK(pool.take().get() == first);
     BufferChain chain;
-    CHECK(chain.append(pool, std::string(BufferPool::kBlock, 'a')));
+    CHECK(chain.append(pool, std::string(BufferPool::kBlockBytes, 'a')));
     CHECK(!chain.append(pool, "b"));
-    CHECK(chain.size() == BufferPool::kBlock);
+    CHECK(chain.size() == BufferPool::kBlockBytes);
 }
 
 TEST_CASE("each kind of message is read") {
@@ -183,12 +183,12 @@
     const auto error_of = [](std::string_view line) {
         return describe(std::get<Malformed>(parse_message(line, test::names(), {8})));
     };
-    CHECK(error_of("agent az") == "a word without name and value");
+    CHECK(error_of("agent az") == "word is not name=value");
     CHECK(error_of("agent az=a x=1 x=2") == "repeated word x");
     CHECK(error_of("agent") == "missing word az");
-    CHECK(error_of("hello sidecar=8 az=c share=2 standing=0") == "bad value of sidecar");
+    CHECK(error_of("hello sidecar=8 az=c share=2 standing=0") == "invalid value of sidecar");
     CHECK(error_of("outcomes az=a host=s n=2e6 bad=3e6 avg=1 window=0") == "count too large");
-    CHECK(error_of("outcomes az=a host=s n=1 bad=2 avg=x window=0") == "no window");
+    CHECK(error_of("outcomes az=a host=s n=1 bad=2 avg=x window=0") == "window is not positive");
     CHECK(error_of("outcomes az=a host=s n=1 bad=2 avg=1 window=1") ==
           "more failures than attempts");
     std::string many = "agent az=a";
@@ -197,7 +197,7 @@
     }
     CHECK(error_of(many) == "too many words");
     CHECK(describe(std::get<Unparseable>(parse_message("bye now", test::names(), {8}))) ==
-          "unknown kind bye");
+          "unknown message kind bye");
 }
 
 TEST_CASE("an HTTP answer is read wherever its bytes are cut") {
@@ -236,7 +236,7 @@
     body_of(cut, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhel", 9);
     CHECK(!cut.end());
     HttpReader endless;
-    CHECK(!endless.feed("HTTP/1.1 200 " + std::string(HttpReader::kLongestLine, 'x'),
+    CHECK(!endless.feed("HTTP/1.1 200 " + std::string(HttpReader::kMaxLineBytes, 'x'),
                         [](std::string_view) {}));
 }
 
@@ -269,9 +269,9 @@
          EndpointRejection::unknown_state},
         {R"({"id":"x","zone":"a","state":"up"})", EndpointRejection::no_address},
         {R"({"id":"x","addr":"h:1","state":"up"})", EndpointRejection::no_zone},
-        {R"({"id":"x,y","addr":"h:1","zone":"a","state":"up"})", EndpointRejection::unusable_id},
-        {R"({"id":"x\r\n","addr":"h:1","zone":"a","state":"up"})", EndpointRejection::unusable_id},
-        {R"({"addr":"h:1","zone":"a","state":"up"})", EndpointRejection::unusable_id},
+        {R"({"id":"x,y","addr":"h:1","zone":"a","state":"up"})", EndpointRejection::invalid_id},
+        {R"({"id":"x\r\n","addr":"h:1","zone":"a","state":"up"})", EndpointRejection::invalid_id},
+        {R"({"addr":"h:1","zone":"a","state":"up"})", EndpointRejection::invalid_id},
         {R"({"id":"x","addr":"h:1","zone":"a","state":"up","weight":-1})",
          EndpointRejection::bad_number},
         {R"({"id":"x","addr":"h:1","zone":"a","state":"up","started_ms":"now"})",
