--- a/bench/route_index_bench.cpp
+++ b/bench/route_index_bench.cpp
@@ -27,22 +27,22 @@
         Match when;
         switch (i % 4) {
             case 0:
-                when = {PathIs{{TextWay::prefix, {path(i)}, false}}};
+                when = {PathIs{{TextMatchKind::prefix, {path(i)}, false}}};
                 break;
             case 1:
-                when = {HostIs{{TextWay::exact, {host(i)}, false}}};
+                when = {HostIs{{TextMatchKind::exact, {host(i)}, false}}};
                 break;
             case 2:
-                when = {AllOf{{Match{HostIs{{TextWay::suffix, {"." + host(i)}, false}}},
-                               Match{PathIs{{TextWay::prefix, {"/api/"}, false}}}}}};
+                when = {AllOf{{Match{HostIs{{TextMatchKind::suffix, {"." + host(i)}, false}}},
+                               Match{PathIs{{TextMatchKind::prefix, {"/api/"}, false}}}}}};
                 break;
             default:
-                when = {AllOf{{Match{PathIs{{TextWay::exact, {path(i)}, false}}},
+                when = {AllOf{{Match{PathIs{{TextMatchKind::exact, {path(i)}, false}}},
                                Match{Not{{Match{MethodIs{{"POST"}}}}}}}}};
         }
         drawn.routes.push_back({fmt::format("r{}", i), std::move(when), ToPool{"p"}});
     }
-    drawn.routes.push_back({"rest", {PathIs{{TextWay::prefix, {"/"}, false}}}, ToPool{"p"}});
+    drawn.routes.push_back({"rest", {PathIs{{TextMatchKind::prefix, {"/"}, false}}}, ToPool{"p"}});
     for (int i = 0; i < 1'024; ++i) {
         const int n = static_cast<int>(chance() % static_cast<unsigned>(number));
         Rpc rpc;
@@ -57,14 +57,14 @@
     const Drawn drawn = draw(static_cast<int>(state.range(0)));
     const RouteIndex index(drawn.routes);
     for (std::size_t i = 0; i < (state.range(0) > 10'000 ? 64 : drawn.rpcs.size()); ++i) {
-        if (index.first(drawn.rpcs[i], nullptr) !=
-            first_by_list(drawn.routes, drawn.rpcs[i], nullptr)) {
+        if (index.find_first(drawn.rpcs[i], nullptr) !=
+            find_first_by_scan(drawn.routes, drawn.rpcs[i], nullptr)) {
             std::abort();
         }
     }
     std::size_t i = 0;
     for (auto _ : state) {
-        benchmark::DoNotOptimize(index.first(drawn.rpcs[i++ % drawn.rpcs.size()], nullptr));
+        benchmark::DoNotOptimize(index.find_first(drawn.rpcs[i++ % drawn.rpcs.size()], nullptr));
     }
 }
 void by_list(benchmark::State& state) {
@@ -72,7 +72,7 @@
     std::size_t i = 0;
     for (auto _ : state) {
         benchmark::DoNotOptimize(
-            first_by_list(drawn.routes, drawn.rpcs[i++ % drawn.rpcs.size()], nullptr));
+            find_first_by_scan(drawn.routes, drawn.rpcs[i++ % drawn.rpcs.size()], nullptr));
     }
 }
 void building(benchmark::State& state) {
--- a/bench/scale/routing_run.cpp
+++ b/bench/scale/routing_run.cpp
@@ -31,14 +31,14 @@
 Match match_of(int route) {
     switch (route % 4) {
         case 0:
-            return {PathIs{{TextWay::prefix, {path_of(route)}, false}}};
+            return {PathIs{{TextMatchKind::prefix, {path_of(route)}, false}}};
         case 1:
-            return {HostIs{{TextWay::exact, {host_of(route)}, false}}};
+            return {HostIs{{TextMatchKind::exact, {host_of(route)}, false}}};
         case 2:
-            return {AllOf{{Match{HostIs{{TextWay::suffix, {"." + host_of(route)}, false}}},
-                           Match{PathIs{{TextWay::prefix, {"/api/"}, false}}}}}};
+            return {AllOf{{Match{HostIs{{TextMatchKind::suffix, {"." + host_of(route)}, false}}},
+                           Match{PathIs{{TextMatchKind::prefix, {"/api/"}, false}}}}}};
         default:
-            return {AllOf{{Match{PathIs{{TextWay::exact, {path_of(route)}, false}}},
+            return {AllOf{{Match{PathIs{{TextMatchKind::exact, {path_of(route)}, false}}},
                            Match{Not{{Match{MethodIs{{"POST"}}}}}}}}};
     }
 }
@@ -84,7 +84,7 @@
     for (int i = 0; i < kLookups; i += kLookupsPerSample) {
         before = processor_seconds();
         for (int k = i; k < i + kLookupsPerSample; ++k) {
-            found += index.first(rpcs[static_cast<std::size_t>(k)], nullptr).value_or(0);
+            found += index.find_first(rpcs[static_cast<std::size_t>(k)], nullptr).value_or(0);
         }
         lookup_us.add((processor_seconds() - before) / kLookupsPerSample / kMicrosecond);
     }
@@ -99,7 +99,7 @@
 
 json measure_tenants(const WorldSpec& spec, std::minstd_rand& random, json& counts) {
     Pool limit;
-    limit.connections_most = kTenantLimit;
+    limit.max_connections = kTenantLimit;
     limit.servers.emplace_back();
     limit.servers.back().name = "here";
     const std::int64_t memory_before = resident_bytes();
--- a/fuzz/import_fuzz.cpp
+++ b/fuzz/import_fuzz.cpp
@@ -26,7 +26,7 @@
     const routing::Router router(plan);
     routing::Rpc rpc;
     rpc.path = "/img/a.png", rpc.host = "shop.example:80", rpc.cookies["SRV"] = "a";
-    rpc.source = *routing::address_of("10.1.2.3");
+    rpc.source = *routing::parse_address("10.1.2.3");
     for (const auto& listener : plan.listeners) {
         const auto decision = router.decide(listener.name, rpc, {});
         double sum = 0;
@@ -47,14 +47,14 @@
     }
     const std::string text(reinterpret_cast<const char*>(data) + 1, size - 1);
     if (data[0] % 2 == 1) {
-        const operators::Reading reading = operators::read_text(text, "f");
+        const operators::ReadResult reading = operators::read_text(text, "f");
         for (const auto& fault : reading.faults) {
-            must(!fault.says.empty() && fault.line > 0 && fault.column > 0);
+            must(!fault.message.empty() && fault.line > 0 && fault.column > 0);
         }
         if (!reading.faults.empty()) {
             return 0;
         }
-        const operators::Reading back =
+        const operators::ReadResult back =
             operators::read_text(operators::write_text(reading.plan), "back");
         must(back.faults.empty() && back.plan == reading.plan);
         decide(reading.plan);
@@ -87,7 +87,7 @@
         must(import.plan.pools.empty() && import.plan.listeners.empty());
         return 0;
     }
-    const operators::Reading back =
+    const operators::ReadResult back =
         operators::read_text(operators::write_text(import.plan), "back");
     must(back.faults.empty() && back.plan == import.plan);
     decide(import.plan);
--- a/src/command/check.cpp
+++ b/src/command/check.cpp
@@ -16,11 +16,11 @@
     }
 
     int run(std::ostream& out, std::ostream& err) override {
-        const std::optional<operators::Reading> reading = read_operator_file(file_, err);
-        if (!reading) {
+        const std::optional<operators::ReadResult> result = read_operator_file(file_, err);
+        if (!result) {
             return kUnusable;
         }
-        print_counts(reading->plan, out);
+        print_counts(result->plan, out);
         return kDone;
     }
 
--- a/src/command/explain.cpp
+++ b/src/command/explain.cpp
@@ -107,11 +107,11 @@
     }
 
     int run(std::ostream& out, std::ostream& err) override {
-        const std::optional<operators::Reading> reading = read_operator_file(options_.file, err);
-        if (!reading) {
+        const std::optional<operators::ReadResult> result = read_operator_file(options_.file, err);
+        if (!result) {
             return kUnusable;
         }
-        const auto listener = find_listener(options_, reading->plan);
+        const auto listener = find_listener(options_, result->plan);
         if (!listener) {
             return wrong_usage(listener.error(), err);
         }
@@ -119,11 +119,11 @@
         if (!rpc) {
             return wrong_usage(rpc.error(), err);
         }
-        const auto view = make_view(options_, reading->plan);
+        const auto view = make_view(options_, result->plan);
         if (!view) {
             return wrong_usage(view.error(), err);
         }
-        const routing::Router router(reading->plan);
+        const routing::Router router(result->plan);
         const routing::Decision decision = router.decide(*listener, *rpc, *view);
         if (options_.json) {
             print_json(decision, out);
--- a/src/command/explain_request.cpp
+++ b/src/command/explain_request.cpp
@@ -103,7 +103,7 @@
     if (question_mark != std::string::npos) {
         rpc.query = options.path.substr(question_mark + 1);
     }
-    const std::optional<routing::Address> source = routing::address_of(options.source);
+    const std::optional<routing::Address> source = routing::parse_address(options.source);
     if (!source) {
         return tl::unexpected(OptionError{OptionError::Kind::bad_source, options.source, {}});
     }
@@ -113,7 +113,7 @@
         if (!header) {
             return tl::unexpected(OptionError{OptionError::Kind::bad_header, word, {}});
         }
-        rpc.headers.emplace_back(routing::lower(header->name), header->value);
+        rpc.headers.emplace_back(routing::to_lower(header->name), header->value);
     }
     for (const std::string& word : options.cookies) {
         const std::optional<NameAndValue> cookie = split(word, kCookieSeparator);
--- a/src/command/import.cpp
+++ b/src/command/import.cpp
@@ -60,7 +60,7 @@
         }
         const std::string text = operators::write_text(import.plan, heading());
         // What was made is read as the operator's file will be: a fault in it is the importer's.
-        const operators::Reading read_back =
+        const operators::ReadResult read_back =
             operators::read_text(text, output_.empty() ? "(result)" : output_);
         if (!read_back.faults.empty()) {
             print_faults(read_back.faults, err);
--- a/src/command/operator_file.cpp
+++ b/src/command/operator_file.cpp
@@ -4,18 +4,19 @@
 
 namespace micaroad::command {
 
-std::optional<operators::Reading> read_operator_file(const std::string& path, std::ostream& err) {
-    operators::Reading reading = operators::read_file(path);
-    for (const operators::Fault& fault : reading.faults) {
+std::optional<operators::ReadResult> read_operator_file(const std::string& path,
+                                                        std::ostream& err) {
+    operators::ReadResult result = operators::read_file(path);
+    for (const operators::Fault& fault : result.faults) {
         fmt::print(err, "{}\n", fault.text());
     }
-    for (const std::string& notice : reading.notices) {
+    for (const std::string& notice : result.notices) {
         fmt::print(err, "{}: {}\n", path, notice);
     }
-    if (!reading.faults.empty()) {
+    if (!result.faults.empty()) {
         return std::nullopt;
     }
-    return reading;
+    return result;
 }
 
 }  // namespace micaroad::command
--- a/src/command/operator_file.hpp
+++ b/src/command/operator_file.hpp
@@ -10,7 +10,7 @@
 namespace micaroad::command {
 
 /// Reads an operator's file and prints its faults and notices to `err`. Absent if it has faults.
-[[nodiscard]] std::optional<operators::Reading> read_operator_file(const std::string& path,
-                                                                   std::ostream& err);
+[[nodiscard]] std::optional<operators::ReadResult> read_operator_file(const std::string& path,
+                                                                      std::ostream& err);
 
 }  // namespace micaroad::command
--- a/src/command/planner_service.cpp
+++ b/src/command/planner_service.cpp
@@ -50,8 +50,8 @@
 record::RetentionPolicy retention_of(const routing::Recording& settings) {
     record::RetentionPolicy retention;
     retention.segment_bytes = static_cast<std::uint64_t>(settings.segment_mb) << kBytesPerMibShift;
-    retention.total_bytes = static_cast<std::uint64_t>(settings.all_mb) << kBytesPerMibShift;
-    retention.max_age = settings.keep;
+    retention.total_bytes = static_cast<std::uint64_t>(settings.total_mb) << kBytesPerMibShift;
+    retention.max_age = settings.max_age;
     return retention;
 }
 
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -30,13 +30,13 @@
 }
 
 void reload(const std::string& file, PlannerService& service, Log& log) {
-    const operators::Reading reading = operators::read_file(file);
-    for (const operators::Fault& fault : reading.faults) {
+    const operators::ReadResult result = operators::read_file(file);
+    for (const operators::Fault& fault : result.faults) {
         log.error("configuration: fault in file text=\"{}\"", fault.text());
     }
-    if (!reading.faults.empty()) {
+    if (!result.faults.empty()) {
         log.error("configuration: reload rejected file={} reason=\"faults in the file\"", file);
-    } else if (!service.replace(reading.plan)) {
+    } else if (!service.replace(result.plan)) {
         log.error(
             "configuration: reload rejected file={} reason=\"its pools differ, which needs a "
             "restart\"",
@@ -59,18 +59,18 @@
 
     int run(std::ostream&, std::ostream& err) override {
         const sigset_t signals = block_signals();
-        const operators::Reading reading = operators::read_file(file_);
-        for (const operators::Fault& fault : reading.faults) {
+        const operators::ReadResult result = operators::read_file(file_);
+        for (const operators::Fault& fault : result.faults) {
             err << fault.text() << "\n";
         }
-        if (!reading.faults.empty()) {
+        if (!result.faults.empty()) {
             return kUnusable;
         }
         Log log(STDERR_FILENO);
-        for (const std::string& notice : reading.notices) {
+        for (const std::string& notice : result.notices) {
             log.warn("configuration: notice file={} text=\"{}\"", file_, notice);
         }
-        PlannerService service(reading.plan, clock_from_now(), log);
+        PlannerService service(result.plan, clock_from_now(), log);
         std::thread signal_thread([&] { handle_signals(signals, service, log); });
         const int code = service.run();
         if (code != 0) {
--- a/src/haproxy/acl.cpp
+++ b/src/haproxy/acl.cpp
@@ -18,7 +18,7 @@
 Match loopback_sources() {
     routing::SourceIn loopback;
     for (const char* const text : {"127.0.0.0/8", "::1"}) {
-        if (const auto network = routing::network_of(text)) {
+        if (const auto network = routing::parse_network(text)) {
             loopback.networks.push_back(*network);
         }
     }
@@ -41,7 +41,7 @@
         return loopback_sources();
     }
     if (name == "HTTP_URL_SLASH") {
-        return Match{routing::PathIs{{routing::TextWay::prefix, {"/"}, false}}};
+        return Match{routing::PathIs{{routing::TextMatchKind::prefix, {"/"}, false}}};
     }
     if (const auto method = kMethods.find(name); method != kMethods.end()) {
         return Match{MethodIs{method->second}};
--- a/src/haproxy/acl_expression.cpp
+++ b/src/haproxy/acl_expression.cpp
@@ -18,21 +18,21 @@
 using routing::AnyOf;
 using routing::HeaderIs;
 using routing::HostIs;
-using routing::lower;
 using routing::Match;
 using routing::MethodIs;
 using routing::PathIs;
 using routing::SourceIn;
-using routing::TextWay;
+using routing::TextMatchKind;
+using routing::to_lower;
 using routing::UsableServers;
 
 constexpr std::int64_t kMaxServers = 1'000'000;
 
-const std::map<std::string, TextWay> kWaysBySuffix{{"", TextWay::exact},
-                                                   {"_str", TextWay::exact},
-                                                   {"_beg", TextWay::prefix},
-                                                   {"_end", TextWay::suffix},
-                                                   {"_sub", TextWay::contains}};
+const std::map<std::string, TextMatchKind> kWaysBySuffix{{"", TextMatchKind::exact},
+                                                         {"_str", TextMatchKind::exact},
+                                                         {"_beg", TextMatchKind::prefix},
+                                                         {"_end", TextMatchKind::suffix},
+                                                         {"_sub", TextMatchKind::contains}};
 
 /// A sample fetch with its converters: `hdr(host),lower`.
 struct Fetch {
@@ -78,9 +78,9 @@
 /// The flags of an expression and the values behind them.
 struct Pattern {
     bool any_case = false;
-    bool found = false;          // -m found: whether there is a sample at all
-    std::optional<TextWay> way;  // as -m asks for
-    std::string refused;         // why a flag has no translation; empty: none
+    bool found = false;                // -m found: whether there is a sample at all
+    std::optional<TextMatchKind> way;  // as -m asks for
+    std::string refused;               // why a flag has no translation; empty: none
     std::vector<std::string> values;
 };
 
@@ -154,14 +154,14 @@
         if (!least) {
             return refuse_condition(least.wrong);
         }
-        usable.least = static_cast<int>(*least);
+        usable.min_count = static_cast<int>(*least);
     }
     if (colon + 1 < text.size()) {
         const auto most = read_server_count(text.substr(colon + 1));
         if (!most) {
             return refuse_condition(most.wrong);
         }
-        usable.most = static_cast<int>(*most);
+        usable.max_count = static_cast<int>(*most);
     }
     return TranslatedMatch{Match{usable}};
 }
@@ -171,16 +171,16 @@
         return {Match{AnyOf{}}, Verdict::translated, "never holds"};
     }
     if (comparison == "eq" || comparison == "ge") {
-        usable.least = count;
+        usable.min_count = count;
     }
     if (comparison == "eq" || comparison == "le") {
-        usable.most = count;
+        usable.max_count = count;
     }
     if (comparison == "gt") {
-        usable.least = count + 1;
+        usable.min_count = count + 1;
     }
     if (comparison == "lt") {
-        usable.most = count - 1;
+        usable.max_count = count - 1;
     }
     return TranslatedMatch{Match{usable}};
 }
@@ -227,8 +227,8 @@
     while (value.ends_with('/')) {
         value.pop_back();
     }
-    return {AnyOf{{Match{PathIs{{TextWay::contains, {"/" + value + "/"}, false}}},
-                   Match{PathIs{{TextWay::suffix, {"/" + value}, false}}}}}};
+    return {AnyOf{{Match{PathIs{{TextMatchKind::contains, {"/" + value + "/"}, false}}},
+                   Match{PathIs{{TextMatchKind::suffix, {"/" + value}, false}}}}}};
 }
 
 TranslatedCondition translate_directories(const Pattern& pattern, bool any_case) {
@@ -237,15 +237,15 @@
     }
     AnyOf any;
     for (const std::string& value : pattern.values) {
-        any.of.push_back(directory_of(value));
+        any.conditions.push_back(directory_of(value));
     }
     return TranslatedMatch{Match{any}};
 }
 
 /// How the fetch `name` compares texts, by its suffix behind `stem` or by -m; absent: it is another
 /// fetch.
-std::optional<TextWay> text_way(const std::string& name, const std::string& stem,
-                                const Pattern& pattern) {
+std::optional<TextMatchKind> text_way(const std::string& name, const std::string& stem,
+                                      const Pattern& pattern) {
     if (!name.starts_with(stem)) {
         return std::nullopt;
     }
@@ -256,7 +256,7 @@
     return pattern.way ? pattern.way : suffix->second;
 }
 
-std::optional<TextWay> header_text_way(const std::string& name, const Pattern& pattern) {
+std::optional<TextMatchKind> header_text_way(const std::string& name, const Pattern& pattern) {
     for (const char* const stem : {"req.hdr", "req.fhdr", "hdr"}) {
         if (const auto way = text_way(name, stem, pattern)) {
             return way;
@@ -289,11 +289,11 @@
     return name;
 }
 
-TranslatedMatch match_host(TextWay way, const Pattern& pattern, bool any_case) {
+TranslatedMatch match_host(TextMatchKind way, const Pattern& pattern, bool any_case) {
     std::vector<std::string> hosts;
     hosts.reserve(pattern.values.size());
     for (const std::string& value : pattern.values) {
-        hosts.push_back(lower(value));
+        hosts.push_back(to_lower(value));
     }
     const Match match{HostIs{{way, hosts, false}}};
     if (any_case) {
@@ -305,7 +305,7 @@
 /// Compares the values of the header field `name`, which is in lower case.
 TranslatedCondition translate_header_text(const std::string& name, const Fetch& fetch,
                                           const Pattern& pattern) {
-    const std::optional<TextWay> way = header_text_way(fetch.name, pattern);
+    const std::optional<TextMatchKind> way = header_text_way(fetch.name, pattern);
     if (!way) {
         return refuse_condition(fmt::format("{} has no equal here", fetch.name));
     }
@@ -340,9 +340,9 @@
     if (!given_name) {
         return tl::unexpected(given_name.error());
     }
-    const std::string name = lower(*given_name);
+    const std::string name = to_lower(*given_name);
     if (counts || pattern.found) {
-        return TranslatedMatch{Match{HeaderIs{name, {TextWay::present, {}, false}}}};
+        return TranslatedMatch{Match{HeaderIs{name, {TextMatchKind::present, {}, false}}}};
     }
     return translate_header_text(name, fetch, pattern);
 }
@@ -350,7 +350,7 @@
 TranslatedCondition translate_source(const Pattern& pattern) {
     SourceIn source;
     for (const std::string& value : pattern.values) {
-        const auto network = routing::network_of(value);
+        const auto network = routing::parse_network(value);
         if (!network) {
             return refuse_condition(fmt::format("'{}' is no network", value));
         }
--- a/src/haproxy/pools.cpp
+++ b/src/haproxy/pools.cpp
@@ -95,7 +95,7 @@
         stickiness.by = By::path;
         stickiness.path_depth = balance.depth;
         stickiness.path_length = balance.length;
-        stickiness.with_query = balance.whole;
+        stickiness.include_query = balance.whole;
     } else if (balance.kind == "url_param") {
         stickiness.by = By::query;
         stickiness.name = balance.argument;
@@ -169,35 +169,35 @@
             "s and 30 s");
     }
     if (connect && !is_unlimited(connect)) {
-        pool.connect_within = *connect;
-        pool.queue_patience = *connect;
+        pool.connect_timeout = *connect;
+        pool.queue_timeout = *connect;
     }
     if (answer && !is_unlimited(answer)) {
-        pool.answer_within = *answer;
+        pool.response_timeout = *answer;
     }
     if (queue && is_unlimited(queue)) {
         say(settings.timeouts.at("queue").line(), Verdict::changed,
             "nobody waits without end: as long as for a connection");
     } else if (queue) {
-        pool.queue_patience = *queue;
+        pool.queue_timeout = *queue;
     }
 }
 
 void PoolMaker::set_retries(const Settings& settings, routing::Pool& pool) {
-    using routing::FurtherTries;
+    using routing::RetryRule;
     const auto retry_on = settings.retry_on.get_or({true, false}, findings_);
     const bool any_retry = retry_on.first;
     const bool after_any_failure = retry_on.second;
     const Redispatch redispatch = settings.redispatch.get_or(Redispatch{}, findings_);
-    pool.further.most = any_retry ? settings.retries.get_or(kRetries, findings_) : 0;
-    pool.further.proof =
-        after_any_failure ? FurtherTries::Proof::any_failure : FurtherTries::Proof::never_ran;
+    pool.retry_rule.max_retries = any_retry ? settings.retries.get_or(kRetries, findings_) : 0;
+    pool.retry_rule.condition =
+        after_any_failure ? RetryRule::Condition::any_failure : RetryRule::Condition::no_connection;
     if (!redispatch.on) {
-        pool.further.where = FurtherTries::Where::same;
+        pool.retry_rule.target = RetryRule::Target::same;
     } else if (redispatch.interval == 1) {
-        pool.further.where = FurtherTries::Where::other;
+        pool.retry_rule.target = RetryRule::Target::other;
     } else {
-        pool.further.where = FurtherTries::Where::other_at_last;
+        pool.retry_rule.target = RetryRule::Target::other_on_last_retry;
     }
 }
 
@@ -209,12 +209,12 @@
             pool.health.http_method = check.method;
             pool.health.http_path = check.path;
             pool.health.http_host = check.host;
-            pool.health.status_least = check.status_least;
-            pool.health.status_most = check.status_most;
+            pool.health.min_status = check.status_least;
+            pool.health.max_status = check.status_most;
         }
     }
     if (const std::optional<Duration> patience = timeout(settings, "check")) {
-        pool.health.patience = *patience;
+        pool.health.timeout = *patience;
     }
 }
 
@@ -231,7 +231,7 @@
         pool.stickiness = {};
         pool.stickiness.by = routing::Stickiness::By::cookie;
         pool.stickiness.name = settings.cookie.get(findings_).name;
-        pool.stickiness.keeps_down = settings.persist.get_or(false, findings_);
+        pool.stickiness.stay_when_down = settings.persist.get_or(false, findings_);
         taken = true;
     }
     for (const Statement* stick : draft.sticks) {
@@ -362,21 +362,21 @@
             "ends; in the "
             "original without end");
     }
-    server.connections_most = words.max_conn > 0 ? words.max_conn : words.min_conn;
-    server.queue_most = words.max_queue;
+    server.max_connections = words.max_conn > 0 ? words.max_conn : words.min_conn;
+    server.max_queued = words.max_queue;
     const Balance balance = draft.settings.balance.get_or(Balance{}, findings_);
     const bool moves =
         balance.kind == "roundrobin" || balance.kind == "leastconn" || balance.kind == "random";
     if (moves) {
         server.slow_start = words.slow_start;
     }
-    server.mark = words.cookie;
-    server.health_of = words.track;
-    if (!server.health_of.empty() && server.health_of.find('/') == std::string::npos) {
-        server.health_of = pool.name + "/" + server.health_of;
+    server.cookie_value = words.cookie;
+    server.health_source = words.track;
+    if (!server.health_source.empty() && server.health_source.find('/') == std::string::npos) {
+        server.health_source = pool.name + "/" + server.health_source;
     }
-    server.checked = words.check && words.track.empty();
-    if (server.checked) {
+    server.health_checked = words.check && words.track.empty();
+    if (server.health_checked) {
         health(at, words, pool);
     }
     line_of_[pool.name + "/" + name] = line;
@@ -388,12 +388,12 @@
     routing::HealthRule rule = pool.health;
     const routing::HealthRule usual;
     const bool first = health_by_.try_emplace(pool.name, at.statement->word(1)).second;
-    rule.every = words.inter.value_or(usual.every);
-    rule.every_in_doubt = words.fast_inter.value_or(Duration{});
-    rule.every_while_down = words.down_inter.value_or(Duration{});
+    rule.interval = words.inter.value_or(usual.interval);
+    rule.transition_interval = words.fast_inter.value_or(Duration{});
+    rule.down_interval = words.down_inter.value_or(Duration{});
     rule.rise = words.rise.value_or(usual.rise);
     rule.fall = words.fall.value_or(usual.fall);
-    rule.errors_most = words.observes ? words.error_limit.value_or(kErrorLimit) : 0;
+    rule.max_consecutive_errors = words.observes ? words.error_limit.value_or(kErrorLimit) : 0;
     if (first) {
         pool.health = rule;
     } else if (rule != pool.health) {
@@ -413,8 +413,8 @@
     for (const auto& [name, server] : servers) {
         std::set<std::string> passed{name};
         std::string at = name;
-        while (out.count(name) == 0 && !servers.at(at)->health_of.empty()) {
-            const std::string& next = servers.at(at)->health_of;
+        while (out.count(name) == 0 && !servers.at(at)->health_source.empty()) {
+            const std::string& next = servers.at(at)->health_source;
             if (!servers.contains(next)) {
                 out[name] = fmt::format("it tracks {}, which is not there", next);
             } else if (!passed.insert(next).second) {
@@ -422,7 +422,7 @@
             }
             at = next;
         }
-        if (out.count(name) == 0 && at != name && !servers.at(at)->checked) {
+        if (out.count(name) == 0 && at != name && !servers.at(at)->health_checked) {
             out[name] = fmt::format("it tracks {}, which is not checked", at);
         }
     }
--- a/src/haproxy/request_rules.cpp
+++ b/src/haproxy/request_rules.cpp
@@ -285,7 +285,7 @@
         denials_.push_back({match, *status});
         if (sink_ != nullptr) {
             sink_->routes.push_back(
-                {sink_->names.next("deny", *rule.statement), match, routing::TurnAway{*status}});
+                {sink_->names.next("deny", *rule.statement), match, routing::Reject{*status}});
         }
         report_denial(rule, *condition, *status);
     }
@@ -392,8 +392,8 @@
 }
 
 Match match_both(const Match& first, const Match& second) {
-    const auto* all = std::get_if<AllOf>(&first.is);
-    if (all != nullptr && all->of.empty()) {
+    const auto* all = std::get_if<AllOf>(&first.condition);
+    if (all != nullptr && all->conditions.empty()) {
         return second;
     }
     return {AllOf{{first, second}}};
--- a/src/haproxy/routes.cpp
+++ b/src/haproxy/routes.cpp
@@ -75,7 +75,7 @@
     for (const Statement* statement : draft.binds) {
         translate_bind(*statement, listener);
     }
-    listener.connections_most = draft.settings.max_conn.get_or(0, findings_);
+    listener.max_connections = draft.settings.max_conn.get_or(0, findings_);
 
     RouteNames names;
     RouteSink sink{listener.routes, names};
@@ -131,7 +131,7 @@
                                  const Statement& statement, RouteSink& sink) {
     for (const Denial& denial : denials_by_pool_[pool]) {
         sink.routes.push_back({sink.names.next("deny-" + pool, statement),
-                               match_both(when, denial.when), routing::TurnAway{denial.status}});
+                               match_both(when, denial.when), routing::Reject{denial.status}});
     }
     sink.routes.push_back({sink.names.next("to-" + pool, statement), when, routing::ToPool{pool}});
 }
@@ -155,7 +155,7 @@
     listener.default_pool = pool;
     for (const Denial& denial : denials_by_pool_[pool]) {
         listener.routes.push_back({names.next("deny-" + pool, section.header), denial.when,
-                                   routing::TurnAway{denial.status}});
+                                   routing::Reject{denial.status}});
     }
 }
 
--- a/src/haproxy/units.cpp
+++ b/src/haproxy/units.cpp
@@ -102,7 +102,7 @@
 tl::expected<HostAndPort, std::string_view> split_host_and_port(std::string_view text) {
     if (!text.starts_with('[')) {
         const std::size_t colon = text.rfind(':');
-        if (colon == std::string_view::npos || routing::address_of(text)) {
+        if (colon == std::string_view::npos || routing::parse_address(text)) {
             return HostAndPort{text, {}};
         }
         return HostAndPort{text.substr(0, colon), text.substr(colon + 1)};
@@ -152,7 +152,7 @@
     if (host.empty() || host == "*") {
         return Endpoint::Kind::any_host;
     }
-    const auto address = routing::address_of(host);
+    const auto address = routing::parse_address(host);
     if (!address) {
         if (!is_host_name(host)) {
             return tl::make_unexpected(std::string_view{"is no address"});
--- a/src/net/health_checker.cpp
+++ b/src/net/health_checker.cpp
@@ -21,7 +21,7 @@
 }
 
 std::chrono::milliseconds timeout_of(const routing::HealthRule& rule) {
-    return rounded_up(rule.patience > Duration{} ? rule.patience : rule.every);
+    return rounded_up(rule.timeout > Duration{} ? rule.timeout : rule.interval);
 }
 
 }  // namespace
@@ -117,7 +117,7 @@
     }
     char buffer[kResponseBuffer];
     const auto status = connection.receive_status(buffer, ResponsePart::status_line, deadline);
-    return status && *status >= rule.status_least && *status <= rule.status_most;
+    return status && *status >= rule.min_status && *status <= rule.max_status;
 }
 
 }  // namespace micaroad::net
--- a/src/operators/address.cpp
+++ b/src/operators/address.cpp
@@ -9,7 +9,7 @@
 namespace micaroad::operators {
 namespace {
 
-constexpr int kLargestPort = 65'535;
+constexpr int kMaxPort = 65'535;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
     }
     int port = 0;
     const std::string_view digits = std::string_view(text).substr(colon + 1);
-    if (!protocol::parse_integer(digits, port) || port < 1 || port > kLargestPort) {
+    if (!protocol::parse_integer(digits, port) || port < 1 || port > kMaxPort) {
         return false;
     }
     std::string host = text.substr(0, colon);
@@ -31,7 +31,7 @@
     if (in_brackets) {
         host = host.substr(1, host.size() - 2);
     }
-    const std::optional<routing::Address> address = routing::address_of(host);
+    const std::optional<routing::Address> address = routing::parse_address(host);
     return address && address->v4 != in_brackets;
 }
 
--- a/src/operators/duration.cpp
+++ b/src/operators/duration.cpp
@@ -50,7 +50,7 @@
         return std::nullopt;
     }
     const Duration duration{(microseconds + kRoundUp) / kMicrosecondsPerTick};
-    return duration <= kLongestDuration ? std::optional{duration} : std::nullopt;
+    return duration <= kMaxDuration ? std::optional{duration} : std::nullopt;
 }
 
 std::string format_duration(Duration duration) {
--- a/src/operators/duration.hpp
+++ b/src/operators/duration.hpp
@@ -14,7 +14,7 @@
 constexpr std::string_view kDurationAllowed =
     "a whole number and us, ms, s, m, h or d; at most 2147483647ms";
 /// The longest timer of imported files.
-constexpr Duration kLongestDuration = std::chrono::milliseconds(2'147'483'647);
+constexpr Duration kMaxDuration = std::chrono::milliseconds(2'147'483'647);
 
 /// Rounded up to the resolution of Duration; absent if `text` is no duration or over the longest.
 [[nodiscard]] std::optional<Duration> parse_duration(std::string_view text);
--- a/src/operators/enum_tables.hpp
+++ b/src/operators/enum_tables.hpp
@@ -27,15 +27,15 @@
     EnumPair{DISABLED, routing::State::disabled},
     EnumPair{MAINTENANCE, routing::State::maintenance},
 };
-inline constexpr std::array kRetryProofs{
-    EnumPair{FurtherTries::NEVER_RAN, routing::FurtherTries::Proof::never_ran},
-    EnumPair{FurtherTries::PUSHED_BACK, routing::FurtherTries::Proof::pushed_back},
-    EnumPair{FurtherTries::ANY_FAILURE, routing::FurtherTries::Proof::any_failure},
+inline constexpr std::array kRetryConditions{
+    EnumPair{FurtherTries::NEVER_RAN, routing::RetryRule::Condition::no_connection},
+    EnumPair{FurtherTries::PUSHED_BACK, routing::RetryRule::Condition::not_executed},
+    EnumPair{FurtherTries::ANY_FAILURE, routing::RetryRule::Condition::any_failure},
 };
 inline constexpr std::array kRetryTargets{
-    EnumPair{FurtherTries::SAME, routing::FurtherTries::Where::same},
-    EnumPair{FurtherTries::OTHER_AT_LAST, routing::FurtherTries::Where::other_at_last},
-    EnumPair{FurtherTries::OTHER, routing::FurtherTries::Where::other},
+    EnumPair{FurtherTries::SAME, routing::RetryRule::Target::same},
+    EnumPair{FurtherTries::OTHER_AT_LAST, routing::RetryRule::Target::other_on_last_retry},
+    EnumPair{FurtherTries::OTHER, routing::RetryRule::Target::other},
 };
 inline constexpr std::array kStickinessKeys{
     EnumPair{Stickiness::SOURCE, routing::Stickiness::By::source},
--- a/src/operators/file.cpp
+++ b/src/operators/file.cpp
@@ -14,8 +14,8 @@
 namespace micaroad::operators {
 namespace {
 
-void read_installation(const Installation& file, const LocatedMessage& top, Reading& reading) {
-    FileState state{reading, {}, {}, {}, {}};
+void read_installation(const Installation& file, const LocatedMessage& top, ReadResult& result) {
+    FileState state{result, {}, {}, {}, {}};
     for (const Pool& pool : file.pool()) {
         state.pool_names.insert(pool.name());
     }
@@ -26,11 +26,11 @@
         read_listener(file.listener(i), top.nested("listener", file.listener(i), i), state);
     }
     if (file.has_planner()) {
-        read_planner(file.planner(), top.nested("planner", file.planner()), reading.plan.service);
+        read_planner(file.planner(), top.nested("planner", file.planner()), result.plan.service);
     }
     if (file.has_recording()) {
         read_recording(file.recording(), top.nested("recording", file.recording()),
-                       reading.plan.recording);
+                       result.plan.recording);
     }
     state.health_chains.check();
 }
@@ -42,15 +42,15 @@
     };
     std::stable_sort(faults.begin(), faults.end(), before);
     faults.erase(std::unique(faults.begin(), faults.end()), faults.end());
-    if (faults.size() > kMostFaults) {
-        faults.resize(kMostFaults);
+    if (faults.size() > kMaxFaults) {
+        faults.resize(kMaxFaults);
     }
 }
 
-Reading unreadable_file(const std::string& path, const char* reason) {
-    Reading reading;
-    reading.faults.push_back({path, 0, 0, "", reason, ""});
-    return reading;
+ReadResult unreadable_file(const std::string& path, const char* reason) {
+    ReadResult result;
+    result.faults.push_back({path, 0, 0, "", reason, ""});
+    return result;
 }
 
 }  // namespace
@@ -61,25 +61,25 @@
     if (!value.empty()) {
         text += fmt::format("'{}': ", value);
     }
-    text += says;
+    text += message;
     if (!allowed.empty()) {
         text += fmt::format("; allowed: {}", allowed);
     }
     return text;
 }
 
-Reading read_text(std::string_view text, const std::string& name) {
-    Reading reading;
+ReadResult read_text(std::string_view text, const std::string& name) {
+    ReadResult result;
     Installation file;
     std::unique_ptr<LocatedMessage::Places> places;
-    reading.faults = parse_text(std::string(text), name, file, places);
+    result.faults = parse_text(std::string(text), name, file, places);
     const Fault file_begin{name, 1, 1, "", "", ""};
-    read_installation(file, {file, places.get(), file_begin, reading.faults}, reading);
-    tidy(reading.faults);
-    return reading;
+    read_installation(file, {file, places.get(), file_begin, result.faults}, result);
+    tidy(result.faults);
+    return result;
 }
 
-Reading read_file(const std::string& path) {
+ReadResult read_file(const std::string& path) {
     const std::ifstream file(path, std::ios::binary);
     if (!file) {
         return unreadable_file(path, "can't be opened");
@@ -87,7 +87,7 @@
     std::ostringstream contents;
     contents << file.rdbuf();
     const std::string text = std::move(contents).str();
-    if (file.bad() || text.size() > kLongestFile) {
+    if (file.bad() || text.size() > kMaxFileBytes) {
         return unreadable_file(path, "can't be read, or is over 64 MiB");
     }
     return read_text(text, path);
--- a/src/operators/health_reader.cpp
+++ b/src/operators/health_reader.cpp
@@ -6,22 +6,22 @@
 namespace micaroad::operators {
 namespace {
 
-constexpr std::uint32_t kMostChecks = 1'000;
+constexpr std::uint32_t kMaxChecks = 1'000;
 constexpr std::uint32_t kFirstStatus = 100;
 constexpr std::uint32_t kLastStatus = 599;
 
 void read_intervals(const HealthRule& message, const LocatedMessage& location,
                     routing::HealthRule& rule) {
-    rule.every = location.read_duration("every", message.every());
+    rule.interval = location.read_duration("every", message.every());
     if (message.has_every_in_doubt()) {
-        rule.every_in_doubt = location.read_duration("every_in_doubt", message.every_in_doubt());
+        rule.transition_interval =
+            location.read_duration("every_in_doubt", message.every_in_doubt());
     }
     if (message.has_every_while_down()) {
-        rule.every_while_down =
-            location.read_duration("every_while_down", message.every_while_down());
+        rule.down_interval = location.read_duration("every_while_down", message.every_while_down());
     }
     if (message.has_patience()) {
-        rule.patience = location.read_duration("patience", message.patience());
+        rule.timeout = location.read_duration("patience", message.patience());
     }
 }
 
@@ -31,14 +31,14 @@
     rule.http_method = message.method();
     rule.http_path = message.path();
     rule.http_host = message.host();
-    rule.status_least =
+    rule.min_status =
         location.read_number("status_least", message.status_least(), kFirstStatus, kLastStatus);
-    rule.status_most =
+    rule.max_status =
         location.read_number("status_most", message.status_most(), kFirstStatus, kLastStatus);
-    if (rule.status_least > rule.status_most) {
-        location.add_fault("status_least", std::to_string(rule.status_least),
+    if (rule.min_status > rule.max_status) {
+        location.add_fault("status_least", std::to_string(rule.min_status),
                            "more than 'status_most'",
-                           fmt::format("{} to {}", kFirstStatus, rule.status_most));
+                           fmt::format("{} to {}", kFirstStatus, rule.max_status));
     }
 }
 
@@ -47,10 +47,10 @@
 void read_health_rule(const HealthRule& message, const LocatedMessage& location,
                       routing::HealthRule& rule) {
     read_intervals(message, location, rule);
-    rule.rise = location.read_number("rise", message.rise(), 1, kMostChecks);
-    rule.fall = location.read_number("fall", message.fall(), 1, kMostChecks);
-    rule.errors_most =
-        location.read_number("errors_most", message.errors_most(), 0, kMostConnections);
+    rule.rise = location.read_number("rise", message.rise(), 1, kMaxChecks);
+    rule.fall = location.read_number("fall", message.fall(), 1, kMaxChecks);
+    rule.max_consecutive_errors =
+        location.read_number("errors_most", message.errors_most(), 0, kMaxConnections);
     if (message.has_http()) {
         read_http(message.http(), location.nested("http", message.http()), rule);
     }
--- a/src/operators/listener_reader.cpp
+++ b/src/operators/listener_reader.cpp
@@ -36,18 +36,19 @@
         location.add_fault("status", std::to_string(status), "no redirect",
                            fmt::format("{}", fmt::join(kRedirectStatuses, ", ")));
     }
-    route.then = routing::Redirect{message.location(), static_cast<int>(status)};
+    route.action = routing::Redirect{message.location(), static_cast<int>(status)};
 }
 
 void read_action(const Route& message, const LocatedMessage& location, const FileState& state,
                  routing::Route& route) {
     switch (message.then_case()) {
         case Route::kPool:
-            route.then = routing::ToPool{check_pool_name(location, "pool", message.pool(), state)};
+            route.action =
+                routing::ToPool{check_pool_name(location, "pool", message.pool(), state)};
             return;
         case Route::kTurnAway: {
             const LocatedMessage turn_away = location.nested("turn_away", message.turn_away());
-            route.then = routing::TurnAway{
+            route.action = routing::Reject{
                 turn_away.read_number("status", message.turn_away().status(), 400, 599)};
             return;
         }
@@ -72,7 +73,7 @@
         location.add_fault("name", route.name, "a second route of this name here");
     }
     if (message.has_when()) {
-        route.when = read_match(message.when(), location.nested("when", message.when()), state);
+        route.match = read_match(message.when(), location.nested("when", message.when()), state);
     }
     read_action(message, location, state, route);
     listener.routes.push_back(std::move(route));
@@ -102,8 +103,8 @@
     }
     read_addresses(message, location, listener);
     if (message.has_connections_most()) {
-        listener.connections_most = location.read_number(
-            "connections_most", message.connections_most(), 1, kMostConnections);
+        listener.max_connections = location.read_number(
+            "connections_most", message.connections_most(), 1, kMaxConnections);
     }
     std::set<std::string> route_names;
     for (int i = 0; i < message.route_size(); ++i) {
@@ -115,10 +116,10 @@
             check_pool_name(location, "default_pool", message.default_pool(), state);
     }
     if (listener.routes.empty() && listener.default_pool.empty()) {
-        state.reading.notices.push_back(
+        state.result.notices.push_back(
             fmt::format("listener {} has neither routes nor a default pool", listener.name));
     }
-    state.reading.plan.listeners.push_back(std::move(listener));
+    state.result.plan.listeners.push_back(std::move(listener));
 }
 
 }  // namespace micaroad::operators
--- a/src/operators/listener_writer.cpp
+++ b/src/operators/listener_writer.cpp
@@ -7,29 +7,29 @@
 namespace {
 
 void write_text_match(const routing::TextMatch& match, Text& message) {
-    using routing::TextWay;
+    using routing::TextMatchKind;
     for (const std::string& value : match.values) {
-        switch (match.way) {
-            case TextWay::exact:
+        switch (match.kind) {
+            case TextMatchKind::exact:
                 message.add_exact(value);
                 break;
-            case TextWay::prefix:
+            case TextMatchKind::prefix:
                 message.add_prefix(value);
                 break;
-            case TextWay::suffix:
+            case TextMatchKind::suffix:
                 message.add_suffix(value);
                 break;
-            case TextWay::contains:
+            case TextMatchKind::contains:
                 message.add_contains(value);
                 break;
-            case TextWay::present:
+            case TextMatchKind::present:
                 break;
         }
     }
-    if (match.way == TextWay::present) {
+    if (match.kind == TextMatchKind::present) {
         message.set_present(true);
     }
-    if (match.any_case) {
+    if (match.ignore_case) {
         message.set_any_case(true);
     }
 }
@@ -46,13 +46,13 @@
     explicit MatchWriter(Match& message) : message_(message) {}
 
     void operator()(const routing::AllOf& all) const {
-        write_matches(all.of, *message_.mutable_all_of());
+        write_matches(all.conditions, *message_.mutable_all_of());
     }
     void operator()(const routing::AnyOf& any) const {
-        write_matches(any.of, *message_.mutable_any_of());
+        write_matches(any.conditions, *message_.mutable_any_of());
     }
     void operator()(const routing::Not& negation) const {
-        write_match(negation.of.at(0), *message_.mutable_not_());
+        write_match(negation.conditions.at(0), *message_.mutable_not_());
     }
     void operator()(const routing::HostIs& host) const {
         write_text_match(host.text, *message_.mutable_host());
@@ -78,11 +78,11 @@
         const routing::UsableServers defaults;
         UsableServers& servers = *message_.mutable_usable_servers();
         servers.set_pool(usable.pool);
-        if (usable.least > defaults.least) {
-            servers.set_least(to_unsigned(usable.least));
+        if (usable.min_count > defaults.min_count) {
+            servers.set_least(to_unsigned(usable.min_count));
         }
-        if (usable.most < defaults.most) {
-            servers.set_most(to_unsigned(usable.most));
+        if (usable.max_count < defaults.max_count) {
+            servers.set_most(to_unsigned(usable.max_count));
         }
     }
 
@@ -95,7 +95,7 @@
     explicit ActionWriter(Route& message) : message_(message) {}
 
     void operator()(const routing::ToPool& action) const { message_.set_pool(action.pool); }
-    void operator()(const routing::TurnAway& action) const {
+    void operator()(const routing::Reject& action) const {
         message_.mutable_turn_away()->set_status(to_unsigned(action.status));
     }
     void operator()(const routing::Redirect& action) const {
@@ -109,22 +109,22 @@
 
 // A match of all of none is a route's default.
 bool always_matches(const routing::Match& match) {
-    const auto* all = std::get_if<routing::AllOf>(&match.is);
-    return all != nullptr && all->of.empty();
+    const auto* all = std::get_if<routing::AllOf>(&match.condition);
+    return all != nullptr && all->conditions.empty();
 }
 
 void write_route(const routing::Route& route, Route& message) {
     message.set_name(route.name);
-    if (!always_matches(route.when)) {
-        write_match(route.when, *message.mutable_when());
+    if (!always_matches(route.match)) {
+        write_match(route.match, *message.mutable_when());
     }
-    std::visit(ActionWriter(message), route.then);
+    std::visit(ActionWriter(message), route.action);
 }
 
 }  // namespace
 
 void write_match(const routing::Match& match, Match& message) {
-    std::visit(MatchWriter(message), match.is);
+    std::visit(MatchWriter(message), match.condition);
 }
 
 void write_listener(const routing::Listener& listener, Listener& message) {
@@ -132,8 +132,8 @@
     for (const std::string& address : listener.addresses) {
         message.add_address(address);
     }
-    if (listener.connections_most > 0) {
-        message.set_connections_most(to_unsigned(listener.connections_most));
+    if (listener.max_connections > 0) {
+        message.set_connections_most(to_unsigned(listener.max_connections));
     }
     for (const routing::Route& route : listener.routes) {
         write_route(route, *message.add_route());
--- a/src/operators/located_message.cpp
+++ b/src/operators/located_message.cpp
@@ -14,7 +14,7 @@
 
 namespace pb = google::protobuf;
 
-constexpr std::size_t kLongestName = 128;
+constexpr std::size_t kMaxNameLength = 128;
 constexpr std::string_view kNameAllowed = "letters, digits and ._-:, 128 at most";
 
 bool is_name_character(char character) {
@@ -24,7 +24,7 @@
 }
 
 bool is_name(const std::string& text) {
-    return !text.empty() && text.size() <= kLongestName &&
+    return !text.empty() && text.size() <= kMaxNameLength &&
            std::all_of(text.begin(), text.end(), is_name_character);
 }
 
@@ -41,11 +41,11 @@
     return {message, places, place_of(field, index), *faults_};
 }
 
-void LocatedMessage::add_fault(const char* field, std::string value, std::string says,
+void LocatedMessage::add_fault(const char* field, std::string value, std::string message,
                                std::string_view allowed, int index) const {
     Fault fault = place_of(field, index);
     fault.value = std::move(value);
-    fault.says = std::move(says);
+    fault.message = std::move(message);
     fault.allowed = allowed;
     faults_->push_back(std::move(fault));
 }
@@ -60,7 +60,7 @@
         }
         Fault fault = place_;
         fault.value = type->name();
-        fault.says = fmt::format("it lacks '{}'", field->name());
+        fault.message = fmt::format("it lacks '{}'", field->name());
         faults_->push_back(std::move(fault));
         complete = false;
     }
@@ -91,13 +91,12 @@
     return duration.value_or(Duration{});
 }
 
-int LocatedMessage::read_number(const char* field, std::uint32_t value, std::uint32_t least,
-                                std::uint32_t most) const {
-    if (value < least || value > most) {
-        add_fault(field, std::to_string(value), "out of range",
-                  fmt::format("{} to {}", least, most));
+int LocatedMessage::read_number(const char* field, std::uint32_t value, std::uint32_t min,
+                                std::uint32_t max) const {
+    if (value < min || value > max) {
+        add_fault(field, std::to_string(value), "out of range", fmt::format("{} to {}", min, max));
     }
-    return static_cast<int>(std::clamp(value, least, most));
+    return static_cast<int>(std::clamp(value, min, max));
 }
 
 Fault LocatedMessage::place_of(const char* field, int index) const {
--- a/src/operators/located_message.hpp
+++ b/src/operators/located_message.hpp
@@ -30,7 +30,7 @@
                                         int index = kNotRepeated) const;
 
     /// Adds a fault of a field's value.
-    void add_fault(const char* field, std::string value, std::string says,
+    void add_fault(const char* field, std::string value, std::string message,
                    std::string_view allowed = "", int index = kNotRepeated) const;
 
     /// Whether all required fields are there; adds a fault for each that is not.
@@ -42,8 +42,8 @@
     /// Parses a duration of 0 or more; returns 0 if it can't be used.
     [[nodiscard]] Duration read_duration_or_zero(const char* field, const std::string& value) const;
     /// Checks a number against its bounds, both included; returns the nearest that is within.
-    [[nodiscard]] int read_number(const char* field, std::uint32_t value, std::uint32_t least,
-                                  std::uint32_t most) const;
+    [[nodiscard]] int read_number(const char* field, std::uint32_t value, std::uint32_t min,
+                                  std::uint32_t max) const;
 
  private:
     static constexpr int kNotRepeated = -1;
@@ -57,6 +57,6 @@
 };
 
 /// The largest count of connections or requests.
-constexpr std::uint32_t kMostConnections = 2'147'483'647;
+constexpr std::uint32_t kMaxConnections = 2'147'483'647;
 
 }  // namespace micaroad::operators
--- a/src/operators/match_reader.cpp
+++ b/src/operators/match_reader.cpp
@@ -11,7 +11,7 @@
 namespace micaroad::operators {
 namespace {
 
-constexpr std::uint32_t kMostServers = 1'000'000;
+constexpr std::uint32_t kMaxServers = 1'000'000;
 
 enum class Presence { not_allowed, allowed };
 
@@ -19,17 +19,17 @@
 class TextReader {
  public:
     template <class Values>
-    void add(routing::TextWay kind, const Values& values) {
+    void add(routing::TextMatchKind kind, const Values& values) {
         if (values.empty()) {
             return;
         }
         ++kinds_;
-        match_.way = kind;
+        match_.kind = kind;
         match_.values.assign(values.begin(), values.end());
     }
     void add_presence() {
         ++kinds_;
-        match_.way = routing::TextWay::present;
+        match_.kind = routing::TextMatchKind::present;
         match_.values.clear();
     }
     [[nodiscard]] int kinds() const { return kinds_; }
@@ -43,10 +43,10 @@
 routing::TextMatch read_text_match(const Text& message, const LocatedMessage& location,
                                    Presence presence) {
     TextReader reader;
-    reader.add(routing::TextWay::exact, message.exact());
-    reader.add(routing::TextWay::prefix, message.prefix());
-    reader.add(routing::TextWay::suffix, message.suffix());
-    reader.add(routing::TextWay::contains, message.contains());
+    reader.add(routing::TextMatchKind::exact, message.exact());
+    reader.add(routing::TextMatchKind::prefix, message.prefix());
+    reader.add(routing::TextMatchKind::suffix, message.suffix());
+    reader.add(routing::TextMatchKind::contains, message.contains());
     if (message.present()) {
         reader.add_presence();
     }
@@ -58,7 +58,7 @@
                            "exactly one of exact, prefix, suffix, contains, present");
     }
     routing::TextMatch match = reader.match();
-    match.any_case = message.any_case();
+    match.ignore_case = message.any_case();
     return match;
 }
 
@@ -75,9 +75,9 @@
 routing::Match read_host(const Text& message, const LocatedMessage& location) {
     routing::TextMatch host = read_text_match(message, location, Presence::not_allowed);
     for (std::string& value : host.values) {
-        value = routing::lower(value);
+        value = routing::to_lower(value);
     }
-    host.any_case = false;  // hosts are compared in lower case anyway
+    host.ignore_case = false;  // hosts are compared in lower case anyway
     return {routing::HostIs{std::move(host)}};
 }
 
@@ -101,7 +101,7 @@
     const LocatedMessage location = parent.nested("source", message);
     routing::SourceIn source;
     for (int i = 0; i < message.value_size(); ++i) {
-        const std::optional<routing::Network> network = routing::network_of(message.value(i));
+        const std::optional<routing::Network> network = routing::parse_network(message.value(i));
         if (network) {
             source.networks.push_back(*network);
         } else {
@@ -122,11 +122,11 @@
     }
     routing::UsableServers usable;
     usable.pool = check_pool_name(location, "pool", message.pool(), state);
-    usable.least = location.read_number("least", message.least(), 0, kMostServers);
-    usable.most = location.read_number("most", message.most(), 0, kMostServers);
-    if (usable.least > usable.most) {
-        location.add_fault("least", std::to_string(usable.least), "more than 'most'",
-                           fmt::format("0 to {}", usable.most));
+    usable.min_count = location.read_number("least", message.least(), 0, kMaxServers);
+    usable.max_count = location.read_number("most", message.most(), 0, kMaxServers);
+    if (usable.min_count > usable.max_count) {
+        location.add_fault("least", std::to_string(usable.min_count), "more than 'most'",
+                           fmt::format("0 to {}", usable.max_count));
     }
     return {std::move(usable)};
 }
@@ -134,7 +134,7 @@
 routing::Match read_negation(const Match& message, const LocatedMessage& location,
                              const FileState& state) {
     routing::Not negation;
-    negation.of.push_back(read_match(message, location, state));
+    negation.conditions.push_back(read_match(message, location, state));
     return {std::move(negation)};
 }
 
--- a/src/operators/pool_reader.cpp
+++ b/src/operators/pool_reader.cpp
@@ -10,19 +10,19 @@
 namespace micaroad::operators {
 namespace {
 
-constexpr std::uint32_t kLargestWeight = 256;
-constexpr std::uint32_t kMostRetries = 100;
-constexpr std::uint32_t kLongestPath = 65'536;
+constexpr std::uint32_t kMaxWeight = 256;
+constexpr std::uint32_t kMaxRetries = 100;
+constexpr std::uint32_t kMaxPathLength = 65'536;
 
 void read_server_limits(const Server& message, const LocatedMessage& location,
                         routing::Server& server) {
     if (message.has_connections_most()) {
-        server.connections_most = location.read_number(
-            "connections_most", message.connections_most(), 1, kMostConnections);
+        server.max_connections = location.read_number(
+            "connections_most", message.connections_most(), 1, kMaxConnections);
     }
     if (message.has_queue_most()) {
-        server.queue_most =
-            location.read_number("queue_most", message.queue_most(), 1, kMostConnections);
+        server.max_queued =
+            location.read_number("queue_most", message.queue_most(), 1, kMaxConnections);
     }
     if (message.has_slow_start()) {
         server.slow_start = location.read_duration("slow_start", message.slow_start());
@@ -42,16 +42,16 @@
         location.add_fault("address", server.address, "no address",
                            "10.0.0.1:80 or [::1]:80; names need a look-up, which is not done");
     }
-    server.weight = location.read_number("weight", message.weight(), 0, kLargestWeight);
+    server.weight = location.read_number("weight", message.weight(), 0, kMaxWeight);
     server.tier = to_plan(kTiers, message.tier());
     server.state = to_plan(kStates, message.state());
     read_server_limits(message, location, server);
-    server.mark = message.mark();
-    server.checked = message.checked();
-    server.health_of = message.health_of();
+    server.cookie_value = message.mark();
+    server.health_checked = message.checked();
+    server.health_source = message.health_of();
     const std::string full_name = pool.name + "/" + server.name;
-    if (!server.health_of.empty()) {
-        state.health_chains.add_follower(full_name, server.health_of, location);
+    if (!server.health_source.empty()) {
+        state.health_chains.add_follower(full_name, server.health_source, location);
     }
     state.health_chains.add_server(full_name);
     pool.servers.push_back(std::move(server));
@@ -82,19 +82,19 @@
                            "a weight over 0, or state: DRAINING");
     }
     if (pool.servers.empty()) {
-        state.reading.notices.push_back(
+        state.result.notices.push_back(
             fmt::format("pool {} has no servers: what is sent there is turned away", pool.name));
     }
 }
 
 void read_retry_policy(const FurtherTries& message, const LocatedMessage& location,
-                       routing::FurtherTries& policy) {
+                       routing::RetryRule& policy) {
     if (!location.check_required()) {
         return;
     }
-    policy.most = location.read_number("most", message.most(), 0, kMostRetries);
-    policy.proof = to_plan(kRetryProofs, message.proof());
-    policy.where = to_plan(kRetryTargets, message.where());
+    policy.max_retries = location.read_number("most", message.most(), 0, kMaxRetries);
+    policy.condition = to_plan(kRetryConditions, message.proof());
+    policy.target = to_plan(kRetryTargets, message.where());
 }
 
 void read_stickiness(const Stickiness& message, const LocatedMessage& location,
@@ -112,29 +112,28 @@
     }
     if (message.has_path_depth()) {
         stickiness.path_depth =
-            location.read_number("path_depth", message.path_depth(), 1, kLongestPath);
+            location.read_number("path_depth", message.path_depth(), 1, kMaxPathLength);
     }
     if (message.has_path_length()) {
         stickiness.path_length =
-            location.read_number("path_length", message.path_length(), 1, kLongestPath);
+            location.read_number("path_length", message.path_length(), 1, kMaxPathLength);
     }
-    stickiness.with_query = message.with_query();
-    stickiness.keeps_down = message.keeps_down();
+    stickiness.include_query = message.with_query();
+    stickiness.stay_when_down = message.keeps_down();
 }
 
 void read_pool_settings(const Pool& message, const LocatedMessage& location, routing::Pool& pool) {
     pool.all_backups = message.all_backups();
     if (message.has_connections_most()) {
-        pool.connections_most = location.read_number("connections_most", message.connections_most(),
-                                                     1, kMostConnections);
+        pool.max_connections = location.read_number("connections_most", message.connections_most(),
+                                                    1, kMaxConnections);
     }
-    pool.queue_patience =
-        location.read_duration_or_zero("queue_patience", message.queue_patience());
-    pool.connect_within = location.read_duration("connect_within", message.connect_within());
-    pool.answer_within = location.read_duration("answer_within", message.answer_within());
+    pool.queue_timeout = location.read_duration_or_zero("queue_patience", message.queue_patience());
+    pool.connect_timeout = location.read_duration("connect_within", message.connect_within());
+    pool.response_timeout = location.read_duration("answer_within", message.answer_within());
     if (message.has_further_tries()) {
         const FurtherTries& policy = message.further_tries();
-        read_retry_policy(policy, location.nested("further_tries", policy), pool.further);
+        read_retry_policy(policy, location.nested("further_tries", policy), pool.retry_rule);
     }
     if (message.has_stickiness()) {
         const Stickiness& stickiness = message.stickiness();
@@ -159,7 +158,7 @@
     }
     read_pool_settings(message, location, pool);
     read_servers(message, location, state, pool);
-    state.reading.plan.pools.push_back(std::move(pool));
+    state.result.plan.pools.push_back(std::move(pool));
 }
 
 }  // namespace micaroad::operators
--- a/src/operators/pool_writer.cpp
+++ b/src/operators/pool_writer.cpp
@@ -18,22 +18,22 @@
     if (server.state != routing::State::ready) {
         message.set_state(to_file(kStates, server.state));
     }
-    if (server.connections_most > 0) {
-        message.set_connections_most(to_unsigned(server.connections_most));
+    if (server.max_connections > 0) {
+        message.set_connections_most(to_unsigned(server.max_connections));
     }
-    if (server.queue_most > 0) {
-        message.set_queue_most(to_unsigned(server.queue_most));
+    if (server.max_queued > 0) {
+        message.set_queue_most(to_unsigned(server.max_queued));
     }
     if (server.slow_start > Duration{}) {
         message.set_slow_start(format_duration(server.slow_start));
     }
-    if (!server.health_of.empty()) {
-        message.set_health_of(server.health_of);
+    if (!server.health_source.empty()) {
+        message.set_health_of(server.health_source);
     }
-    if (!server.mark.empty()) {
-        message.set_mark(server.mark);
+    if (!server.cookie_value.empty()) {
+        message.set_mark(server.cookie_value);
     }
-    if (server.checked) {
+    if (server.health_checked) {
         message.set_checked(true);
     }
 }
@@ -49,27 +49,27 @@
     if (!rule.http_host.empty()) {
         message.set_host(rule.http_host);
     }
-    if (rule.status_least != defaults.status_least) {
-        message.set_status_least(to_unsigned(rule.status_least));
+    if (rule.min_status != defaults.min_status) {
+        message.set_status_least(to_unsigned(rule.min_status));
     }
-    if (rule.status_most != defaults.status_most) {
-        message.set_status_most(to_unsigned(rule.status_most));
+    if (rule.max_status != defaults.max_status) {
+        message.set_status_most(to_unsigned(rule.max_status));
     }
 }
 
 void write_health_rule(const routing::HealthRule& rule, HealthRule& message) {
     const routing::HealthRule defaults;
-    if (rule.every != defaults.every) {
-        message.set_every(format_duration(rule.every));
+    if (rule.interval != defaults.interval) {
+        message.set_every(format_duration(rule.interval));
     }
-    if (rule.every_in_doubt > Duration{}) {
-        message.set_every_in_doubt(format_duration(rule.every_in_doubt));
+    if (rule.transition_interval > Duration{}) {
+        message.set_every_in_doubt(format_duration(rule.transition_interval));
     }
-    if (rule.every_while_down > Duration{}) {
-        message.set_every_while_down(format_duration(rule.every_while_down));
+    if (rule.down_interval > Duration{}) {
+        message.set_every_while_down(format_duration(rule.down_interval));
     }
-    if (rule.patience > Duration{}) {
-        message.set_patience(format_duration(rule.patience));
+    if (rule.timeout > Duration{}) {
+        message.set_patience(format_duration(rule.timeout));
     }
     if (rule.rise != defaults.rise) {
         message.set_rise(to_unsigned(rule.rise));
@@ -77,22 +77,22 @@
     if (rule.fall != defaults.fall) {
         message.set_fall(to_unsigned(rule.fall));
     }
-    if (rule.errors_most != defaults.errors_most) {
-        message.set_errors_most(to_unsigned(rule.errors_most));
+    if (rule.max_consecutive_errors != defaults.max_consecutive_errors) {
+        message.set_errors_most(to_unsigned(rule.max_consecutive_errors));
     }
     if (rule.kind == routing::HealthRule::Kind::http) {
         write_http(rule, *message.mutable_http());
     }
 }
 
-void write_retry_policy(const routing::FurtherTries& policy, FurtherTries& message) {
-    const routing::FurtherTries defaults;
-    message.set_most(to_unsigned(policy.most));
-    if (policy.proof != defaults.proof) {
-        message.set_proof(to_file(kRetryProofs, policy.proof));
+void write_retry_policy(const routing::RetryRule& policy, FurtherTries& message) {
+    const routing::RetryRule defaults;
+    message.set_most(to_unsigned(policy.max_retries));
+    if (policy.condition != defaults.condition) {
+        message.set_proof(to_file(kRetryConditions, policy.condition));
     }
-    if (policy.where != defaults.where) {
-        message.set_where(to_file(kRetryTargets, policy.where));
+    if (policy.target != defaults.target) {
+        message.set_where(to_file(kRetryTargets, policy.target));
     }
 }
 
@@ -107,10 +107,10 @@
     if (stickiness.path_length > 0) {
         message.set_path_length(to_unsigned(stickiness.path_length));
     }
-    if (stickiness.with_query) {
+    if (stickiness.include_query) {
         message.set_with_query(true);
     }
-    if (stickiness.keeps_down) {
+    if (stickiness.stay_when_down) {
         message.set_keeps_down(true);
     }
 }
@@ -126,20 +126,20 @@
     if (pool.all_backups) {
         message.set_all_backups(true);
     }
-    if (pool.connections_most > 0) {
-        message.set_connections_most(to_unsigned(pool.connections_most));
+    if (pool.max_connections > 0) {
+        message.set_connections_most(to_unsigned(pool.max_connections));
     }
-    if (pool.queue_patience != defaults.queue_patience) {
-        message.set_queue_patience(format_duration(pool.queue_patience));
+    if (pool.queue_timeout != defaults.queue_timeout) {
+        message.set_queue_patience(format_duration(pool.queue_timeout));
     }
-    if (pool.connect_within != defaults.connect_within) {
-        message.set_connect_within(format_duration(pool.connect_within));
+    if (pool.connect_timeout != defaults.connect_timeout) {
+        message.set_connect_within(format_duration(pool.connect_timeout));
     }
-    if (pool.answer_within != defaults.answer_within) {
-        message.set_answer_within(format_duration(pool.answer_within));
+    if (pool.response_timeout != defaults.response_timeout) {
+        message.set_answer_within(format_duration(pool.response_timeout));
     }
-    if (pool.further != defaults.further) {
-        write_retry_policy(pool.further, *message.mutable_further_tries());
+    if (pool.retry_rule != defaults.retry_rule) {
+        write_retry_policy(pool.retry_rule, *message.mutable_further_tries());
     }
     if (pool.stickiness.by != routing::Stickiness::By::none) {
         write_stickiness(pool.stickiness, *message.mutable_stickiness());
--- a/src/operators/readers.hpp
+++ b/src/operators/readers.hpp
@@ -40,7 +40,7 @@
 
 /// What the readers of one file share.
 struct FileState {
-    Reading& reading;
+    ReadResult& result;
     std::set<std::string> pool_names;      ///< of all pools of the file, read or not yet
     std::set<std::string> pools_read;      ///< their names
     std::set<std::string> listeners_read;  ///< their names
--- a/src/operators/service_reader.cpp
+++ b/src/operators/service_reader.cpp
@@ -19,12 +19,13 @@
         location.read_number("lines_per_second", message.lines_per_second(), 1, 10'000'000);
     service.lines_per_message =
         location.read_number("lines_per_message", message.lines_per_message(), 0, 1'000);
-    service.lines_waiting_most =
+    service.max_pending_lines =
         location.read_number("lines_waiting_most", message.lines_waiting_most(), 1, 10'000'000);
-    service.report_every = location.read_duration("report_every", message.report_every());
-    service.message_longest = location.read_duration("message_longest", message.message_longest());
+    service.report_interval = location.read_duration("report_every", message.report_every());
+    service.max_message_delay =
+        location.read_duration("message_longest", message.message_longest());
     service.drain_grace = location.read_duration("drain_grace", message.drain_grace());
-    if (service.drain_grace <= service.message_longest) {
+    if (service.drain_grace <= service.max_message_delay) {
         location.add_fault("drain_grace", message.drain_grace(),
                            "shorter than a message may travel", "more than message_longest");
     }
@@ -42,13 +43,13 @@
         location.add_fault("path", "", "no path");
     }
     recording.segment_mb = location.read_number("segment_mb", message.segment_mb(), 1, 1'024);
-    recording.all_mb = location.read_number("all_mb", message.all_mb(), 2, 1'000'000);
+    recording.total_mb = location.read_number("all_mb", message.all_mb(), 2, 1'000'000);
     const int two_segments_mb = 2 * recording.segment_mb;
-    if (recording.all_mb < two_segments_mb) {
-        location.add_fault("all_mb", std::to_string(recording.all_mb), "less than two segments",
+    if (recording.total_mb < two_segments_mb) {
+        location.add_fault("all_mb", std::to_string(recording.total_mb), "less than two segments",
                            fmt::format("{} or more", two_segments_mb));
     }
-    recording.keep = location.read_duration("keep", message.keep());
+    recording.max_age = location.read_duration("keep", message.keep());
     recording.kib_per_second =
         location.read_number("kib_per_second", message.kib_per_second(), 1, 1'000'000);
     recording.processor_percent =
--- a/src/operators/service_writer.cpp
+++ b/src/operators/service_writer.cpp
@@ -21,14 +21,14 @@
     if (service.lines_per_message != defaults.lines_per_message) {
         message.set_lines_per_message(to_unsigned(service.lines_per_message));
     }
-    if (service.lines_waiting_most != defaults.lines_waiting_most) {
-        message.set_lines_waiting_most(to_unsigned(service.lines_waiting_most));
+    if (service.max_pending_lines != defaults.max_pending_lines) {
+        message.set_lines_waiting_most(to_unsigned(service.max_pending_lines));
     }
-    if (service.report_every != defaults.report_every) {
-        message.set_report_every(format_duration(service.report_every));
+    if (service.report_interval != defaults.report_interval) {
+        message.set_report_every(format_duration(service.report_interval));
     }
-    if (service.message_longest != defaults.message_longest) {
-        message.set_message_longest(format_duration(service.message_longest));
+    if (service.max_message_delay != defaults.max_message_delay) {
+        message.set_message_longest(format_duration(service.max_message_delay));
     }
     if (service.drain_grace != defaults.drain_grace) {
         message.set_drain_grace(format_duration(service.drain_grace));
@@ -47,11 +47,11 @@
     if (recording.segment_mb != defaults.segment_mb) {
         message.set_segment_mb(to_unsigned(recording.segment_mb));
     }
-    if (recording.all_mb != defaults.all_mb) {
-        message.set_all_mb(to_unsigned(recording.all_mb));
+    if (recording.total_mb != defaults.total_mb) {
+        message.set_all_mb(to_unsigned(recording.total_mb));
     }
-    if (recording.keep != defaults.keep) {
-        message.set_keep(format_duration(recording.keep));
+    if (recording.max_age != defaults.max_age) {
+        message.set_keep(format_duration(recording.max_age));
     }
     if (recording.kib_per_second != defaults.kib_per_second) {
         message.set_kib_per_second(to_unsigned(recording.kib_per_second));
--- a/src/operators/text_parser.cpp
+++ b/src/operators/text_parser.cpp
@@ -14,8 +14,8 @@
 
 namespace pb = google::protobuf;
 
-constexpr int kDeepest = 64;  // messages in one another
-constexpr int kTabWidth = 8;  // as the library's tokenizer counts columns
+constexpr int kMaxDepth = 64;  // messages in one another
+constexpr int kTabWidth = 8;   // as the library's tokenizer counts columns
 
 // What the library's parser has to say, with the place as it counts.
 struct ParserMessage {
@@ -116,11 +116,11 @@
         for (int i = 0; i < type->field_count(); ++i) {
             known.push_back(type->field(i)->name());
         }
-        fault.says = fmt::format("no field of {}", type->name());
+        fault.message = fmt::format("no field of {}", type->name());
     }
     const std::string near = nearest(field_name, known);
     if (!near.empty()) {
-        fault.says += fmt::format(" (perhaps '{}')", near);
+        fault.message += fmt::format(" (perhaps '{}')", near);
     }
     fault.allowed = joined(known);
     return fault;
@@ -129,7 +129,7 @@
 Fault unknown_enum_value(Fault fault, const std::string& value, const std::string& field_name,
                          const pb::Descriptor& root) {
     fault.value = value;
-    fault.says = fmt::format("no value of {}", field_name);
+    fault.message = fmt::format("no value of {}", field_name);
     fault.allowed = joined(enum_values(root, field_name));
     return fault;
 }
@@ -226,7 +226,7 @@
     pb::TextFormat::Parser parser;
     parser.AllowUnknownField(true);
     parser.AllowPartialMessage(true);
-    parser.SetRecursionLimit(kDeepest);
+    parser.SetRecursionLimit(kMaxDepth);
     parser.RecordErrorsTo(&collector);
     parser.WriteLocationsTo(&places);
     message.Clear();
@@ -270,7 +270,7 @@
         places = std::make_unique<pb::TextFormat::ParseInfoTree>();
         const bool parsed = parse(text, message, *places, collector);
         again = false;
-        if (!parsed && !collector.errors().empty() && faults.size() < kMostFaults) {
+        if (!parsed && !collector.errors().empty() && faults.size() < kMaxFaults) {
             faults.push_back(to_fault(collector.errors().front(), name, original, root));
             again = blank_field(text, faults.back());
         }
--- a/src/routing/endpoint_registry.cpp
+++ b/src/routing/endpoint_registry.cpp
@@ -56,14 +56,14 @@
     base.proxy_count = service.proxies;
     base.channel_lines_per_second = service.lines_per_second;
     base.overhead_lines_per_message = service.lines_per_message;
-    base.max_pending_lines = service.lines_waiting_most;
-    base.report_interval = service.report_every;
-    base.max_message_delay = service.message_longest;
+    base.max_pending_lines = service.max_pending_lines;
+    base.report_interval = service.report_interval;
+    base.max_message_delay = service.max_message_delay;
     base.drain_grace = service.drain_grace;
     for (std::size_t i = 0; i < plan_.pools.size(); ++i) {
         const Pool& pool = plan_.pools[i];
         Method method;
-        method.soft_deadline = pool.answer_within;
+        method.soft_deadline = pool.response_timeout;
         method.only_kinds = {kind_of_pool(i)};
         base.methods.push_back(method);
         for (const Server& server : pool.servers) {
--- a/src/routing/health_checked_endpoints.cpp
+++ b/src/routing/health_checked_endpoints.cpp
@@ -66,7 +66,7 @@
     }
     // A server that is no longer checked counts as up; one that was down stays so until health
     // checks say otherwise.
-    if (!server.checked && server.health_of.empty()) {
+    if (!server.health_checked && server.health_source.empty()) {
         state.up = true;
     }
     return state;
--- a/src/routing/health_tracker.cpp
+++ b/src/routing/health_tracker.cpp
@@ -25,25 +25,25 @@
 HealthTracker::HealthTracker(const Pool& pool, TimePoint now) : rule_(pool.health) {
     std::vector<std::string> checked;
     for (const Server& server : pool.servers) {
-        if (server.checked && server.health_of.empty()) {
+        if (server.health_checked && server.health_source.empty()) {
             checked.push_back(server.name);
         }
     }
     const auto count = static_cast<Duration::rep>(checked.size());
     for (std::size_t i = 0; i < checked.size(); ++i) {
-        const Duration offset = rule_.every * static_cast<Duration::rep>(i) / count;
+        const Duration offset = rule_.interval * static_cast<Duration::rep>(i) / count;
         servers_[checked[i]].next_check_at = now + offset;
     }
 }
 
 Duration HealthTracker::check_interval(const ServerHealth& health) const {
-    if (health.contrary_checks > 0 && rule_.every_in_doubt > Duration{}) {
-        return rule_.every_in_doubt;
+    if (health.contrary_checks > 0 && rule_.transition_interval > Duration{}) {
+        return rule_.transition_interval;
     }
-    if (!health.up && rule_.every_while_down > Duration{}) {
-        return rule_.every_while_down;
+    if (!health.up && rule_.down_interval > Duration{}) {
+        return rule_.down_interval;
     }
-    return rule_.every;
+    return rule_.interval;
 }
 
 std::vector<std::string> HealthTracker::take_due(TimePoint now) {
@@ -53,7 +53,7 @@
             continue;
         }
         due.push_back(name);
-        health.next_check_at = now + std::max(check_interval(health), rule_.patience);
+        health.next_check_at = now + std::max(check_interval(health), rule_.timeout);
     }
     return due;
 }
@@ -95,16 +95,17 @@
 std::optional<HealthChange> HealthTracker::on_rpc_result(const std::string& server, bool succeeded,
                                                          TimePoint now) {
     const auto found = servers_.find(server);
-    if (found == servers_.end() || rule_.errors_most == 0 || !found->second.up) {
+    if (found == servers_.end() || rule_.max_consecutive_errors == 0 || !found->second.up) {
         return std::nullopt;
     }
     ServerHealth& health = found->second;
     health.consecutive_errors = succeeded ? 0 : health.consecutive_errors + 1;
-    if (health.consecutive_errors < rule_.errors_most) {
+    if (health.consecutive_errors < rule_.max_consecutive_errors) {
         return std::nullopt;
     }
     health.next_check_at = std::min(health.next_check_at, now + check_interval(health));
-    return change(server, health, false, now, ConsecutiveErrors{.count = rule_.errors_most});
+    return change(server, health, false, now,
+                  ConsecutiveErrors{.count = rule_.max_consecutive_errors});
 }
 
 void HealthTracker::set_down(const std::string& server) {
--- a/src/routing/limiter.cpp
+++ b/src/routing/limiter.cpp
@@ -6,10 +6,10 @@
 namespace micaroad::routing {
 
 Limiter::Limiter(const Pool& pool)
-    : max_running_(pool.connections_most), queue_timeout_(pool.queue_patience) {
+    : max_running_(pool.max_connections), queue_timeout_(pool.queue_timeout) {
     for (const Server& server : pool.servers) {
-        servers_[server.name] = {.max_running = server.connections_most,
-                                 .max_queued = server.queue_most};
+        servers_[server.name] = {.max_running = server.max_connections,
+                                 .max_queued = server.max_queued};
     }
 }
 
--- a/src/routing/match.cpp
+++ b/src/routing/match.cpp
@@ -6,17 +6,17 @@
 namespace micaroad::routing {
 namespace {
 
-bool fits_value(TextWay way, std::string_view text, std::string_view value) {
-    switch (way) {
-        case TextWay::exact:
+bool matches_value(TextMatchKind kind, std::string_view text, std::string_view value) {
+    switch (kind) {
+        case TextMatchKind::exact:
             return text == value;
-        case TextWay::prefix:
+        case TextMatchKind::prefix:
             return text.starts_with(value);
-        case TextWay::suffix:
+        case TextMatchKind::suffix:
             return text.ends_with(value);
-        case TextWay::contains:
+        case TextMatchKind::contains:
             return text.find(value) != std::string_view::npos;
-        case TextWay::present:
+        case TextMatchKind::present:
             return true;
     }
     return false;
@@ -28,26 +28,29 @@
     const UsableCount& usable_count;
 
     bool operator()(const AllOf& all) const {
-        return std::all_of(all.of.begin(), all.of.end(),
-                           [this](const Match& match) { return fits(match, rpc, usable_count); });
+        return std::all_of(
+            all.conditions.begin(), all.conditions.end(),
+            [this](const Match& match) { return matches(match, rpc, usable_count); });
     }
 
     bool operator()(const AnyOf& any) const {
-        return std::any_of(any.of.begin(), any.of.end(),
-                           [this](const Match& match) { return fits(match, rpc, usable_count); });
+        return std::any_of(
+            any.conditions.begin(), any.conditions.end(),
+            [this](const Match& match) { return matches(match, rpc, usable_count); });
     }
 
     bool operator()(const Not& negated) const {
-        return !negated.of.empty() && !fits(negated.of.front(), rpc, usable_count);
+        return !negated.conditions.empty() &&
+               !matches(negated.conditions.front(), rpc, usable_count);
     }
 
     bool operator()(const HostIs& host) const {
-        TextMatch any_case = host.text;
-        any_case.any_case = true;
-        return !rpc.host.empty() && fits(any_case, plain_host(rpc.host));
+        TextMatch case_insensitive = host.text;
+        case_insensitive.ignore_case = true;
+        return !rpc.host.empty() && matches(case_insensitive, normalized_host(rpc.host));
     }
 
-    bool operator()(const PathIs& path) const { return fits(path.text, rpc.path); }
+    bool operator()(const PathIs& path) const { return matches(path.text, rpc.path); }
 
     bool operator()(const MethodIs& method) const {
         return std::find(method.names.begin(), method.names.end(), rpc.method) !=
@@ -55,30 +58,30 @@
     }
 
     bool operator()(const HeaderIs& header) const {
-        const std::string name = lower(header.name);
+        const std::string name = to_lower(header.name);
         if (name == "host") {
-            return !rpc.host.empty() && fits(header.text, rpc.host);
+            return !rpc.host.empty() && matches(header.text, rpc.host);
         }
         return std::any_of(rpc.headers.begin(), rpc.headers.end(),
                            [&header, &name](const auto& field) {
-                               return field.first == name && fits(header.text, field.second);
+                               return field.first == name && matches(header.text, field.second);
                            });
     }
 
     bool operator()(const SourceIn& source) const {
         return std::any_of(source.networks.begin(), source.networks.end(),
-                           [this](const Network& network) { return network.holds(rpc.source); });
+                           [this](const Network& network) { return network.contains(rpc.source); });
     }
 
     bool operator()(const UsableServers& servers) const {
         const int count = usable_count ? usable_count(servers.pool) : 0;
-        return count >= servers.least && count <= servers.most;
+        return count >= servers.min_count && count <= servers.max_count;
     }
 };
 
 }  // namespace
 
-std::string lower(std::string_view text) {
+std::string to_lower(std::string_view text) {
     std::string folded(text);
     for (char& letter : folded) {
         if (letter >= 'A' && letter <= 'Z') {
@@ -88,7 +91,7 @@
     return folded;
 }
 
-std::string plain_host(std::string_view host) {
+std::string normalized_host(std::string_view host) {
     if (host.starts_with('[')) {
         host = host.substr(1, host.find(']') - 1);
     } else if (const auto colon = host.rfind(':'); colon != std::string_view::npos) {
@@ -97,23 +100,24 @@
     if (host.ends_with('.')) {
         host.remove_suffix(1);
     }
-    return lower(host);
+    return to_lower(host);
 }
 
-bool fits(const TextMatch& match, std::string_view text) {
-    if (match.way == TextWay::present) {
+bool matches(const TextMatch& match, std::string_view text) {
+    if (match.kind == TextMatchKind::present) {
         return true;
     }
-    const std::string folded = match.any_case ? lower(text) : std::string();
+    const std::string folded = match.ignore_case ? to_lower(text) : std::string();
     return std::any_of(match.values.begin(), match.values.end(),
                        [&match, &folded, text](const std::string& value) {
-                           return match.any_case ? fits_value(match.way, folded, lower(value))
-                                                 : fits_value(match.way, text, value);
+                           return match.ignore_case
+                                      ? matches_value(match.kind, folded, to_lower(value))
+                                      : matches_value(match.kind, text, value);
                        });
 }
 
-bool fits(const Match& match, const Rpc& rpc, const UsableCount& usable_count) {
-    return std::visit(ConditionCheck{.rpc = rpc, .usable_count = usable_count}, match.is);
+bool matches(const Match& match, const Rpc& rpc, const UsableCount& usable_count) {
+    return std::visit(ConditionCheck{.rpc = rpc, .usable_count = usable_count}, match.condition);
 }
 
 }  // namespace micaroad::routing
--- a/src/routing/match.hpp
+++ b/src/routing/match.hpp
@@ -14,13 +14,13 @@
 using UsableCount = std::function<int(const std::string& pool)>;
 
 /// Whether a text matches any of the values.
-[[nodiscard]] bool fits(const TextMatch& match, std::string_view text);
+[[nodiscard]] bool matches(const TextMatch& match, std::string_view text);
 /// Whether an RPC matches. Without `usable_count`, pools count as without usable servers.
-[[nodiscard]] bool fits(const Match& match, const Rpc& rpc, const UsableCount& usable_count);
+[[nodiscard]] bool matches(const Match& match, const Rpc& rpc, const UsableCount& usable_count);
 
 /// A host as routes compare it: in lower case, without port, brackets or a trailing dot.
-[[nodiscard]] std::string plain_host(std::string_view host);
+[[nodiscard]] std::string normalized_host(std::string_view host);
 /// Folds the letters of ASCII alone.
-[[nodiscard]] std::string lower(std::string_view text);
+[[nodiscard]] std::string to_lower(std::string_view text);
 
 }  // namespace micaroad::routing
--- a/src/routing/network.cpp
+++ b/src/routing/network.cpp
@@ -41,7 +41,7 @@
 
 // The prefix length of a mask such as 255.0.0.0; absent if its ones are not all in front.
 std::optional<int> parse_dotted_mask(std::string_view text) {
-    const std::optional<Address> mask = address_of(text);
+    const std::optional<Address> mask = parse_address(text);
     if (!mask || !mask->v4) {
         return std::nullopt;
     }
@@ -66,7 +66,7 @@
 
 }  // namespace
 
-std::optional<Address> address_of(std::string_view text) {
+std::optional<Address> parse_address(std::string_view text) {
     const std::string terminated(text);
     Address address;
     if (inet_pton(AF_INET, terminated.c_str(), address.bytes.data() + kV4Begin) == 1) {
@@ -88,7 +88,7 @@
     return buffer.data();
 }
 
-bool Network::holds(const Address& address) const {
+bool Network::contains(const Address& address) const {
     if (address.v4 != base.v4) {
         return false;
     }
@@ -101,9 +101,9 @@
     return base.text() + "/" + std::to_string(bits - written_prefix_offset(base));
 }
 
-std::optional<Network> network_of(std::string_view text) {
+std::optional<Network> parse_network(std::string_view text) {
     const std::size_t slash = text.find('/');
-    const std::optional<Address> base = address_of(text.substr(0, slash));
+    const std::optional<Address> base = parse_address(text.substr(0, slash));
     if (!base) {
         return std::nullopt;
     }
--- a/src/routing/network.hpp
+++ b/src/routing/network.hpp
@@ -20,19 +20,19 @@
 };
 
 /// "10.1.2.3" or "::1", without port or brackets; absent for anything else.
-[[nodiscard]] std::optional<Address> address_of(std::string_view text);
+[[nodiscard]] std::optional<Address> parse_address(std::string_view text);
 
 struct Network {
     Address base;  ///< the bits past the prefix are 0
     int bits = 0;  ///< length of the prefix in the sixteen bytes: for IPv4, 96 more than written
 
-    [[nodiscard]] bool holds(const Address& address) const;
+    [[nodiscard]] bool contains(const Address& address) const;
     [[nodiscard]] std::string text() const;
     auto operator<=>(const Network&) const = default;
 };
 
 /// "10.0.0.0/8", "10.0.0.0/255.0.0.0" or a single address; absent for anything else. Bits of the
 /// address past the prefix are cleared.
-[[nodiscard]] std::optional<Network> network_of(std::string_view text);
+[[nodiscard]] std::optional<Network> parse_network(std::string_view text);
 
 }  // namespace micaroad::routing
--- a/src/routing/plan.hpp
+++ b/src/routing/plan.hpp
@@ -21,13 +21,13 @@
 
 // Conditions of a route.
 
-enum class TextWay { exact, prefix, suffix, contains, present };
+enum class TextMatchKind { exact, prefix, suffix, contains, present };
 
 /// A condition on a text: any of the values matches. `present` needs no value.
 struct TextMatch {
-    TextWay way = TextWay::exact;
+    TextMatchKind kind = TextMatchKind::exact;
     std::vector<std::string> values;
-    bool any_case = false;
+    bool ignore_case = false;
     bool operator==(const TextMatch&) const = default;
 };
 
@@ -36,19 +36,19 @@
 
 /// Without conditions it always matches.
 struct AllOf {
-    Matches of;
+    Matches conditions;
     bool operator==(const AllOf&) const = default;
 };
 
 /// Without conditions it never matches.
 struct AnyOf {
-    Matches of;
+    Matches conditions;
     bool operator==(const AnyOf&) const = default;
 };
 
 /// Has exactly one condition.
 struct Not {
-    Matches of;
+    Matches conditions;
     bool operator==(const Not&) const = default;
 };
 
@@ -88,13 +88,14 @@
 /// have a weight over 0.
 struct UsableServers {
     std::string pool;
-    int least = 0;
-    int most = 1'000'000;
+    int min_count = 0;
+    int max_count = 1'000'000;
     bool operator==(const UsableServers&) const = default;
 };
 
 struct Match {
-    std::variant<AllOf, AnyOf, Not, HostIs, PathIs, MethodIs, HeaderIs, SourceIn, UsableServers> is;
+    std::variant<AllOf, AnyOf, Not, HostIs, PathIs, MethodIs, HeaderIs, SourceIn, UsableServers>
+        condition;
     bool operator==(const Match&) const = default;
 };
 
@@ -106,9 +107,9 @@
 };
 
 /// Rejects the RPC at once; the answer is final.
-struct TurnAway {
+struct Reject {
     int status = 403;
-    bool operator==(const TurnAway&) const = default;
+    bool operator==(const Reject&) const = default;
 };
 
 struct Redirect {
@@ -119,15 +120,15 @@
 
 struct Route {
     std::string name;
-    Match when;
-    std::variant<ToPool, TurnAway, Redirect> then;
+    Match match;
+    std::variant<ToPool, Reject, Redirect> action;
     bool operator==(const Route&) const = default;
 };
 
 struct Listener {
     std::string name;
     std::vector<std::string> addresses;  ///< "host:port", as the operator has them; "*" is any host
-    int connections_most = 0;            ///< 0: no limit
+    int max_connections = 0;             ///< 0: no limit
     std::vector<Route> routes;           ///< the first that matches is taken
     std::string default_pool;            ///< empty: what matches no route is rejected
     bool operator==(const Listener&) const = default;
@@ -145,12 +146,12 @@
     int weight = 1;       ///< 0 to 256, as listed; with 0 it gets no new RPCs
     Tier tier = Tier::active;
     State state = State::ready;
-    int connections_most = 0;  ///< RPCs at once; 0: no limit
-    int queue_most = 0;        ///< RPCs in its own queue; 0: no limit
-    Duration slow_start{};     ///< time over which its weight rises once it is up; zero: at once
-    std::string health_of;     ///< full name of the server whose health it shares; empty: its own
-    std::string mark;          ///< its name in the cookies of sticky RPCs
-    bool checked = false;      ///< by the pool's health rule
+    int max_connections = 0;    ///< RPCs at once; 0: no limit
+    int max_queued = 0;         ///< RPCs in its own queue; 0: no limit
+    Duration slow_start{};      ///< time over which its weight rises once it is up; zero: at once
+    std::string health_source;  ///< full name of the server whose health it shares; empty: its own
+    std::string cookie_value;   ///< its name in the cookies of sticky RPCs
+    bool health_checked = false;  ///< by the pool's health rule
     bool operator==(const Server&) const = default;
 };
 
@@ -158,50 +159,55 @@
 /// draining server is left when the grace ends, one that is down or in maintenance at once.
 struct Stickiness {
     enum class By { none, source, path, header, query, cookie, request_hash } by = By::none;
-    std::string name;         ///< of the header, query parameter or cookie
-    int path_depth = 0;       ///< directories of the path that count; 0: all
-    int path_length = 0;      ///< characters of the path that count; 0: all
-    bool with_query = false;  ///< the query counts as a part of the path
-    bool keeps_down = false;  ///< a sticky RPC goes to its server even if that is down
+    std::string name;             ///< of the header, query parameter or cookie
+    int path_depth = 0;           ///< directories of the path that count; 0: all
+    int path_length = 0;          ///< characters of the path that count; 0: all
+    bool include_query = false;   ///< the query counts as a part of the path
+    bool stay_when_down = false;  ///< a sticky RPC goes to its server even if that is down
     bool operator==(const Stickiness&) const = default;
 };
 
 /// When a failed RPC may be retried. What may have been executed is retried only where it is
 /// idempotent, whatever stands here.
-struct FurtherTries {
-    int most = 0;  ///< retries of one RPC
-    enum class Proof { never_ran, pushed_back, any_failure } proof = Proof::never_ran;
-    enum class Where { same, other_at_last, other } where = Where::other_at_last;
-    bool operator==(const FurtherTries&) const = default;
+struct RetryRule {
+    int max_retries = 0;  ///< retries of one RPC
+    enum class Condition {
+        no_connection,
+        not_executed,
+        any_failure
+    } condition = Condition::no_connection;
+    enum class Target { same, other_on_last_retry, other } target = Target::other_on_last_retry;
+    bool operator==(const RetryRule&) const = default;
 };
 
 struct HealthRule {
-    Duration every{20'000};       ///< interval of health checks
-    Duration every_in_doubt{};    ///< after a result that contradicts the state; zero: as `every`
-    Duration every_while_down{};  ///< zero: as `every`
-    Duration patience{};          ///< timeout of a health check; zero: as `every`
-    int rise = 2;                 ///< successes in a row before a server counts as up
-    int fall = 3;                 ///< failures in a row before it counts as down
+    Duration interval{20'000};  ///< interval of health checks
+    Duration
+        transition_interval{};  ///< after a result that contradicts the state; zero: as `interval`
+    Duration down_interval{};   ///< zero: as `interval`
+    Duration timeout{};         ///< timeout of a health check; zero: as `interval`
+    int rise = 2;               ///< successes in a row before a server counts as up
+    int fall = 3;               ///< failures in a row before it counts as down
     enum class Kind { connect, http } kind = Kind::connect;
     std::string http_method = "OPTIONS";
     std::string http_path = "/";
-    std::string http_host;   ///< empty: the server's address
-    int status_least = 200;  ///< the lowest HTTP status that is a success
-    int status_most = 399;   ///< the highest
-    int errors_most = 0;     ///< RPCs in a row that failed before a server counts as down; 0: RPCs
-                             ///< don't count
+    std::string http_host;           ///< empty: the server's address
+    int min_status = 200;            ///< the lowest HTTP status that is a success
+    int max_status = 399;            ///< the highest
+    int max_consecutive_errors = 0;  ///< RPCs in a row that failed before a server counts as down;
+                                     ///< 0: RPCs don't count
     bool operator==(const HealthRule&) const = default;
 };
 
 struct Pool {
     std::string name;
     std::vector<Server> servers;
-    bool all_backups = false;         ///< backups are used together, or only the first usable one
-    int connections_most = 0;         ///< RPCs at once; 0: no limit
-    Duration queue_patience{50'000};  ///< the longest time in a queue
-    Duration connect_within{50'000};
-    Duration answer_within{300'000};
-    FurtherTries further;
+    bool all_backups = false;        ///< backups are used together, or only the first usable one
+    int max_connections = 0;         ///< RPCs at once; 0: no limit
+    Duration queue_timeout{50'000};  ///< the longest time in a queue
+    Duration connect_timeout{50'000};
+    Duration response_timeout{300'000};
+    RetryRule retry_rule;
     Stickiness stickiness;
     HealthRule health;
     bool operator==(const Pool&) const = default;
@@ -215,9 +221,9 @@
     int proxies = 64;
     int lines_per_second = 1'600;
     int lines_per_message = 3;
-    int lines_waiting_most = 1'600;
-    Duration report_every{5'000};
-    Duration message_longest{4'500};
+    int max_pending_lines = 1'600;
+    Duration report_interval{5'000};
+    Duration max_message_delay{4'500};
     Duration drain_grace{20'000};
     int memory_mb = 64;
     int sockets = 1'024;
@@ -228,10 +234,10 @@
 struct Recording {
     std::string path;
     int segment_mb = 8;
-    int all_mb = 512;
+    int total_mb = 512;
     int kib_per_second = 1'024;
     int processor_percent = 5;
-    Duration keep = std::chrono::hours(72);
+    Duration max_age = std::chrono::hours(72);
     bool operator==(const Recording&) const = default;
 };
 
--- a/src/routing/retry.cpp
+++ b/src/routing/retry.cpp
@@ -16,30 +16,30 @@
 RetryDecision decide_retry(const Pool& pool, const Rpc& rpc,
                            const std::vector<std::string>& attempted_servers,
                            AttemptOutcome outcome) {
-    using Proof = FurtherTries::Proof;
-    using Where = FurtherTries::Where;
-    const FurtherTries& rule = pool.further;
+    using Condition = RetryRule::Condition;
+    using Target = RetryRule::Target;
+    const RetryRule& rule = pool.retry_rule;
     if (attempted_servers.empty()) {
         return no_retry("nothing was tried");
     }
     const int retries = static_cast<int>(attempted_servers.size()) - 1;
-    if (retries >= rule.most) {
+    if (retries >= rule.max_retries) {
         return no_retry(fmt::format("{} further tries were made, as many as may be", retries));
     }
-    if (outcome != AttemptOutcome::no_connection && rule.proof == Proof::never_ran) {
+    if (outcome != AttemptOutcome::no_connection && rule.condition == Condition::no_connection) {
         return no_retry("only what never reached a server is tried again here");
     }
     const bool not_executed =
-        outcome == AttemptOutcome::no_connection || outcome == AttemptOutcome::pushed_back;
-    if (!not_executed && rule.proof == Proof::pushed_back) {
+        outcome == AttemptOutcome::no_connection || outcome == AttemptOutcome::rejected_by_server;
+    if (!not_executed && rule.condition == Condition::not_executed) {
         return no_retry("only what a server has pushed back is tried again here");
     }
     if (!not_executed && !rpc.idempotent()) {
         return no_retry(fmt::format("{} may have run, and must not take effect twice", rpc.method));
     }
-    const bool is_last = retries + 1 == rule.most;
+    const bool is_last = retries + 1 == rule.max_retries;
     const bool other_server =
-        rule.where == Where::other || (rule.where == Where::other_at_last && is_last);
+        rule.target == Target::other || (rule.target == Target::other_on_last_retry && is_last);
     if (other_server) {
         return {.retry = true, .server = "", .explanation = "another server"};
     }
--- a/src/routing/retry.hpp
+++ b/src/routing/retry.hpp
@@ -12,10 +12,10 @@
 
 /// How an attempt failed, as far as the proxy can know.
 enum class AttemptOutcome {
-    no_connection,  ///< never executed: nothing was sent
-    pushed_back,    ///< the server said that it did not execute it (503, 429)
-    aborted,        ///< the connection broke after something was sent, or the answer is a failure
-    no_answer,      ///< not in time
+    no_connection,       ///< never executed: nothing was sent
+    rejected_by_server,  ///< the server said that it did not execute it (503, 429)
+    aborted,    ///< the connection broke after something was sent, or the answer is a failure
+    no_answer,  ///< not in time
 };
 
 struct RetryDecision {
--- a/src/routing/route_index.cpp
+++ b/src/routing/route_index.cpp
@@ -51,15 +51,15 @@
 
 std::optional<Anchors> text_anchors(Anchor::Field field, const TextMatch& text) {
     const bool is_host = field == Anchor::Field::host;
-    const TextWay partial = is_host ? TextWay::suffix : TextWay::prefix;
-    if (text.way != TextWay::exact && text.way != partial) {
+    const TextMatchKind partial = is_host ? TextMatchKind::suffix : TextMatchKind::prefix;
+    if (text.kind != TextMatchKind::exact && text.kind != partial) {
         return std::nullopt;
     }
     const Trie::KeyMatch match =
-        text.way == TextWay::exact ? Trie::KeyMatch::whole : Trie::KeyMatch::prefix;
+        text.kind == TextMatchKind::exact ? Trie::KeyMatch::whole : Trie::KeyMatch::prefix;
     Anchors anchors;
     for (const std::string& value : text.values) {
-        std::string key = lower(value);
+        std::string key = to_lower(value);
         if (is_host) {
             key = reversed(key);
         }
@@ -74,7 +74,7 @@
     std::optional<Anchors> operator()(const AllOf& all) const {
         std::optional<Anchors> best;
         std::size_t best_selectivity = 0;
-        for (const Match& match : all.of) {
+        for (const Match& match : all.conditions) {
             std::optional<Anchors> found = find_anchors(match);
             if (!found) {
                 continue;
@@ -91,7 +91,7 @@
     // Each of its conditions needs anchors, as any may hold.
     std::optional<Anchors> operator()(const AnyOf& any) const {
         Anchors anchors;
-        for (const Match& match : any.of) {
+        for (const Match& match : any.conditions) {
             const std::optional<Anchors> found = find_anchors(match);
             if (!found) {
                 return std::nullopt;
@@ -111,13 +111,13 @@
 
     // A whole host as the client names it: its plain form is then known too.
     std::optional<Anchors> operator()(const HeaderIs& header) const {
-        if (lower(header.name) != "host" || header.text.way != TextWay::exact) {
+        if (to_lower(header.name) != "host" || header.text.kind != TextMatchKind::exact) {
             return std::nullopt;
         }
         Anchors anchors;
         for (const std::string& value : header.text.values) {
             anchors.push_back({.field = Anchor::Field::host,
-                               .key = reversed(plain_host(value)),
+                               .key = reversed(normalized_host(value)),
                                .match = Trie::KeyMatch::whole});
         }
         return anchors;
@@ -130,7 +130,7 @@
 };
 
 std::optional<Anchors> find_anchors(const Match& match) {
-    return std::visit(AnchorFinder{}, match.is);
+    return std::visit(AnchorFinder{}, match.condition);
 }
 
 // What is left of a list of route numbers in rising order; never empty.
@@ -153,7 +153,7 @@
 RouteIndex::RouteIndex(const std::vector<Route>& routes) : routes_(routes) {
     for (std::size_t i = 0; i < routes.size(); ++i) {
         const auto number = static_cast<Trie::Number>(i);
-        const std::optional<Anchors> anchors = find_anchors(routes[i].when);
+        const std::optional<Anchors> anchors = find_anchors(routes[i].match);
         if (!anchors) {
             unfiled_.push_back(number);
             continue;
@@ -165,8 +165,8 @@
     }
 }
 
-std::optional<std::size_t> RouteIndex::first(const Rpc& rpc, const UsableCount& usable_count,
-                                             std::size_t* tried_count) const {
+std::optional<std::size_t> RouteIndex::find_first(const Rpc& rpc, const UsableCount& usable_count,
+                                                  std::size_t* tried_count) const {
     std::vector<RemainingNumbers> storage;
     storage.reserve(kUsualLists);
     std::priority_queue<RemainingNumbers, std::vector<RemainingNumbers>, HasLaterNext> lists(
@@ -177,9 +177,9 @@
         }
     };
     add_list(unfiled_);
-    paths_.look_up(lower(rpc.path), add_list);
+    paths_.look_up(to_lower(rpc.path), add_list);
     if (!rpc.host.empty()) {
-        hosts_.look_up(reversed(plain_host(rpc.host)), add_list);
+        hosts_.look_up(reversed(normalized_host(rpc.host)), add_list);
     }
     std::optional<Trie::Number> last_tried;  // a route may be in several lists
     while (!lists.empty()) {
@@ -191,7 +191,7 @@
             if (tried_count != nullptr) {
                 ++*tried_count;
             }
-            if (fits(routes_[number].when, rpc, usable_count)) {
+            if (matches(routes_[number].match, rpc, usable_count)) {
                 return number;
             }
         }
@@ -203,10 +203,10 @@
     return std::nullopt;
 }
 
-std::optional<std::size_t> first_by_list(const std::vector<Route>& routes, const Rpc& rpc,
-                                         const UsableCount& usable_count) {
+std::optional<std::size_t> find_first_by_scan(const std::vector<Route>& routes, const Rpc& rpc,
+                                              const UsableCount& usable_count) {
     for (std::size_t i = 0; i < routes.size(); ++i) {
-        if (fits(routes[i].when, rpc, usable_count)) {
+        if (matches(routes[i].match, rpc, usable_count)) {
             return i;
         }
     }
--- a/src/routing/route_index.hpp
+++ b/src/routing/route_index.hpp
@@ -23,8 +23,9 @@
 
     /// The position of the first route that matches; absent if none does. `tried_count`, if given,
     /// is increased by the number of routes that were tried.
-    [[nodiscard]] std::optional<std::size_t> first(const Rpc& rpc, const UsableCount& usable_count,
-                                                   std::size_t* tried_count = nullptr) const;
+    [[nodiscard]] std::optional<std::size_t> find_first(const Rpc& rpc,
+                                                        const UsableCount& usable_count,
+                                                        std::size_t* tried_count = nullptr) const;
 
  private:
     const std::vector<Route>& routes_;
@@ -34,8 +35,8 @@
 };
 
 /// The same by trying all routes in order, for comparison.
-[[nodiscard]] std::optional<std::size_t> first_by_list(const std::vector<Route>& routes,
-                                                       const Rpc& rpc,
-                                                       const UsableCount& usable_count);
+[[nodiscard]] std::optional<std::size_t> find_first_by_scan(const std::vector<Route>& routes,
+                                                            const Rpc& rpc,
+                                                            const UsableCount& usable_count);
 
 }  // namespace micaroad::routing
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -17,21 +17,21 @@
     decision.route = route.name;
     decision.explanation.push_back(
         fmt::format("route {} is the first of {} that fits", route.name, listener.routes.size()));
-    if (const auto* rejection = std::get_if<TurnAway>(&route.then)) {
+    if (const auto* rejection = std::get_if<Reject>(&route.action)) {
         decision.kind = Decision::Kind::rejected;
         decision.status = rejection->status;
         decision.explanation.push_back(
             fmt::format("it turns RPCs away with {}", rejection->status));
         return std::nullopt;
     }
-    if (const auto* redirect = std::get_if<Redirect>(&route.then)) {
+    if (const auto* redirect = std::get_if<Redirect>(&route.action)) {
         decision.kind = Decision::Kind::redirected;
         decision.status = redirect->status;
         decision.location = redirect->location;
         decision.explanation.push_back(fmt::format("it redirects to {}", redirect->location));
         return std::nullopt;
     }
-    return std::get<ToPool>(route.then).pool;
+    return std::get<ToPool>(route.action).pool;
 }
 
 // As follow_route(), where none matches.
@@ -65,7 +65,7 @@
     };
     Decision decision;
     decision.listener = listener;
-    const auto number = indexed.index.first(rpc, usable_count);
+    const auto number = indexed.index.find_first(rpc, usable_count);
     const std::optional<std::string> pool =
         number ? follow_route(*indexed.listener, indexed.listener->routes[*number], decision)
                : follow_default(*indexed.listener, decision);
@@ -103,15 +103,15 @@
         return;
     }
     const bool pool_full =
-        pool.connections_most > 0 && view.pool(pool.name).running >= pool.connections_most;
+        pool.max_connections > 0 && view.pool(pool.name).running >= pool.max_connections;
     if (!pool_full && (!decision.split.all_full || no_shares)) {
         decision.kind = Decision::Kind::send;
         return;
     }
     decision.kind = Decision::Kind::wait;
-    decision.queue_timeout = pool.queue_patience;
+    decision.queue_timeout = pool.queue_timeout;
     decision.explanation.push_back(
-        pool_full ? fmt::format("the pool runs the {} it may: it waits", pool.connections_most)
+        pool_full ? fmt::format("the pool runs the {} it may: it waits", pool.max_connections)
                   : "it waits for a server");
 }
 
--- a/src/routing/server_selector.cpp
+++ b/src/routing/server_selector.cpp
@@ -83,7 +83,7 @@
         }
         return ServerStatus{Availability::sticky_only, Reason::draining};
     }
-    if (server.health_of.empty() && !now.up) {
+    if (server.health_source.empty() && !now.up) {
         return ServerStatus{Availability::unavailable, Reason::down};
     }
     return std::nullopt;
@@ -126,21 +126,21 @@
         if (const auto status = status_by_state(*source, view.server(source_name), view, shared)) {
             return *status;
         }
-        if (source->health_of.empty()) {
+        if (source->health_source.empty()) {
             break;
         }
-        const auto next = servers_.find(source->health_of);
+        const auto next = servers_.find(source->health_source);
         if (next == servers_.end() || steps > servers_.size()) {
             return {ServerAvailability::unavailable, AvailabilityReason::unknown_health};
         }
-        source_name = source->health_of;
+        source_name = source->health_source;
         source = next->second;
         ++steps;
     }
     if (server.weight <= 0) {
         return {ServerAvailability::sticky_only, AvailabilityReason::zero_weight};
     }
-    if (server.connections_most > 0 && view.server(own_name).running >= server.connections_most) {
+    if (server.max_connections > 0 && view.server(own_name).running >= server.max_connections) {
         return {ServerAvailability::full, AvailabilityReason::full};
     }
     return {ServerAvailability::usable, AvailabilityReason::ready};
@@ -230,7 +230,7 @@
                                            const View& view) const {
     std::string first_down;
     for (const Server& server : pool.servers) {
-        if (server.mark.empty() || server.mark != mark) {
+        if (server.cookie_value.empty() || server.cookie_value != mark) {
             continue;
         }
         const ServerStatus status = this->status(pool, server, view);
@@ -241,7 +241,7 @@
             first_down = server.name;
         }
     }
-    return pool.stickiness.keeps_down ? first_down : "";
+    return pool.stickiness.stay_when_down ? first_down : "";
 }
 
 }  // namespace micaroad::routing
--- a/src/routing/sticky_key.cpp
+++ b/src/routing/sticky_key.cpp
@@ -18,7 +18,7 @@
 
 std::string path_key(const Stickiness& stickiness, const Rpc& rpc) {
     std::string path = rpc.path;
-    if (stickiness.with_query && !rpc.query.empty()) {
+    if (stickiness.include_query && !rpc.query.empty()) {
         path += "?" + rpc.query;
     }
     if (stickiness.path_length > 0) {
@@ -42,7 +42,7 @@
 }
 
 std::string header_value(const Rpc& rpc, const std::string& name) {
-    const std::string lower_name = lower(name);
+    const std::string lower_name = to_lower(name);
     const auto header =
         std::find_if(rpc.headers.begin(), rpc.headers.end(),
                      [&lower_name](const auto& field) { return field.first == lower_name; });
--- a/tests/corpus.cpp
+++ b/tests/corpus.cpp
@@ -54,18 +54,18 @@
             if (route.rpc.host == "-") {
                 route.rpc.host.clear();
             }
-            route.rpc.source = *routing::address_of("8.8.8.8");
+            route.rpc.source = *routing::parse_address("8.8.8.8");
             while (words >> word && word != "->") {
                 const std::string value = word.substr(word.find('=') + 1);
                 if (word.starts_with("src=")) {
-                    route.rpc.source = routing::address_of(value).value();
+                    route.rpc.source = routing::parse_address(value).value();
                 }
                 if (word.starts_with("down=")) {
                     route.view.servers[value].up = false;
                 }
                 if (word.starts_with("h:")) {
                     route.rpc.headers.emplace_back(
-                        routing::lower(word.substr(2, word.find('=') - 2)), value);
+                        routing::to_lower(word.substr(2, word.find('=') - 2)), value);
                 }
             }
             words >> route.to;
--- a/tests/golden_stored_test.cpp
+++ b/tests/golden_stored_test.cpp
@@ -306,7 +306,7 @@
 }
 
 TEST_CASE("golden: the stored operator's file is written back to the same bytes") {
-    const operators::Reading reading = operators::read_file((kData / "operator.txtpb").string());
+    const operators::ReadResult reading = operators::read_file((kData / "operator.txtpb").string());
     for (const auto& fault : reading.faults) {
         UNSCOPED_INFO(fault.text());
     }
@@ -319,7 +319,7 @@
         FAIL("written, not compared: " << golden);
     }
     CHECK(text == bytes_of(golden));
-    const operators::Reading back = operators::read_file(golden.string());
+    const operators::ReadResult back = operators::read_file(golden.string());
     CHECK(back.faults.empty());
     CHECK(back.plan == reading.plan);
 }
--- a/tests/haproxy_test.cpp
+++ b/tests/haproxy_test.cpp
@@ -92,7 +92,7 @@
                 CHECK((sent ? decision.pool : std::to_string(decision.status)) == route.to);
             }
             // What is written reads back as the same plan.
-            const operators::Reading back =
+            const operators::ReadResult back =
                 operators::read_text(operators::write_text(import.plan), "back");
             for (const auto& fault : back.faults) {
                 UNSCOPED_INFO(fault.text());
@@ -180,35 +180,35 @@
     const auto& health = import.plan.pools.at(0).health;
     CHECK((health.kind == routing::HealthRule::Kind::http && health.http_path == "/ping" &&
            health.http_host == "shop.example"));
-    CHECK((health.status_least == 200 && health.status_most == 299 && health.rise == 3 &&
+    CHECK((health.min_status == 200 && health.max_status == 299 && health.rise == 3 &&
            health.fall == 4));
-    CHECK((health.every == Duration{30'000} && health.every_in_doubt == Duration{5'000} &&
-           health.every_while_down == Duration{100'000}));
-    CHECK((health.patience == Duration{9'000} && health.errors_most == 0));
-    CHECK(!import.plan.pools[0].servers.at(4).checked);
+    CHECK((health.interval == Duration{30'000} && health.transition_interval == Duration{5'000} &&
+           health.down_interval == Duration{100'000}));
+    CHECK((health.timeout == Duration{9'000} && health.max_consecutive_errors == 0));
+    CHECK(!import.plan.pools[0].servers.at(4).health_checked);
 
     const auto limits = Corpus::named("limits").import().plan;
-    CHECK((limits.listeners.at(0).connections_most == 2'000 &&
-           limits.pools.at(0).queue_patience == Duration{15'000}));
-    CHECK((limits.pools[0].servers.at(0).connections_most == 100 &&
-           limits.pools[0].servers[0].queue_most == 50));
+    CHECK((limits.listeners.at(0).max_connections == 2'000 &&
+           limits.pools.at(0).queue_timeout == Duration{15'000}));
+    CHECK((limits.pools[0].servers.at(0).max_connections == 100 &&
+           limits.pools[0].servers[0].max_queued == 50));
 
     const auto sticky = Corpus::named("cookie-persist").import().plan.pools.at(0);
-    using routing::FurtherTries;
-    CHECK(sticky.further ==
-          FurtherTries{5, FurtherTries::Proof::any_failure, FurtherTries::Where::other_at_last});
-    CHECK(
-        (sticky.stickiness.by == routing::Stickiness::By::cookie && sticky.stickiness.keeps_down));
-    CHECK((sticky.servers.at(1).mark == "s2" && sticky.servers[1].checked));
+    using routing::RetryRule;
+    CHECK(sticky.retry_rule ==
+          RetryRule{5, RetryRule::Condition::any_failure, RetryRule::Target::other_on_last_retry});
+    CHECK((sticky.stickiness.by == routing::Stickiness::By::cookie &&
+           sticky.stickiness.stay_when_down));
+    CHECK((sticky.servers.at(1).cookie_value == "s2" && sticky.servers[1].health_checked));
 
     const auto slow = Corpus::named("slow-start").import().plan.pools.at(0);
     CHECK(slow.servers.at(2).slow_start == Duration{160'000});
     CHECK(Corpus::named("slow-start-static").import().plan.pools.at(0).servers.at(0).slow_start ==
           Duration{});
     const auto from = Corpus::named("defaults-from").import().plan;
-    CHECK((from.pools.at(0).connect_within == Duration{10'000} &&
-           from.pools[0].answer_within == Duration{90'000}));
-    CHECK((from.pools.at(2).connect_within == Duration{30'000} && !from.pools[2].all_backups));
+    CHECK((from.pools.at(0).connect_timeout == Duration{10'000} &&
+           from.pools[0].response_timeout == Duration{90'000}));
+    CHECK((from.pools.at(2).connect_timeout == Duration{30'000} && !from.pools[2].all_backups));
 }
 
 TEST_CASE("several files and directories are read in order, and one that is missing is named") {
@@ -234,7 +234,7 @@
     CHECK(import.troubles.empty());
     REQUIRE((import.plan.pools.size() == 1 && import.plan.pools[0].servers.size() == 2));
     CHECK(import.plan.pools[0].servers[1].weight == 3);
-    CHECK(import.plan.pools[0].connect_within == Duration{10'000});
+    CHECK(import.plan.pools[0].connect_timeout == Duration{10'000});
     CHECK(import.findings.back().file.ends_with("20.cfg"));
     REQUIRE(read({"one.cfg", "none.cfg"}).troubles.size() == 1);
     fs::remove_all(folder);
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -60,31 +60,31 @@
 }  // namespace
 
 TEST_CASE("a sound file is read, and written so that it reads back alike") {
-    const Reading reading = read_text(kSound, "f");
+    const ReadResult reading = read_text(kSound, "f");
     for (const Fault& fault : reading.faults) {
         UNSCOPED_INFO(fault.text());
     }
     REQUIRE(reading.faults.empty());
     const routing::Plan& plan = reading.plan;
     REQUIRE((plan.listeners.size() == 1 && plan.pools.size() == 2));
-    CHECK((plan.listeners[0].routes.size() == 4 && plan.listeners[0].connections_most == 2'000));
+    CHECK((plan.listeners[0].routes.size() == 4 && plan.listeners[0].max_connections == 2'000));
     const routing::Pool& web = plan.pools[0];
-    CHECK((web.queue_patience == Duration{15'000} && web.connect_within == Duration{50'000} &&
+    CHECK((web.queue_timeout == Duration{15'000} && web.connect_timeout == Duration{50'000} &&
            web.all_backups));
     CHECK((web.servers[0].slow_start == Duration{600'000} &&
            web.servers[1].state == routing::State::draining));
-    CHECK((web.health.http_path == "/ping" && web.health.status_most == 299 &&
-           web.health.status_least == 200 && web.health.rise == 2));
-    CHECK(std::get<routing::HostIs>(plan.listeners[0].routes[1].when.is).text.values.front() ==
-          "old.example");
+    CHECK((web.health.http_path == "/ping" && web.health.max_status == 299 &&
+           web.health.min_status == 200 && web.health.rise == 2));
+    CHECK(std::get<routing::HostIs>(plan.listeners[0].routes[1].match.condition)
+              .text.values.front() == "old.example");
     const std::string text = write_text(plan, "one\n\ntwo");
     CHECK(text.starts_with("# one\n#\n# two\n"));
-    const Reading back = read_text(text, "f");
+    const ReadResult back = read_text(text, "f");
     CHECK((back.faults.empty() && back.plan == plan));
 }
 
 TEST_CASE("the schema's defaults are those of the plan's types") {
-    const Reading reading = read_text(
+    const ReadResult reading = read_text(
         "pool { name: \"p\" health {} server { name: \"a\" address: \"10.0.0.1:80\" } "
         "further_tries { most: "
         "1 } }",
@@ -92,7 +92,7 @@
     REQUIRE(reading.faults.empty());
     routing::Pool defaults;
     defaults.name = "p";
-    defaults.further.most = 1;
+    defaults.retry_rule.max_retries = 1;
     defaults.servers.resize(1);
     defaults.servers[0].name = "a";
     defaults.servers[0].address = "10.0.0.1:80";
@@ -231,7 +231,7 @@
 TEST_CASE("a text cut or corrupted anywhere is read or rejected, and never crashes") {
     std::mt19937_64 chance(3);
     for (std::size_t length = 0; length < kSound.size(); length += 3) {
-        const Reading reading = read_text(kSound.substr(0, length), "f");
+        const ReadResult reading = read_text(kSound.substr(0, length), "f");
         for (const Fault& fault : reading.faults) {
             CHECK(!fault.text().empty());
         }
--- a/tests/routing_test.cpp
+++ b/tests/routing_test.cpp
@@ -52,10 +52,10 @@
 }
 using Shares = std::map<std::string, double>;
 
-Match path(TextWay way, std::string value, bool any_case = false) {
+Match path(TextMatchKind way, std::string value, bool any_case = false) {
     return {PathIs{{way, {std::move(value)}, any_case}}};
 }
-Match host(TextWay way, std::string value) {
+Match host(TextMatchKind way, std::string value) {
     return {HostIs{{way, {std::move(value)}, false}}};
 }
 
@@ -71,14 +71,14 @@
         return word;
     };
     const std::function<Match(int)> any = [&](int depth) -> Match {
-        const TextWay ways[] = {TextWay::exact, TextWay::prefix, TextWay::suffix,
-                                TextWay::contains};
+        const TextMatchKind ways[] = {TextMatchKind::exact, TextMatchKind::prefix,
+                                      TextMatchKind::suffix, TextMatchKind::contains};
         switch (chance() % (depth > 3 ? 6 : 9)) {
             case 0:
             case 1:
                 return path(ways[chance() % 4], "/" + word(4), chance() % 3 == 0);
             case 2:
-                return host(ways[chance() % 4], lower(word(4)));
+                return host(ways[chance() % 4], to_lower(word(4)));
             case 3:
                 return {MethodIs{{chance() % 2 ? "GET" : "POST"}}};
             case 4:
@@ -116,9 +116,9 @@
             rpc.method = chance() % 2 ? "GET" : "PUT", rpc.path = "/" + word(6),
             rpc.host = word(5) + (chance() % 4 ? "" : ":80");
             rpc.headers = {{"x", word(3)}};
-            const auto plain = first_by_list(routes, rpc, nullptr);
+            const auto plain = find_first_by_scan(routes, rpc, nullptr);
             CAPTURE(round, rpc.path, rpc.host);
-            REQUIRE(index.first(rpc, nullptr) == plain);
+            REQUIRE(index.find_first(rpc, nullptr) == plain);
             found += plain.has_value();
         }
     }
@@ -128,24 +128,25 @@
 TEST_CASE("the index asks about few routes of many") {
     std::vector<Route> routes;
     for (int i = 0; i < 20'000; ++i) {
-        routes.push_back({"r", path(TextWay::prefix, fmt::format("/tenant{}/", i)), ToPool{"web"}});
+        routes.push_back(
+            {"r", path(TextMatchKind::prefix, fmt::format("/tenant{}/", i)), ToPool{"web"}});
     }
-    routes.push_back({"last", path(TextWay::prefix, "/"), ToPool{"web"}});
+    routes.push_back({"last", path(TextMatchKind::prefix, "/"), ToPool{"web"}});
     const RouteIndex index(routes);
     Rpc rpc;
     rpc.path = "/tenant19999/x";
     std::size_t asked = 0;
-    CHECK(index.first(rpc, nullptr, &asked) == 19'999u);
+    CHECK(index.find_first(rpc, nullptr, &asked) == 19'999u);
     CHECK(asked == 1);
     rpc.path = "/other";
-    CHECK(index.first(rpc, nullptr) == 20'000u);
+    CHECK(index.find_first(rpc, nullptr) == 20'000u);
 }
 
 TEST_CASE("hosts, networks and headers are compared as their standards have them") {
-    CHECK(plain_host("Shop.Example.:8080") == "shop.example");
-    CHECK(plain_host("[::1]:80") == "::1");
+    CHECK(normalized_host("Shop.Example.:8080") == "shop.example");
+    CHECK(normalized_host("[::1]:80") == "::1");
     const auto in = [](const char* network, const char* address) {
-        return network_of(network)->holds(*address_of(address));
+        return parse_network(network)->contains(*parse_address(address));
     };
     CHECK((in("10.0.0.0/8", "10.255.1.1") && !in("10.0.0.0/8", "11.0.0.1")));
     CHECK((in("10.1.2.3/8", "10.9.9.9") && in("192.168.0.0/255.255.0.0", "192.168.7.7")));
@@ -153,13 +154,13 @@
     CHECK((in("0.0.0.0/0", "1.2.3.4") && !in("::/0", "1.2.3.4") && in("1.2.3.4", "1.2.3.4")));
     for (const char* odd : {"10.0.0.0/33", "10.0.0/8", "x", "10.0.0.0/255.0.255.0", "::1/129",
                             "10.0.0.0/-1", "10.0.0.0/"}) {
-        CHECK(!network_of(odd));
+        CHECK(!parse_network(odd));
     }
-    CHECK(network_of("10.1.2.3/8")->text() == "10.0.0.0/8");
+    CHECK(parse_network("10.1.2.3/8")->text() == "10.0.0.0/8");
     Rpc rpc;
     rpc.headers = {{"x", "one"}, {"x", "two"}};
-    CHECK(fits(Match{HeaderIs{"X", {TextWay::exact, {"two"}, false}}}, rpc, nullptr));
-    CHECK(!fits(Match{HeaderIs{"y", {TextWay::present, {}, false}}}, rpc, nullptr));
+    CHECK(matches(Match{HeaderIs{"X", {TextMatchKind::exact, {"two"}, false}}}, rpc, nullptr));
+    CHECK(!matches(Match{HeaderIs{"y", {TextMatchKind::present, {}, false}}}, rpc, nullptr));
 }
 
 TEST_CASE("shares follow tier, state and weight") {
@@ -194,8 +195,8 @@
 TEST_CASE("a full server is no reason to leave its tier; all full means to wait") {
     Plan plan;
     plan.pools = {pool({server("a"), server("b"), server("s", 1, Tier::backup)})};
-    plan.pools[0].servers[0].connections_most = 2;
-    plan.pools[0].servers[1].connections_most = 2;
+    plan.pools[0].servers[0].max_connections = 2;
+    plan.pools[0].servers[1].max_connections = 2;
     View now = view();
     now.servers["web/a"].running = 2;
     CHECK(shares(plan, now) == Shares{{"b", 1}});
@@ -213,7 +214,7 @@
     plan.pools[0].stickiness.by = Stickiness::By::cookie;
     plan.pools[0].stickiness.name = "SRV";
     for (Server& server : plan.pools[0].servers) {
-        server.mark = server.name;
+        server.cookie_value = server.name;
     }
     plan.listeners = {{"in", {}, 0, {}, "web"}};
     View now = view();
@@ -231,14 +232,14 @@
     CHECK(stuck("leaving").empty());
     now.servers["web/old"].up = false;
     CHECK(stuck("old").empty());
-    plan.pools[0].stickiness.keeps_down = true;
+    plan.pools[0].stickiness.stay_when_down = true;
     CHECK(stuck("old") == "old");
     // Two of one mark: the first that may be used, and who is down only where none may.
-    plan.pools[0].servers[0].mark = "old";
+    plan.pools[0].servers[0].cookie_value = "old";
     CHECK(stuck("old") == "a");
     now.servers["web/a"].up = false;
     CHECK(stuck("old") == "a");
-    plan.pools[0].servers[0].mark = "a";
+    plan.pools[0].servers[0].cookie_value = "a";
     now.servers["web/a"].up = true;
     now.servers["web/old"].state_override =
         State::disabled;  // preference ends where the operator says so
@@ -249,8 +250,8 @@
     "health that is another server's is followed along its chain, and a circle counts as out") {
     Plan plan;
     plan.pools = {pool({server("a"), server("b"), server("c")})};
-    plan.pools[0].servers[1].health_of = "web/a";
-    plan.pools[0].servers[2].health_of = "web/b";
+    plan.pools[0].servers[1].health_source = "web/a";
+    plan.pools[0].servers[2].health_source = "web/b";
     View now = view();
     CHECK(shares(plan, now).size() == 3);
     now.servers["web/a"].up = false;
@@ -262,7 +263,7 @@
     plan.pools[0].servers[0].weight = 0,
     plan.pools[0].servers[0].state = State::draining;  // its own matter
     CHECK(shares(plan, now).size() == 2);
-    plan.pools[0].servers[0].health_of = "web/c";
+    plan.pools[0].servers[0].health_source = "web/c";
     CHECK(shares(plan, now).empty());
 }
 
@@ -294,7 +295,7 @@
     int moved = 0, kept = 0;
     for (int i = 0; i < 20'000; ++i) {
         Rpc rpc;
-        rpc.source = *address_of(fmt::format("10.{}.{}.{}", i % 7, i / 256, i % 256));
+        rpc.source = *parse_address(fmt::format("10.{}.{}.{}", i % 7, i / 256, i % 256));
         now.servers["web/a"].up = true;
         const std::string before = router.decide("in", rpc, now).sticky_server;
         now.servers["web/a"].up = false;
@@ -325,10 +326,10 @@
 
 TEST_CASE("limits: a server's, a pool's, queues in order of arrival, and the queue timeout") {
     Pool web = pool({server("a"), server("b")});
-    web.servers[0].connections_most = 1, web.servers[0].queue_most = 1,
-    web.servers[1].connections_most = 1;
-    web.connections_most = 2;
-    web.queue_patience = s(3);
+    web.servers[0].max_connections = 1, web.servers[0].max_queued = 1,
+    web.servers[1].max_connections = 1;
+    web.max_connections = 2;
+    web.queue_timeout = s(3);
     Limiter limiter(web);
     using Outcome = Limiter::Outcome;
     const std::vector<std::string> both{"a", "b"};
@@ -369,11 +370,11 @@
     for (int round = 0; round < 60; ++round) {
         Pool web = pool({server("a"), server("b"), server("c")});
         for (Server& server : web.servers) {
-            server.connections_most = static_cast<int>(chance() % 4),
-            server.queue_most = static_cast<int>(chance() % 3);
+            server.max_connections = static_cast<int>(chance() % 4),
+            server.max_queued = static_cast<int>(chance() % 3);
         }
-        web.connections_most = static_cast<int>(chance() % 8);
-        web.queue_patience = s(2);
+        web.max_connections = static_cast<int>(chance() % 8);
+        web.queue_timeout = s(2);
         Limiter limiter(web);
         std::map<RpcNumber, std::string> runs;
         std::set<RpcNumber> waits;
@@ -410,19 +411,19 @@
             }
             REQUIRE(limiter.waiting() == waits.size());
             REQUIRE(limiter.running() == static_cast<int>(runs.size()));
-            if (web.connections_most > 0) {
-                REQUIRE(limiter.running() <= web.connections_most);
+            if (web.max_connections > 0) {
+                REQUIRE(limiter.running() <= web.max_connections);
             }
             for (const Server& server : web.servers) {
                 const auto here = std::count_if(runs.begin(), runs.end(), [&](const auto& at) {
                     return at.second == server.name;
                 });
-                if (server.connections_most > 0) {
-                    REQUIRE(here <= server.connections_most);
+                if (server.max_connections > 0) {
+                    REQUIRE(here <= server.max_connections);
                 }
                 const bool room =
-                    (server.connections_most == 0 || here < server.connections_most) &&
-                    (web.connections_most == 0 || limiter.running() < web.connections_most);
+                    (server.max_connections == 0 || here < server.max_connections) &&
+                    (web.max_connections == 0 || limiter.running() < web.max_connections);
                 if (room && server.name == "c") {
                     // Who waits for any server may run at c.
                     const auto asked = limiter.request_any(
@@ -443,7 +444,7 @@
     Pool web = pool({server("a"), server("b")});
     Rpc get, post;
     post.method = "POST";
-    web.further = {2, FurtherTries::Proof::any_failure, FurtherTries::Where::other_at_last};
+    web.retry_rule = {2, RetryRule::Condition::any_failure, RetryRule::Target::other_on_last_retry};
     const auto again = [&](const Rpc& rpc, std::vector<std::string> tried, AttemptOutcome outcome) {
         return decide_retry(web, rpc, tried, outcome);
     };
@@ -454,24 +455,24 @@
     CHECK((!again(post, {"a"}, AttemptOutcome::aborted).retry &&
            !again(post, {"a"}, AttemptOutcome::no_answer).retry));
     CHECK((again(post, {"a"}, AttemptOutcome::no_connection).retry &&
-           again(post, {"a"}, AttemptOutcome::pushed_back).retry));
-    web.further.proof = FurtherTries::Proof::never_ran;
+           again(post, {"a"}, AttemptOutcome::rejected_by_server).retry));
+    web.retry_rule.condition = RetryRule::Condition::no_connection;
     CHECK((again(get, {"a"}, AttemptOutcome::no_connection).retry &&
-           !again(get, {"a"}, AttemptOutcome::pushed_back).retry));
-    web.further.proof = FurtherTries::Proof::pushed_back;
-    CHECK((again(get, {"a"}, AttemptOutcome::pushed_back).retry &&
+           !again(get, {"a"}, AttemptOutcome::rejected_by_server).retry));
+    web.retry_rule.condition = RetryRule::Condition::not_executed;
+    CHECK((again(get, {"a"}, AttemptOutcome::rejected_by_server).retry &&
            !again(get, {"a"}, AttemptOutcome::aborted).retry));
-    web.further.most = 0;
+    web.retry_rule.max_retries = 0;
     CHECK(!again(get, {"a"}, AttemptOutcome::no_connection).retry);
 }
 
 TEST_CASE("probes turn a server down and up by the rule, and are asked for at its intervals") {
     Pool web = pool({server("a"), server("b")});
     for (Server& server : web.servers) {
-        server.checked = true;
+        server.health_checked = true;
     }
-    web.health.every = s(2), web.health.every_in_doubt = s(1), web.health.every_while_down = s(5),
-    web.health.fall = 3, web.health.rise = 2;
+    web.health.interval = s(2), web.health.transition_interval = s(1),
+    web.health.down_interval = s(5), web.health.fall = 3, web.health.rise = 2;
     HealthTracker tracker(web, kNow);
     CHECK(tracker.take_due(kNow) == std::vector<std::string>{"a"});
     CHECK(tracker.take_due(kNow).empty());
@@ -490,7 +491,7 @@
     CHECK(tracker.on_check_result("a", true, now)->up);
     CHECK(
         (!tracker.on_check_result("none", false, now) && !tracker.on_rpc_result("a", false, now)));
-    web.health.errors_most = 2;
+    web.health.max_consecutive_errors = 2;
     HealthTracker strict(web, kNow);
     CHECK((!strict.on_rpc_result("a", false, now) && !strict.on_rpc_result("a", true, now) &&
            !strict.on_rpc_result("a", false, now)));
@@ -503,7 +504,7 @@
         pool({server("a", 1), server("b", 3), server("old", 0), server("s", 1, Tier::backup)}),
         pool({server("x")})};
     plan.pools[1].name = "api";
-    plan.pools[0].answer_within = s(2);
+    plan.pools[0].response_timeout = s(2);
     const EndpointRegistry registry(plan);
     DeploymentSettings base;
     base.admission_kind = AdmissionKind::fraction;
--- a/tests/spread_test.cpp
+++ b/tests/spread_test.cpp
@@ -58,7 +58,7 @@
     int nobody = 0;
     for (const auto& client : clients) {
         routing::Rpc rpc;
-        rpc.source = *routing::address_of(client.source), rpc.path = client.path,
+        rpc.source = *routing::parse_address(client.source), rpc.path = client.path,
         rpc.query = "user=" + client.query;
         rpc.headers = {{"x-desk", client.header}};
         routing::Decision decision;
@@ -142,7 +142,7 @@
     if (which == Case::normal) {
         return true;
     }
-    if (first == pool.servers.end() || !first->health_of.empty()) {
+    if (first == pool.servers.end() || !first->health_source.empty()) {
         return false;
     }
     switch (which) {
