--- a/src/routing/endpoint_registry.cpp
+++ b/src/routing/endpoint_registry.cpp
@@ -23,8 +23,9 @@
     return endpoint;
 }
 
-// Of servers that take new RPCs only the tier in use: a backup on the list would be given RPCs. A
-// server that drains is listed whatever its tier, as its drain must be announced.
+// Whether a server belongs on the endpoint list. Of the servers that take new RPCs, only those of
+// the tier in use are listed, because a listed backup would be given RPCs. A draining server of
+// either tier is listed, because its drain must be announced.
 bool is_listed(const Server& server, ServerAvailability availability, const TrafficSplit& split) {
     if (availability == ServerAvailability::unavailable) {
         return false;
@@ -38,7 +39,7 @@
     if (availability == ServerAvailability::full) {
         return true;
     }
-    // Where backups serve one at a time, only the first has a share.
+    // If only the first usable backup is used, the other backups have no share.
     return std::any_of(
         split.shares.begin(), split.shares.end(),
         [&server](const TrafficShare& share) { return share.server == server.name; });
--- a/src/routing/health_checked_endpoints.cpp
+++ b/src/routing/health_checked_endpoints.cpp
@@ -8,7 +8,7 @@
 namespace micaroad::routing {
 namespace {
 
-// Zone and cell are the same in all that a plan lists.
+// Zone and cell are not compared, since they are the same for all endpoints of a plan.
 bool equal_entries(const ListedEndpoint& left, const ListedEndpoint& right) {
     return left.server == right.server && left.kind == right.kind && left.phase == right.phase &&
            left.size == right.size && left.last_start == right.last_start;
@@ -54,7 +54,7 @@
     view_.servers = std::move(servers);
 }
 
-// What is known of a server, as far as it holds in the new plan.
+// The known state of a server, as far as it still applies under the new plan.
 ServerState HealthCheckedEndpoints::carried_over(const Pool& pool, const Server& server,
                                                  TimePoint now) const {
     const auto known = view_.servers.find(full_name(pool, server));
@@ -64,8 +64,8 @@
     } else if (!state.draining_since) {
         state.draining_since = now;
     }
-    // A server that is no longer checked counts as up; one that was down stays so until health
-    // checks say otherwise.
+    // A server that is no longer checked counts as up. One that is still checked and was down stays
+    // down until health checks succeed.
     if (!server.health_checked && server.health_source.empty()) {
         state.up = true;
     }
@@ -95,7 +95,7 @@
             first = due;
         }
     }
-    // The end of a drain changes the list without any health check.
+    // The end of a drain changes the list without a health check.
     for (const auto& [name, server] : view_.servers) {
         if (!server.draining_since) {
             continue;
--- a/src/routing/health_checked_endpoints.hpp
+++ b/src/routing/health_checked_endpoints.hpp
@@ -1,10 +1,12 @@
-/// The endpoints of a plan while it is served: health checks by each pool's rule, drains and new
-/// plans, and out of these the endpoint list for the planner whenever it changes. Free of I/O: a
-/// driver checks the servers and reports the results.
+/// Tracks the endpoints of a plan while it is served and gives the planner a new endpoint list
+/// whenever the list changes. The list follows from the health checks by each pool's rule, drains,
+/// and reloaded plans. This module does no I/O: its caller checks the servers and reports the
+/// results.
 ///
-/// Guards against sending to servers that are down, in maintenance or gone from the file. The risk
-/// is that all health checks of a pool fail by one fault, such as a link that is cut: then its
-/// backups are listed, and without any its RPCs are rejected until a server is up.
+/// It prevents RPCs from being sent to servers that are down, in maintenance or removed from the
+/// file. Its risk is a common fault, such as a cut link, that makes all health checks of a pool
+/// fail: the pool's backups are listed then, and without backups its RPCs are rejected until a
+/// server is up.
 #pragma once
 
 #include <map>
@@ -18,9 +20,9 @@
 
 namespace micaroad::routing {
 
-/// A health check that is to be made.
+/// A health check that the caller has to make.
 struct HealthCheck {
-    std::string server;  ///< its full name, "pool/server"
+    std::string server;  ///< full name, "pool/server"
     std::string address;
     HealthRule rule;
 };
@@ -28,27 +30,28 @@
 /// A change for the log, such as "web/a is down: 3 probes in a row were not".
 [[nodiscard]] std::string describe(const HealthChange& change);
 
-/// For one thread at a time. Servers go by their full names.
+/// Not thread-safe. Servers are identified by their full names.
 class HealthCheckedEndpoints {
  public:
     HealthCheckedEndpoints(Plan plan, TimePoint now);
 
-    /// The health checks that are due. Each is due again after its result, or when the time for its
-    /// result is over.
+    /// Returns the health checks that are due. A check is due again one interval after its result;
+    /// without a result, after the interval or the timeout, whichever is longer.
     [[nodiscard]] std::vector<HealthCheck> take_due(TimePoint now);
-    /// When a health check is due or a drain ends; absent if neither will happen.
+    /// The time of the next health check or end of a drain; absent if there is neither.
     [[nodiscard]] std::optional<TimePoint> next_due() const;
 
-    /// A health check has ended; gives the change that it causes, with the server's full name.
+    /// Records the result of a health check. Returns the change that it causes, if any, with the
+    /// server's full name.
     [[nodiscard]] std::optional<HealthChange> on_check_result(const std::string& server,
                                                               bool healthy, TimePoint now);
 
-    /// Takes the same pools with other servers, weights or states, and keeps what is known of
-    /// servers that stay. False: the pools differ, for which the planner has to start anew, and
-    /// nothing is changed.
+    /// Replaces the plan by one with the same pools, whose servers, weights and states may differ.
+    /// Keeps the known state of servers that remain. Returns false and changes nothing if the pools
+    /// differ, since the planner must be restarted for that.
     [[nodiscard]] bool replace(Plan plan, TimePoint now);
 
-    /// The endpoint list, if it differs from that of the last call.
+    /// Returns the endpoint list if it differs from that of the last call.
     [[nodiscard]] std::optional<event::EndpointListUpdate> take_changed_list(TimePoint now);
 
     [[nodiscard]] std::map<ServerId, std::string> addresses() const {
@@ -61,10 +64,10 @@
     [[nodiscard]] ServerState carried_over(const Pool& pool, const Server& server,
                                            TimePoint now) const;
 
-    std::unique_ptr<Plan> plan_;  // the registry refers to it
+    std::unique_ptr<Plan> plan_;  // registry_ refers to it
     std::unique_ptr<EndpointRegistry> registry_;
     View view_;
-    std::map<std::string, HealthTracker> trackers_;  // by pool
+    std::map<std::string, HealthTracker> trackers_;  // by pool name
     std::optional<std::vector<ListedEndpoint>> last_list_;
 };
 
--- a/src/routing/health_tracker.cpp
+++ b/src/routing/health_tracker.cpp
@@ -37,7 +37,7 @@
 }
 
 Duration HealthTracker::check_interval(const ServerHealth& health) const {
-    if (health.contrary_checks > 0 && rule_.transition_interval > Duration{}) {
+    if (health.contradicting_checks > 0 && rule_.transition_interval > Duration{}) {
         return rule_.transition_interval;
     }
     if (!health.up && rule_.down_interval > Duration{}) {
@@ -69,7 +69,7 @@
 HealthChange HealthTracker::change(const std::string& server, ServerHealth& health, bool up,
                                    TimePoint now, HealthChangeReason reason) {
     health.up = up;
-    health.contrary_checks = 0;
+    health.contradicting_checks = 0;
     health.consecutive_errors = 0;
     return {.server = server, .up = up, .at = now, .reason = reason};
 }
@@ -81,10 +81,10 @@
         return std::nullopt;
     }
     ServerHealth& health = found->second;
-    health.contrary_checks = healthy == health.up ? 0 : health.contrary_checks + 1;
+    health.contradicting_checks = healthy == health.up ? 0 : health.contradicting_checks + 1;
     const int required = health.up ? rule_.fall : rule_.rise;
     std::optional<HealthChange> changed;
-    if (health.contrary_checks >= std::max(required, 1)) {
+    if (health.contradicting_checks >= std::max(required, 1)) {
         changed = change(server, health, healthy, now,
                          ConsecutiveChecks{.count = required, .healthy = healthy});
     }
--- a/src/routing/limiter.cpp
+++ b/src/routing/limiter.cpp
@@ -63,8 +63,8 @@
     queue_.erase(position);
 }
 
-// Nobody overtakes those that wait: a newcomer is admitted at once only if nobody before it could
-// have taken the place.
+// Queued RPCs are not overtaken: a new RPC is admitted at once only if no RPC queued before it
+// could have used that capacity.
 Limiter::Admission Limiter::request(RpcNumber rpc, const std::string& server, TimePoint now) {
     const auto found = servers_.find(server);
     if (found == servers_.end() || found->second.closed || is_known(rpc)) {
@@ -102,7 +102,7 @@
 std::vector<Limiter::Admission> Limiter::finish(RpcNumber rpc) {
     if (const auto arrival = arrivals_.find(rpc); arrival != arrivals_.end()) {
         dequeue(queue_.find(arrival->second));
-        return {};  // it held no place that another waits for
+        return {};  // a queued RPC used no capacity
     }
     const auto found = running_.find(rpc);
     if (found == running_.end()) {
@@ -113,7 +113,7 @@
     return admit_queued();
 }
 
-// In the order of arrival, each at the first of its servers that has a place.
+// Admits queued RPCs in the order of arrival, each at the first of its servers with capacity.
 std::vector<Limiter::Admission> Limiter::admit_queued() {
     std::vector<Admission> admissions;
     auto next = queue_.begin();
--- a/src/routing/limiter.hpp
+++ b/src/routing/limiter.hpp
@@ -1,8 +1,9 @@
-/// Concurrency limits of a pool: which RPCs may run, which wait in a queue, and which are rejected.
+/// Concurrency limits of a pool: decides which RPCs run, which wait in a queue, and which are
+/// rejected.
 ///
-/// Guards against more work at a server than it can bear, and against queues without end: an RPC
-/// that can't run in time is rejected at once, and the rejection is final. The risk is a limit that
-/// is lower than what servers bear: limits are the operator's, and nothing here raises them.
+/// The limits prevent overload of the servers and unbounded queues: an RPC that can't run in time
+/// is rejected, and the rejection is final. The risk is a limit below what the servers can handle:
+/// the operator sets the limits, and nothing here raises them.
 #pragma once
 
 #include <cstddef>
@@ -16,19 +17,20 @@
 
 namespace micaroad::routing {
 
-/// The number of an RPC, which the caller chooses; unique among those that run or wait.
+/// Identifies an RPC. The caller chooses it, unique among the RPCs that run or wait.
 using RpcNumber = Id<struct RpcNumberTag, std::uint64_t>;
 
-/// The limits of one pool: RPCs that run at once at a server and in the pool, and queues. It is
-/// given events with their time and has no clock. For one thread at a time.
+/// Enforces the limits of one pool: the number of RPCs that run at once at each server and in the
+/// pool, and the length of queues. The caller passes the time; this class reads no clock. Not
+/// thread-safe.
 ///
 ///     request() --> admitted -----------finish()-------------------> forgotten
 ///         |             ^                                                ^
-///         |             | a place is free: told by finish(), close_server(), open_server()
+///         |             | capacity is free: returned by finish(), close_server(), open_server()
 ///         |             |                                                |
 ///         +-------> queued ------finish() (the client left), expire()----+
 ///         |
-///         +-------> rejected (the queue is full, the server takes nothing new)
+///         +-------> rejected (the queue is full, or the server is closed)
 class Limiter {
  public:
     enum class Outcome { admitted, queued, rejected };
@@ -36,35 +38,35 @@
     struct Admission {
         RpcNumber rpc;
         Outcome outcome = Outcome::rejected;
-        std::string server;    ///< admitted: where it runs; otherwise without meaning
-        TimePoint timeout_at;  ///< queued: when expire() rejects it
+        std::string server;    ///< admitted: where it runs; otherwise meaningless
+        TimePoint timeout_at;  ///< queued: the time at which expire() rejects it
     };
 
-    /// Copies what it needs of the pool.
+    /// Copies the limits of the pool, which need not outlive the limiter.
     explicit Limiter(const Pool& pool);
 
-    /// Asks to run at one server, with a place in that server's queue. Rejected if the server is
-    /// unknown or closed, its queue is full, or the RPC runs or waits already.
+    /// Requests that an RPC run at one server; it may wait in that server's queue. Rejected if the
+    /// server is unknown or closed, its queue is full, or the RPC already runs or waits.
     [[nodiscard]] Admission request(RpcNumber rpc, const std::string& server, TimePoint now);
-    /// Asks to run at any of these servers, the first that has a place, with a place in the pool's
-    /// queue. Rejected if there are none, or the RPC runs or waits already.
+    /// Requests that an RPC run at the first of these servers that has capacity; it may wait in the
+    /// pool's queue. Rejected if `servers` is empty or the RPC already runs or waits.
     [[nodiscard]] Admission request_any(RpcNumber rpc, const std::vector<std::string>& servers,
                                         TimePoint now);
 
-    /// An RPC has ended, or its client has left. Gives those that are admitted in its place;
-    /// nothing for an unknown number.
+    /// Removes an RPC that ended or whose client left. Returns the queued RPCs that are admitted in
+    /// its place; none for an unknown number.
     std::vector<Admission> finish(RpcNumber rpc);
 
-    /// A server takes nothing new. What waits in its queue may run at any of `others` instead;
-    /// gives those that are admitted.
+    /// Stops admitting RPCs to a server. RPCs in its queue may run at any of `others` instead;
+    /// returns those that are admitted.
     std::vector<Admission> close_server(const std::string& server,
                                         const std::vector<std::string>& others);
-    /// Undoes close_server(), and gives those that are admitted.
+    /// Undoes close_server(). Returns the queued RPCs that are admitted.
     std::vector<Admission> open_server(const std::string& server);
 
-    /// Rejects those whose queue timeout is over, in the order of arrival.
+    /// Rejects the queued RPCs whose timeout is over, in the order of arrival.
     [[nodiscard]] std::vector<Admission> expire(TimePoint now);
-    /// When expire() has something to reject next; absent while nobody waits.
+    /// The next time at which expire() rejects an RPC; absent while the queue is empty.
     [[nodiscard]] std::optional<TimePoint> next_timeout() const;
 
     [[nodiscard]] int running(const std::string& server) const;
@@ -76,16 +78,17 @@
         int max_running = 0;  // 0: no limit
         int max_queued = 0;   // 0: no limit
         int running = 0;
-        int queued = 0;  // in its own queue
+        int queued = 0;  // in the server's own queue
         bool closed = false;
     };
     struct QueuedRpc {
         RpcNumber rpc;
         std::vector<std::string> servers;  // in order of preference
-        bool in_server_queue = false;      // of the first of them; otherwise in the pool's
+        bool in_server_queue = false;      // the queue of the first server, not the pool's
         TimePoint timeout_at;
     };
-    // By number of arrival, which is also the order of timeouts, as the pool has one for all.
+    // By arrival number. This is also the order of timeouts, as the pool's queue timeout is the
+    // same for all RPCs.
     using Queue = std::map<std::uint64_t, QueuedRpc>;
 
     [[nodiscard]] bool is_known(RpcNumber rpc) const;
@@ -100,9 +103,9 @@
     const int max_running_;
     const Duration queue_timeout_;
     std::map<std::string, ServerState> servers_;
-    std::map<RpcNumber, std::string> running_;  // where each runs
+    std::map<RpcNumber, std::string> running_;  // the server at which each runs
     Queue queue_;
-    std::map<RpcNumber, std::uint64_t> arrivals_;  // of those in the queue
+    std::map<RpcNumber, std::uint64_t> arrivals_;  // the arrival numbers of queued RPCs
     std::uint64_t next_arrival_ = 0;
 };
 
--- a/src/routing/match.cpp
+++ b/src/routing/match.cpp
@@ -22,7 +22,7 @@
     return false;
 }
 
-// Tells for each kind of condition whether the RPC meets it.
+// Whether the RPC matches a condition, with one overload for each kind of condition.
 struct ConditionCheck {
     const Rpc& rpc;
     const UsableCount& usable_count;
@@ -82,13 +82,13 @@
 }  // namespace
 
 std::string to_lower(std::string_view text) {
-    std::string folded(text);
-    for (char& letter : folded) {
+    std::string lowered(text);
+    for (char& letter : lowered) {
         if (letter >= 'A' && letter <= 'Z') {
             letter = static_cast<char>(letter - 'A' + 'a');
         }
     }
-    return folded;
+    return lowered;
 }
 
 std::string normalized_host(std::string_view host) {
@@ -107,11 +107,11 @@
     if (match.kind == TextMatchKind::present) {
         return true;
     }
-    const std::string folded = match.ignore_case ? to_lower(text) : std::string();
+    const std::string lowered = match.ignore_case ? to_lower(text) : std::string();
     return std::any_of(match.values.begin(), match.values.end(),
-                       [&match, &folded, text](const std::string& value) {
+                       [&match, &lowered, text](const std::string& value) {
                            return match.ignore_case
-                                      ? matches_value(match.kind, folded, to_lower(value))
+                                      ? matches_value(match.kind, lowered, to_lower(value))
                                       : matches_value(match.kind, text, value);
                        });
 }
--- a/src/routing/match.hpp
+++ b/src/routing/match.hpp
@@ -1,5 +1,5 @@
-/// Whether an RPC matches a condition of a route: the plain answer, which the index
-/// (route_index.hpp) only narrows down. All functions are pure and may be called by any thread.
+/// Evaluates a route's conditions for an RPC. The index (route_index.hpp) only selects the routes
+/// to evaluate. All functions are pure and may be called by any thread.
 #pragma once
 
 #include <functional>
@@ -10,17 +10,17 @@
 
 namespace micaroad::routing {
 
-/// How many servers of a pool can be sent new RPCs now; 0 for a pool that does not exist.
+/// Returns the number of servers of a pool that can be sent new RPCs now; 0 for an unknown pool.
 using UsableCount = std::function<int(const std::string& pool)>;
 
-/// Whether a text matches any of the values.
+/// Whether a text matches any of the match's values.
 [[nodiscard]] bool matches(const TextMatch& match, std::string_view text);
-/// Whether an RPC matches. Without `usable_count`, pools count as without usable servers.
+/// Whether an RPC matches. Without `usable_count`, every pool counts as having no usable server.
 [[nodiscard]] bool matches(const Match& match, const Rpc& rpc, const UsableCount& usable_count);
 
-/// A host as routes compare it: in lower case, without port, brackets or a trailing dot.
+/// A host in the form that routes compare: lower case, without port, brackets or trailing dot.
 [[nodiscard]] std::string normalized_host(std::string_view host);
-/// Folds the letters of ASCII alone.
+/// Converts ASCII letters to lower case and keeps all other bytes.
 [[nodiscard]] std::string to_lower(std::string_view text);
 
 }  // namespace micaroad::routing
--- a/src/routing/network.cpp
+++ b/src/routing/network.cpp
@@ -13,7 +13,8 @@
 constexpr int kAddressBytes = 16;
 constexpr int kAddressBits = kAddressBytes * kBitsPerByte;
 constexpr std::uint8_t kAllBits = 0xff;
-// Of an IPv4 address in its mapped form: its first byte, and the bits before it.
+// In the mapped form of an IPv4 address: the index of its first byte, and the number of bits before
+// it.
 constexpr int kV4Begin = 12;
 constexpr int kV4PrefixBits = kV4Begin * kBitsPerByte;
 
@@ -21,7 +22,7 @@
     return address.v4 ? kV4PrefixBits : 0;
 }
 
-void clear_past(Address& address, int bits) {
+void clear_bits_past(Address& address, int bits) {
     for (int i = 0; i < kAddressBytes; ++i) {
         const int kept = std::clamp(bits - kBitsPerByte * i, 0, kBitsPerByte);
         address.bytes[i] &= static_cast<std::uint8_t>(kAllBits << (kBitsPerByte - kept));
@@ -39,7 +40,7 @@
     return length;
 }
 
-// The prefix length of a mask such as 255.0.0.0; absent if its ones are not all in front.
+// The prefix length of a mask such as 255.0.0.0; absent if its one bits are not all leading.
 std::optional<int> parse_dotted_mask(std::string_view text) {
     const std::optional<Address> mask = parse_address(text);
     if (!mask || !mask->v4) {
@@ -55,7 +56,7 @@
     return std::popcount(value);
 }
 
-// The length of the prefix as it is written behind the slash.
+// The prefix length written after the slash, as a number or, for IPv4, as a mask.
 std::optional<int> parse_mask(const Address& base, std::string_view text) {
     if (const std::optional<int> length = parse_prefix_length(text)) {
         const int longest = kAddressBits - written_prefix_offset(base);
@@ -93,7 +94,7 @@
         return false;
     }
     Address masked = address;
-    clear_past(masked, bits);
+    clear_bits_past(masked, bits);
     return masked.bytes == base.bytes;
 }
 
@@ -115,7 +116,7 @@
         }
         network.bits = written_prefix_offset(*base) + *length;
     }
-    clear_past(network.base, network.bits);
+    clear_bits_past(network.base, network.bits);
     return network;
 }
 
--- a/src/routing/network.hpp
+++ b/src/routing/network.hpp
@@ -1,4 +1,4 @@
-/// Addresses and networks of IPv4 and IPv6. Both are kept in sixteen bytes; IPv4 in the mapped form
+/// IPv4 and IPv6 addresses and networks. Both are stored in sixteen bytes, IPv4 in the mapped form
 /// of RFC 4291, section 2.5.5.2.
 #pragma once
 
@@ -12,27 +12,27 @@
 namespace micaroad::routing {
 
 struct Address {
-    std::array<std::uint8_t, 16> bytes{};  ///< in network order
-    bool v4 = true;                        ///< it was written as IPv4
+    std::array<std::uint8_t, 16> bytes{};  ///< in network byte order
+    bool v4 = true;                        ///< whether it was written as IPv4
 
     auto operator<=>(const Address&) const = default;
     [[nodiscard]] std::string text() const;
 };
 
-/// "10.1.2.3" or "::1", without port or brackets; absent for anything else.
+/// Parses "10.1.2.3" or "::1", without port or brackets; absent for anything else.
 [[nodiscard]] std::optional<Address> parse_address(std::string_view text);
 
 struct Network {
     Address base;  ///< the bits past the prefix are 0
-    int bits = 0;  ///< length of the prefix in the sixteen bytes: for IPv4, 96 more than written
+    int bits = 0;  ///< prefix length in the sixteen bytes; for IPv4, 96 more than written
 
     [[nodiscard]] bool contains(const Address& address) const;
     [[nodiscard]] std::string text() const;
     auto operator<=>(const Network&) const = default;
 };
 
-/// "10.0.0.0/8", "10.0.0.0/255.0.0.0" or a single address; absent for anything else. Bits of the
-/// address past the prefix are cleared.
+/// Parses "10.0.0.0/8", "10.0.0.0/255.0.0.0" or a single address; absent for anything else. Clears
+/// the address bits past the prefix.
 [[nodiscard]] std::optional<Network> parse_network(std::string_view text);
 
 }  // namespace micaroad::routing
--- a/src/routing/route_index.cpp
+++ b/src/routing/route_index.cpp
@@ -10,28 +10,28 @@
 namespace micaroad::routing {
 namespace {
 
-// A condition on a path or host that an RPC must meet.
+// A necessary condition of a route: the RPC's path or host equals the key or begins with it.
 struct Anchor {
     enum class Field { path, host };
 
     Field field;
-    std::string key;  // in lower case; a host's reversed
+    std::string key;  // in lower case; a host is reversed
     Trie::KeyMatch match = Trie::KeyMatch::prefix;
 };
 
-// One of them has to hold.
+// At least one of them must hold for the condition to match.
 using Anchors = std::vector<Anchor>;
 
-// An anchor that is whole excludes more than one that is a prefix, and a longer one more than a
-// shorter.
+// Selectivity estimates how many RPCs an anchor excludes: a whole key excludes more than a prefix,
+// and a longer key more than a shorter one.
 constexpr std::size_t kWholeSelectivity = 1'000;
-constexpr std::size_t kNeverMatches = 1'000'000;  // selectivity of no anchors
+constexpr std::size_t kNeverMatches = 1'000'000;  // selectivity of an empty list
 
 std::size_t selectivity(const Anchor& anchor) {
     return anchor.key.size() + (anchor.match == Trie::KeyMatch::whole ? kWholeSelectivity : 0);
 }
 
-// That of the least selective.
+// The selectivity of the least selective anchor.
 std::size_t selectivity(const Anchors& anchors) {
     if (anchors.empty()) {
         return kNeverMatches;
@@ -68,9 +68,9 @@
     return anchors;
 }
 
-// The anchors of a condition; absent: it has none, and may match any path and host.
+// Finds the anchors of a condition. Absent: there are none, as it may match any path and host.
 struct AnchorFinder {
-    // The most selective of its conditions will do, as all have to hold.
+    // All conditions must match, so the anchors of the most selective one suffice.
     std::optional<Anchors> operator()(const AllOf& all) const {
         std::optional<Anchors> best;
         std::size_t best_selectivity = 0;
@@ -88,7 +88,7 @@
         return best;
     }
 
-    // Each of its conditions needs anchors, as any may hold.
+    // Any condition may match, so each one needs anchors.
     std::optional<Anchors> operator()(const AnyOf& any) const {
         Anchors anchors;
         for (const Match& match : any.conditions) {
@@ -109,7 +109,7 @@
         return text_anchors(Anchor::Field::path, path.text);
     }
 
-    // A whole host as the client names it: its plain form is then known too.
+    // An exact Host header also determines the normalized host.
     std::optional<Anchors> operator()(const HeaderIs& header) const {
         if (to_lower(header.name) != "host" || header.text.kind != TextMatchKind::exact) {
             return std::nullopt;
@@ -133,20 +133,20 @@
     return std::visit(AnchorFinder{}, match.condition);
 }
 
-// What is left of a list of route numbers in rising order; never empty.
+// The remaining part of a list of route numbers in ascending order; never empty.
 struct RemainingNumbers {
     const Trie::Number* next;
     const Trie::Number* end;
 };
 
-// For a heap whose top has the lowest next number.
+// Orders a heap whose top is the list with the lowest next number.
 struct HasLaterNext {
     bool operator()(const RemainingNumbers& left, const RemainingNumbers& right) const {
         return *left.next > *right.next;
     }
 };
 
-constexpr std::size_t kUsualLists = 16;
+constexpr std::size_t kInitialListCapacity = 16;
 
 }  // namespace
 
@@ -155,7 +155,7 @@
         const auto number = static_cast<Trie::Number>(i);
         const std::optional<Anchors> anchors = find_anchors(routes[i].match);
         if (!anchors) {
-            unfiled_.push_back(number);
+            unanchored_.push_back(number);
             continue;
         }
         for (const Anchor& anchor : *anchors) {
@@ -168,7 +168,7 @@
 std::optional<std::size_t> RouteIndex::find_first(const Rpc& rpc, const UsableCount& usable_count,
                                                   std::size_t* tried_count) const {
     std::vector<RemainingNumbers> storage;
-    storage.reserve(kUsualLists);
+    storage.reserve(kInitialListCapacity);
     std::priority_queue<RemainingNumbers, std::vector<RemainingNumbers>, HasLaterNext> lists(
         HasLaterNext{}, std::move(storage));
     const auto add_list = [&lists](const Trie::Numbers& numbers) {
@@ -176,12 +176,12 @@
             lists.push({numbers.data(), numbers.data() + numbers.size()});
         }
     };
-    add_list(unfiled_);
+    add_list(unanchored_);
     paths_.look_up(to_lower(rpc.path), add_list);
     if (!rpc.host.empty()) {
         hosts_.look_up(reversed(normalized_host(rpc.host)), add_list);
     }
-    std::optional<Trie::Number> last_tried;  // a route may be in several lists
+    std::optional<Trie::Number> last_tried;  // a route may occur in several lists
     while (!lists.empty()) {
         RemainingNumbers list = lists.top();
         lists.pop();
--- a/src/routing/route_index.hpp
+++ b/src/routing/route_index.hpp
@@ -1,9 +1,9 @@
-/// Finds the first of many routes that matches an RPC without trying all of them.
+/// Finds the first route that matches an RPC without evaluating every route.
 ///
-/// Each route is filed under its anchors: paths, beginnings of paths, hosts or ends of hosts of
-/// which an RPC must have one for the route to match. Routes without such a condition are tried for
-/// every RPC. A look-up visits the routes that are filed under the RPC's path and host in their
-/// order and asks match.hpp about each, so that the answer is that of the plain list.
+/// Each route is indexed by its anchors: paths, path prefixes, hosts or host suffixes, one of which
+/// the RPC must have for the route to match. Routes without anchors are evaluated for every RPC.
+/// A look-up evaluates, in list order, the routes without anchors and those indexed under the RPC's
+/// path and host. It evaluates each by match.hpp, so its result equals that of a linear scan.
 #pragma once
 
 #include <cstddef>
@@ -15,26 +15,26 @@
 
 namespace micaroad::routing {
 
-/// Pure after construction: any thread may call it.
+/// Immutable after construction; any thread may call it.
 class RouteIndex {
  public:
-    /// Keeps a reference: the routes must outlive it and not change.
+    /// Keeps a reference to the routes, which must outlive the index and not change.
     explicit RouteIndex(const std::vector<Route>& routes);
 
-    /// The position of the first route that matches; absent if none does. `tried_count`, if given,
-    /// is increased by the number of routes that were tried.
+    /// Returns the position of the first route that matches; absent if none does. `tried_count`, if
+    /// given, is increased by the number of routes that were evaluated.
     [[nodiscard]] std::optional<std::size_t> find_first(const Rpc& rpc,
                                                         const UsableCount& usable_count,
                                                         std::size_t* tried_count = nullptr) const;
 
  private:
     const std::vector<Route>& routes_;
-    Trie paths_;             // in lower case
-    Trie hosts_;             // in lower case, reversed: the end of a host is a prefix here
-    Trie::Numbers unfiled_;  // routes without an anchor
+    Trie paths_;                // in lower case
+    Trie hosts_;                // in lower case, reversed, so that a host suffix is a prefix
+    Trie::Numbers unanchored_;  // routes without anchors
 };
 
-/// The same by trying all routes in order, for comparison.
+/// Returns the same as RouteIndex::find_first() by evaluating all routes in order, for comparison.
 [[nodiscard]] std::optional<std::size_t> find_first_by_scan(const std::vector<Route>& routes,
                                                             const Rpc& rpc,
                                                             const UsableCount& usable_count);
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -11,7 +11,7 @@
 
 constexpr int kServiceUnavailable = 503;
 
-// Notes the route in the decision. The pool that it leads to; absent: the decision is made.
+// Records the route in the decision. Returns the pool to use; absent if the decision is complete.
 std::optional<std::string> follow_route(const Listener& listener, const Route& route,
                                         Decision& decision) {
     decision.route = route.name;
@@ -34,7 +34,7 @@
     return std::get<ToPool>(route.action).pool;
 }
 
-// As follow_route(), where none matches.
+// As follow_route(), for an RPC that matches no route.
 std::optional<std::string> follow_default(const Listener& listener, Decision& decision) {
     if (listener.default_pool.empty()) {
         decision.explanation.push_back(fmt::format(
@@ -82,8 +82,8 @@
     return decision;
 }
 
-// A sticky RPC waits only where all servers in use are full, as any other: stickiness is a
-// preference, and its own server's limit binds all the same.
+// A sticky RPC, like any other, waits only if all servers in use are full. Stickiness is a
+// preference, and the limit of its own server still applies.
 void Router::decide_in_pool(const Pool& pool, const Rpc& rpc, const View& view,
                             Decision& decision) const {
     decision.pool = pool.name;
--- a/src/routing/router.hpp
+++ b/src/routing/router.hpp
@@ -1,12 +1,12 @@
-/// Where an RPC goes: the first route that matches, its pool, the tier and shares in use, and the
-/// reasons, in the sentences that `explain` prints. Free of I/O and clocks; the same plan, view and
-/// RPC give the same decision.
+/// Decides where an RPC goes: the first route that matches, its pool, the tier and shares in use,
+/// and an explanation in the sentences that `micaroad explain` prints. It does no I/O and reads no
+/// clock; the same plan, view and RPC give the same decision.
 ///
-///     Router router(plan);  // the plan is checked by its reader, and copied
+///     Router router(plan);  // validated by its reader; copied
 ///     Decision decision = router.decide("shop", rpc, view);
 ///
-/// What it says of a pool limits what the planner may do with it (endpoint_registry.hpp); the
-/// planner still decides who gets how much.
+/// For each pool, this limits which servers the planner may use (endpoint_registry.hpp); the
+/// planner decides how many RPCs each of them gets.
 #pragma once
 
 #include <cstddef>
@@ -25,17 +25,17 @@
 
     Kind kind = Kind::rejected;
     std::string listener;
-    std::string route;  ///< empty: none matched, and the listener's default pool was taken
+    std::string route;  ///< empty: no route matched; the listener's default pool applies, if any
     std::string pool;
     TrafficSplit split;
-    std::string sticky_server;  ///< in the split or not: where this RPC goes if it may
-    int status = 503;           ///< rejected or redirected: the HTTP status of the answer
-    std::string location;       ///< redirected: where to
-    Duration queue_timeout{};   ///< wait: the longest time, after which it is rejected
-    std::vector<std::string> explanation;  ///< sentences for a person, in the order of the steps
+    std::string sticky_server;             ///< where it should go; may have no share in the split
+    int status = 503;                      ///< rejected or redirected: HTTP status of the response
+    std::string location;                  ///< redirected: target of the redirect
+    Duration queue_timeout{};              ///< wait: the time after which it is rejected
+    std::vector<std::string> explanation;  ///< sentences for operators, in the order of the steps
 };
 
-/// Pure after construction: any thread may call it.
+/// Immutable after construction; any thread may call it.
 class Router {
  public:
     explicit Router(Plan plan);
@@ -45,7 +45,7 @@
     /// Throws std::out_of_range if the plan has no such listener.
     [[nodiscard]] Decision decide(const std::string& listener, const Rpc& rpc,
                                   const View& view) const;
-    /// The steps of decide() that follow the choice of the pool.
+    /// The steps of decide() after the choice of the pool.
     void decide_in_pool(const Pool& pool, const Rpc& rpc, const View& view,
                         Decision& decision) const;
 
@@ -55,7 +55,7 @@
         RouteIndex index;
     };
 
-    std::shared_ptr<const Plan> plan_;  // shared by copies, as the members below refer to it
+    std::shared_ptr<const Plan> plan_;  // shared by copies, since the members below refer to it
     ServerSelector selector_;
     std::map<std::string, IndexedListener> listeners_;
     std::map<std::string, const Pool*> pools_;
--- a/src/routing/server_selector.cpp
+++ b/src/routing/server_selector.cpp
@@ -11,10 +11,10 @@
 namespace micaroad::routing {
 namespace {
 
-// Steps of a slow start: weights change by whole steps, so that tables change seldom.
+// Number of steps of a slow start. Weights change in whole steps so that tables change rarely.
 constexpr int kSlowStartSteps = 16;
 
-// Hashes are cut to the bits that a double holds exactly.
+// Hashes are shortened to the number of bits that a double represents exactly.
 constexpr unsigned kDroppedHashBits = 11;
 constexpr double kHashRange = 9007199254740992.0;  // 2^53
 
@@ -27,7 +27,7 @@
            status.availability == ServerAvailability::full;
 }
 
-// The fraction of its weight that a server may use so long after it came up, 1/16 to 1.
+// The fraction of its weight that a server gets during its slow start, 1/16 to 1.
 double slow_start_fraction(const Server& server, const ServerState& state, TimePoint now) {
     if (server.slow_start <= Duration{} || state.up_since == TimePoint{}) {
         return 1;
@@ -40,8 +40,9 @@
     return static_cast<double>(std::max<Duration::rep>(step, 1)) / kSlowStartSteps;
 }
 
-// A server's score for a key: the largest of all wins with a probability equal to its share, and a
-// server that leaves takes only its own keys along (rendezvous hashing, weighted by -share/ln(u)).
+// A server's score for a key by weighted rendezvous hashing, -share/ln(u) with u uniform in (0, 1).
+// The server with the highest score is chosen, which happens with a probability equal to its share.
+// When a server is removed, only its own keys move.
 double rendezvous_score(const std::string& key, const TrafficShare& share) {
     const XXH64_hash_t seed = XXH64(share.server.data(), share.server.size(), 0);
     const XXH64_hash_t hash = XXH64(key.data(), key.size(), seed);
@@ -59,8 +60,8 @@
     return best == split.shares.end() ? "" : best->server;
 }
 
-// What a server's state forbids; absent: nothing. `shared`: it is asked for the sake of another
-// server, which shares its health.
+// The status that follows from a server's state; absent if the state allows new RPCs. `shared`
+// means that the status is determined for another server, which takes its health from this one.
 std::optional<ServerStatus> status_by_state(const Server& server, const ServerState& now,
                                             const View& view, bool shared) {
     using Availability = ServerAvailability;
@@ -72,7 +73,8 @@
     if (state == State::maintenance) {
         return ServerStatus{Availability::unavailable, Reason::maintenance};
     }
-    // Weight 0 concerns a server alone, a drain by its state also those that share its health.
+    // A drain that is expressed as weight 0 applies to the server alone; any other drain also
+    // applies to the servers that take their health from it.
     if (state == State::draining && (!shared || server.weight > 0)) {
         const TimePoint since = now.draining_since.value_or(view.now);
         if (view.now - since >= view.drain_grace) {
@@ -113,12 +115,12 @@
     }
 }
 
-// Maintenance and drains are shared along with health, as servers that share a process's health
-// share its end.
+// Maintenance and drains are inherited together with health, because servers that share the health
+// of a process also share its shutdown.
 ServerStatus ServerSelector::status(const Pool& pool, const Server& server,
                                     const View& view) const {
     const std::string own_name = full_name(pool, server);
-    const Server* source = &server;  // whose state is looked at
+    const Server* source = &server;  // the server whose state is examined
     std::string source_name = own_name;
     std::size_t steps = 0;
     while (true) {
@@ -164,7 +166,7 @@
     return found->second->all_backups ? backup : std::min(backup, 1);
 }
 
-// The servers of a tier that may be in use.
+// The servers of a tier that can be in use.
 std::vector<ServerSelector::Candidate> ServerSelector::candidates(const Pool& pool, Tier tier,
                                                                   const View& view) const {
     std::vector<Candidate> found;
@@ -221,16 +223,17 @@
     if (key.empty()) {
         return "";
     }
-    return pool.stickiness.by == Stickiness::By::cookie ? server_by_mark(pool, key, view)
+    return pool.stickiness.by == Stickiness::By::cookie ? server_by_cookie(pool, key, view)
                                                         : server_by_hash(split, key);
 }
 
-// Several may have one mark, as a backup beside its active server: the first that is available.
-std::string ServerSelector::server_by_mark(const Pool& pool, const std::string& mark,
-                                           const View& view) const {
+// Several servers may have the same cookie value, such as an active server and its backup; the
+// first available one is chosen.
+std::string ServerSelector::server_by_cookie(const Pool& pool, const std::string& cookie_value,
+                                             const View& view) const {
     std::string first_down;
     for (const Server& server : pool.servers) {
-        if (server.cookie_value.empty() || server.cookie_value != mark) {
+        if (server.cookie_value.empty() || server.cookie_value != cookie_value) {
             continue;
         }
         const ServerStatus status = this->status(pool, server, view);
--- a/src/routing/sticky_key.cpp
+++ b/src/routing/sticky_key.cpp
@@ -7,7 +7,7 @@
 namespace micaroad::routing {
 namespace {
 
-// The first directories of a path; the slash before each counts with it.
+// The first directories of a path, each with the slash before it.
 std::string leading_directories(const std::string& path, int count) {
     std::size_t slash = path.find('/');
     for (int directory = 0; directory < count && slash != std::string::npos; ++directory) {
--- a/src/routing/sticky_key.hpp
+++ b/src/routing/sticky_key.hpp
@@ -1,4 +1,4 @@
-/// The key by which an RPC's stickiness goes.
+/// The stickiness key of an RPC.
 #pragma once
 
 #include <string>
@@ -7,8 +7,9 @@
 
 namespace micaroad::routing {
 
-/// The part of an RPC that a pool's stickiness reads: two RPCs with the same key belong together.
-/// Empty where the pool has no stickiness or the RPC lacks that part. Pure; any thread may call it.
+/// Returns the part of an RPC that the pool's stickiness uses as key; RPCs with the same key are
+/// kept on the same server. Empty if the pool has no stickiness or the RPC lacks that part. Pure;
+/// any thread may call it.
 [[nodiscard]] std::string sticky_key(const Stickiness& stickiness, const Rpc& rpc);
 
 }  // namespace micaroad::routing
--- a/src/routing/trie.cpp
+++ b/src/routing/trie.cpp
@@ -10,7 +10,7 @@
     }
 }
 
-// The node where a key ends, which is made if there is none.
+// Returns the node at which a key ends, creating it if necessary.
 std::size_t Trie::node_for_key(std::string_view key) {
     std::size_t node = 0;
     while (!key.empty()) {
@@ -39,7 +39,7 @@
     return node;
 }
 
-// Puts a node on an edge, behind the first `length` bytes of its label.
+// Splits an edge after the first `length` bytes of its label by a new node, which is returned.
 std::size_t Trie::split_edge(std::size_t node, std::size_t edge, std::size_t length) {
     Edge& upper = nodes_[node].edges[edge];
     const auto upper_length = static_cast<std::uint32_t>(length);
@@ -50,7 +50,7 @@
     const std::size_t middle = nodes_.size();
     upper.label_length = upper_length;
     upper.child = static_cast<std::uint32_t>(middle);
-    nodes_.emplace_back().edges.push_back(lower);  // `upper` is not valid past this
+    nodes_.emplace_back().edges.push_back(lower);  // invalidates `upper`
     return middle;
 }
 
--- a/src/routing/trie.hpp
+++ b/src/routing/trie.hpp
@@ -1,6 +1,6 @@
-/// A radix tree from strings to lists of route numbers, made for one question: which keys are a
-/// prefix of a text, and is one of them the whole text? A look-up takes at most one step for each
-/// byte of the text, whatever the number of keys.
+/// A radix tree from strings to lists of route numbers. It finds the keys that are a prefix of a
+/// text or equal to it. A look-up takes at most one step for each byte of the text, regardless of
+/// the number of keys.
 #pragma once
 
 #include <algorithm>
@@ -12,24 +12,24 @@
 
 namespace micaroad::routing {
 
-/// Any thread may look up while none adds.
+/// Concurrent look-ups are safe while no thread adds keys.
 class Trie {
  public:
     using Number = std::uint32_t;
     using Numbers = std::vector<Number>;
 
     enum class KeyMatch {
-        prefix,  ///< the key matches each text that begins with it
+        prefix,  ///< the key matches every text that begins with it
         whole,   ///< the key matches only the text that equals it
     };
 
     Trie() : nodes_(1) {}
 
-    /// Adds a number to a key. Numbers of one key have to be added in rising order.
+    /// Adds a number to a key. The numbers of one key must be added in ascending order.
     void add(std::string_view key, Number number, KeyMatch match);
 
     /// Calls `on_match(const Numbers&)` with the numbers of each key that matches the text. The
-    /// numbers are in rising order and valid until the next add().
+    /// numbers are in ascending order and valid until the next add().
     template <class OnMatch>
     void look_up(std::string_view text, OnMatch on_match) const {
         std::size_t index = 0;
@@ -58,10 +58,10 @@
         std::uint32_t label_begin;   // in labels_
         std::uint32_t label_length;  // at least 1
         std::uint32_t child;         // in nodes_
-        unsigned char first;         // of the label; differs within a node
+        unsigned char first;         // first byte of the label; unique within a node
     };
     struct Node {
-        std::vector<Edge> edges;  // by their first byte
+        std::vector<Edge> edges;  // sorted by first byte
         Numbers prefix;
         Numbers whole;
     };
@@ -70,7 +70,7 @@
         return std::string_view(labels_).substr(edge.label_begin, edge.label_length);
     }
 
-    // Where an edge that begins with a byte is, or would have to be inserted.
+    // The position of the edge that begins with a byte, or at which it would be inserted.
     template <class Edges>
     static auto edge_position(Edges& edges, char first_byte) {
         return std::lower_bound(
@@ -82,7 +82,7 @@
     std::size_t split_edge(std::size_t node, std::size_t edge, std::size_t length);
 
     std::vector<Node> nodes_;  // the first is the root
-    std::string labels_;       // of all edges, one after the other
+    std::string labels_;       // the labels of all edges, concatenated
 };
 
 }  // namespace micaroad::routing
--- a/src/routing/view.hpp
+++ b/src/routing/view.hpp
@@ -1,4 +1,4 @@
-/// What is known of servers and pools at one time. Whoever observes them fills it; decisions only
+/// The observed state of servers and pools at one time. The caller fills it; routing decisions only
 /// read it.
 #pragma once
 
@@ -17,11 +17,11 @@
 
 struct ServerState {
     bool up = true;
-    TimePoint up_since;                       ///< the epoch: long ago
+    TimePoint up_since;                       ///< the epoch if it has been up for long
     std::optional<State> state_override;      ///< set by the operator since the plan was read
-    std::optional<TimePoint> draining_since;  ///< absent while it does not drain
-    int running = 0;                          ///< RPCs at it
-    int waiting = 0;                          ///< RPCs in its own queue
+    std::optional<TimePoint> draining_since;  ///< absent unless it drains
+    int running = 0;                          ///< RPCs that run at the server
+    int waiting = 0;                          ///< RPCs in the server's own queue
 };
 
 struct PoolState {
@@ -32,7 +32,7 @@
 struct View {
     TimePoint now;
     Duration drain_grace{20'000};  ///< how long a draining server still gets sticky RPCs
-    std::map<std::string, ServerState> servers;  ///< by full name; absent: up since long ago, idle
+    std::map<std::string, ServerState> servers;  ///< by full name; absent: up for long, and idle
     std::map<std::string, PoolState> pools;      ///< by name; absent: idle
 
     [[nodiscard]] const ServerState& server(const std::string& name) const {
