--- a/src/operators/address.cpp
+++ b/src/operators/address.cpp
@@ -38,7 +38,7 @@
 bool is_listening_address(const std::string& text) {
     std::string with_port = text;
     if (with_port.ends_with(":0")) {
-        with_port.back() = '1';  // any port there is
+        with_port.back() = '1';  // any valid port
     }
     return is_socket_address(with_port, HostForm::address);
 }
--- a/src/operators/duration.cpp
+++ b/src/operators/duration.cpp
@@ -15,7 +15,7 @@
     std::string_view name;
     std::int64_t microseconds;
 };
-// The largest first.
+// In descending order.
 constexpr std::array<Unit, 6> kUnits{{
     {"d", 86'400'000'000},
     {"h", 3'600'000'000},
@@ -58,7 +58,7 @@
     if (microseconds == 0) {
         return "0s";
     }
-    // The last unit always divides it.
+    // The last unit divides every duration.
     const auto* const unit = std::find_if(
         kUnits.begin(), kUnits.end(),
         [microseconds](const Unit& known) { return microseconds % known.microseconds == 0; });
--- a/src/operators/duration.hpp
+++ b/src/operators/duration.hpp
@@ -1,4 +1,4 @@
-/// Durations as operators write them: a whole number and a unit, such as "250us" or "3m".
+/// Durations in the operator's file: a whole number and a unit, such as "250us" or "3m".
 #pragma once
 
 #include <chrono>
@@ -10,15 +10,16 @@
 
 namespace micaroad::operators {
 
-/// What a duration may be, for the text of a fault.
+/// The allowed durations, for the text of a fault.
 constexpr std::string_view kDurationAllowed =
     "a whole number and us, ms, s, m, h or d; at most 2147483647ms";
-/// The longest timer of imported files.
+/// The longest timer that imported HAProxy files can have.
 constexpr Duration kMaxDuration = std::chrono::milliseconds(2'147'483'647);
 
-/// Rounded up to the resolution of Duration; absent if `text` is no duration or over the longest.
+/// Parses a duration and rounds it up to the resolution of Duration. Absent if `text` is not a
+/// duration or is over kMaxDuration.
 [[nodiscard]] std::optional<Duration> parse_duration(std::string_view text);
-/// The duration in the largest unit that needs no fraction.
+/// Formats a duration in the largest unit in which it is a whole number.
 [[nodiscard]] std::string format_duration(Duration duration);
 
 }  // namespace micaroad::operators
--- a/src/operators/enum_tables.hpp
+++ b/src/operators/enum_tables.hpp
@@ -1,5 +1,5 @@
-/// The enums of the operator's file beside those of a plan: what reads and writes the file both use
-/// these tables.
+/// Tables that map the enums of the operator's file to those of a plan. The readers and the writers
+/// of the file both use them.
 #pragma once
 
 #include <algorithm>
@@ -10,11 +10,11 @@
 
 namespace micaroad::operators {
 
-/// A value in the file, and in a plan.
-template <class InFile, class InPlan>
+/// An enum value of the file and the equivalent value of a plan.
+template <class FileEnum, class PlanEnum>
 struct EnumPair {
-    InFile in_file;
-    InPlan in_plan;
+    FileEnum file_value;
+    PlanEnum plan_value;
 };
 
 inline constexpr std::array kTiers{
@@ -46,22 +46,22 @@
     EnumPair{Stickiness::REQUEST, routing::Stickiness::By::request_hash},
 };
 
-/// The plan's value for the file's, which the table must have.
-template <class InFile, class InPlan, std::size_t kSize>
-[[nodiscard]] InPlan to_plan(const std::array<EnumPair<InFile, InPlan>, kSize>& table,
-                             InFile value) {
+/// Returns the plan's value for a value of the file, which the table must contain.
+template <class FileEnum, class PlanEnum, std::size_t kSize>
+[[nodiscard]] PlanEnum to_plan(const std::array<EnumPair<FileEnum, PlanEnum>, kSize>& table,
+                               FileEnum value) {
     return std::find_if(table.begin(), table.end(),
-                        [value](const auto& pair) { return pair.in_file == value; })
-        ->in_plan;
+                        [value](const auto& pair) { return pair.file_value == value; })
+        ->plan_value;
 }
 
-/// The file's value for the plan's, which the table must have.
-template <class InFile, class InPlan, std::size_t kSize>
-[[nodiscard]] InFile to_file(const std::array<EnumPair<InFile, InPlan>, kSize>& table,
-                             InPlan value) {
+/// Returns the file's value for a value of the plan, which the table must contain.
+template <class FileEnum, class PlanEnum, std::size_t kSize>
+[[nodiscard]] FileEnum to_file(const std::array<EnumPair<FileEnum, PlanEnum>, kSize>& table,
+                               PlanEnum value) {
     return std::find_if(table.begin(), table.end(),
-                        [value](const auto& pair) { return pair.in_plan == value; })
-        ->in_file;
+                        [value](const auto& pair) { return pair.plan_value == value; })
+        ->file_value;
 }
 
 }  // namespace micaroad::operators
--- a/src/operators/file.hpp
+++ b/src/operators/file.hpp
@@ -1,7 +1,8 @@
-/// The operator's file: protobuf text format by proto/operators.proto, to a routing::Plan and back.
+/// Reads the operator's file, in protobuf text format by proto/operators.proto, as a routing::Plan,
+/// and writes it.
 ///
-///     const Reading reading = read_file("deploy/operator.txtpb");
-///     if (!reading.faults.empty()) ...
+///     const ReadResult result = read_file("deploy/operator.txtpb");
+///     if (!result.faults.empty()) ...
 #pragma once
 
 #include <cstddef>
@@ -13,38 +14,40 @@
 
 namespace micaroad::operators {
 
-/// Something in the file that can't be used.
+/// An error in the file.
 struct Fault {
     std::string file;
-    int line = 0;         ///< from 1; 0: no place in the file
+    int line = 0;         ///< from 1; 0: the fault has no place in the file
     int column = 0;       ///< from 1, in bytes
-    std::string value;    ///< the offending word or value; may be empty
-    std::string message;  ///< what is wrong with it
-    std::string allowed;  ///< what would be right; may be empty
+    std::string value;    ///< the invalid word or value; may be empty
+    std::string message;  ///< what is wrong
+    std::string allowed;  ///< the allowed values; may be empty
 
-    /// "file:line:column: 'value': says; allowed: ..."
+    /// Formats the fault as "file:line:column: 'value': message; allowed: ...".
     [[nodiscard]] std::string text() const;
     bool operator==(const Fault&) const = default;
 };
 
-/// What a file holds. All faults are reported at once; a plan with faults is not to be used.
+/// The result of reading a file. All faults are reported at once. If there are any, the plan must
+/// not be used.
 struct ReadResult {
     routing::Plan plan;
     std::vector<Fault> faults;         ///< by place, kMostFaults at most
-    std::vector<std::string> notices;  ///< what is valid and yet worth a look
+    std::vector<std::string> notices;  ///< warnings about valid but unusual content
 };
 
-/// More faults are not reported.
+/// Maximum number of faults that are reported.
 constexpr std::size_t kMaxFaults = 200;
-/// Bytes of a file, at most.
+/// Maximum size of a file.
 constexpr std::size_t kMaxFileBytes = std::size_t{64} << 20;
 
-/// Reads a text; `name` is the file's in its faults.
+/// Reads a text. Faults give `name` as their file.
 [[nodiscard]] ReadResult read_text(std::string_view text, const std::string& name);
-/// Reads a file. One that can't be read, or is too long, is a fault without a place.
+/// Reads a file. If it can't be read or is too large, the result has one fault without a place.
 [[nodiscard]] ReadResult read_file(const std::string& path);
 
-/// Text that reads back as the same plan. The lines of `heading` become comments at its top.
+/// Writes a plan as text that reads back as the same plan. The lines of `heading` become comments
+/// at the top.
 [[nodiscard]] std::string write_text(const routing::Plan& plan, std::string_view heading = "");
 
 }  // namespace micaroad::operators
--- a/src/operators/health_reader.cpp
+++ b/src/operators/health_reader.cpp
@@ -1,4 +1,4 @@
-// Health rules, and servers that follow another one's health.
+// Readers of health rules, and the check of servers that take their health from another server.
 #include <fmt/format.h>
 
 #include "operators/readers.hpp"
@@ -68,13 +68,14 @@
     }
 }
 
-// Of a chain through several servers, an unknown one is reported at the server that names it.
+// Checks the chain of one follower. An unknown server is reported only at the server that names it,
+// not at others whose chain leads there.
 void HealthChains::check(const Follower& follower) const {
-    std::set<std::string> passed;
+    std::set<std::string> visited;
     std::string server = follower.full_name;
     while (followed_.contains(server)) {
         const std::string& followed = followed_.at(server);
-        if (!passed.insert(server).second) {
+        if (!visited.insert(server).second) {
             follower.location.add_fault("health_of", followed_.at(follower.full_name),
                                         "it comes back to itself",
                                         "a chain that ends at a server with a health of its own");
--- a/src/operators/listener_reader.cpp
+++ b/src/operators/listener_reader.cpp
@@ -1,4 +1,4 @@
-// Listeners and their routes.
+// Readers of listeners and their routes.
 #include <fmt/format.h>
 
 #include <algorithm>
--- a/src/operators/listener_writer.cpp
+++ b/src/operators/listener_writer.cpp
@@ -1,4 +1,4 @@
-// Listeners, their routes and matches.
+// Writers of listeners, their routes and matches.
 #include <variant>
 
 #include "operators/writers.hpp"
@@ -40,7 +40,7 @@
     }
 }
 
-// Writes each kind of match to its field.
+// Writes each kind of condition to its field of the message.
 class MatchWriter {
  public:
     explicit MatchWriter(Match& message) : message_(message) {}
@@ -107,7 +107,7 @@
     Route& message_;
 };
 
-// A match of all of none is a route's default.
+// Whether a match has no conditions, as that of a route without `when`.
 bool always_matches(const routing::Match& match) {
     const auto* all = std::get_if<routing::AllOf>(&match.condition);
     return all != nullptr && all->conditions.empty();
--- a/src/operators/located_message.hpp
+++ b/src/operators/located_message.hpp
@@ -1,5 +1,5 @@
-/// A message of the operator's file together with its place in the text, and the checks that its
-/// fields have in common. Only the readers of this module use it.
+/// A message of the operator's file together with its place in the text, and checks that many
+/// fields share. For the readers of this module only.
 #pragma once
 
 #include <google/protobuf/message.h>
@@ -15,33 +15,33 @@
 
 namespace micaroad::operators {
 
-/// Finds the place of each fault. Refers to the message, its places and the list of faults, which
-/// must outlive it; copies refer to the same.
+/// Adds faults with the place of the invalid field. It refers to the message, its places and the
+/// list of faults, which must outlive it; copies refer to the same objects.
 class LocatedMessage {
  public:
     using Places = google::protobuf::TextFormat::ParseInfoTree;
 
-    /// `places` may be null: all faults are then reported at `place`, that of the message itself.
+    /// `place` is that of the message itself. If `places` is null, all faults are reported there.
     LocatedMessage(const google::protobuf::Message& message, const Places* places, Fault place,
                    std::vector<Fault>& faults);
 
-    /// The message in a field; `index` counts from 0 in a repeated one.
+    /// The message in a field; for a repeated field `index` counts from 0.
     [[nodiscard]] LocatedMessage nested(const char* field, const google::protobuf::Message& message,
                                         int index = kNotRepeated) const;
 
-    /// Adds a fault of a field's value.
+    /// Adds a fault about the value of a field.
     void add_fault(const char* field, std::string value, std::string message,
                    std::string_view allowed = "", int index = kNotRepeated) const;
 
-    /// Whether all required fields are there; adds a fault for each that is not.
+    /// Whether all required fields are set; adds a fault for each that is not.
     [[nodiscard]] bool check_required() const;
-    /// Checks a name and returns it.
+    /// Checks that a name is valid, and returns it.
     [[nodiscard]] std::string check_name(const char* field, const std::string& value) const;
-    /// Parses a duration over 0; returns 0 if it can't be used.
+    /// Parses a duration over 0; returns 0 if it is invalid.
     [[nodiscard]] Duration read_duration(const char* field, const std::string& value) const;
-    /// Parses a duration of 0 or more; returns 0 if it can't be used.
+    /// Parses a duration of 0 or more; returns 0 if it is invalid.
     [[nodiscard]] Duration read_duration_or_zero(const char* field, const std::string& value) const;
-    /// Checks a number against its bounds, both included; returns the nearest that is within.
+    /// Checks a number against its inclusive bounds; returns it clamped to them.
     [[nodiscard]] int read_number(const char* field, std::uint32_t value, std::uint32_t min,
                                   std::uint32_t max) const;
 
@@ -56,7 +56,7 @@
     std::vector<Fault>* faults_;
 };
 
-/// The largest count of connections or requests.
+/// Maximum count of connections or requests.
 constexpr std::uint32_t kMaxConnections = 2'147'483'647;
 
 }  // namespace micaroad::operators
--- a/src/operators/match_reader.cpp
+++ b/src/operators/match_reader.cpp
@@ -1,5 +1,4 @@
-// What an RPC has to be like for a route. The parser bounds how deep matches may stand in one
-// another.
+// Readers of a route's conditions. They recurse into nested matches, whose depth the parser bounds.
 #include <fmt/format.h>
 
 #include <optional>
@@ -15,7 +14,7 @@
 
 enum class Presence { not_allowed, allowed };
 
-// The values of a text, all of one kind.
+// Collects the values of a text match and counts their kinds, of which exactly one is allowed.
 class TextReader {
  public:
     template <class Values>
@@ -77,7 +76,7 @@
     for (std::string& value : host.values) {
         value = routing::to_lower(value);
     }
-    host.ignore_case = false;  // hosts are compared in lower case anyway
+    host.ignore_case = false;  // hosts are always compared in lower case
     return {routing::HostIs{std::move(host)}};
 }
 
--- a/src/operators/pool_reader.cpp
+++ b/src/operators/pool_reader.cpp
@@ -1,4 +1,4 @@
-// Pools, their servers, retries and stickiness.
+// Readers of pools, their servers, retry rules and stickiness.
 #include <fmt/format.h>
 
 #include <utility>
@@ -29,7 +29,7 @@
     }
 }
 
-// Returns false if the server is left out.
+// Returns false if the server lacks a required field and is left out.
 bool read_server(const Server& message, const LocatedMessage& location, FileState& state,
                  routing::Pool& pool) {
     if (!location.check_required()) {
--- a/src/operators/pool_writer.cpp
+++ b/src/operators/pool_writer.cpp
@@ -1,4 +1,4 @@
-// Pools, their servers, health rules, retries and stickiness.
+// Writers of pools, their servers, health rules, retry rules and stickiness.
 #include "operators/duration.hpp"
 #include "operators/enum_tables.hpp"
 #include "operators/writers.hpp"
--- a/src/operators/readers.hpp
+++ b/src/operators/readers.hpp
@@ -1,6 +1,6 @@
-/// The readers of the operator's file, one for each message that stands at its top, and what they
-/// share. Each adds what it reads to the plan, and a fault for each value that can't be used; a
-/// message that lacks a required field is left out.
+/// The readers of the operator's file, one for each top-level message, and the state that they
+/// share. Each reader adds the message to the plan, and a fault for each invalid value. A message
+/// that lacks a required field is left out.
 #pragma once
 
 #include <map>
@@ -14,16 +14,17 @@
 
 namespace micaroad::operators {
 
-/// Servers that take their state from another one's health. Since that one may stand anywhere in
-/// the file, the chains are checked once all servers are known.
+/// Checks the servers that take their health from another server. That server may come later in the
+/// file, so the chains are checked when all servers are known.
 class HealthChains {
  public:
-    /// Makes a server known by its full name, pool/server.
+    /// Adds a server by its full name, "pool/server".
     void add_server(const std::string& full_name) { servers_.insert(full_name); }
-    /// The server at `location` follows `followed`, a full name.
+    /// Adds a server, at `location`, that takes its health from `followed`. Both names are full
+    /// names.
     void add_follower(const std::string& full_name, const std::string& followed,
                       const LocatedMessage& location);
-    /// Adds a fault for each follower whose chain leads nowhere or back to itself.
+    /// Adds a fault for each follower whose chain is circular or leads to an unknown server.
     void check() const;
 
  private:
@@ -38,12 +39,12 @@
     std::vector<Follower> followers_;
 };
 
-/// What the readers of one file share.
+/// The state that the readers of one file share.
 struct FileState {
     ReadResult& result;
-    std::set<std::string> pool_names;      ///< of all pools of the file, read or not yet
-    std::set<std::string> pools_read;      ///< their names
-    std::set<std::string> listeners_read;  ///< their names
+    std::set<std::string> pool_names;      ///< all pools of the file, including unread ones
+    std::set<std::string> pools_read;      ///< names of the pools read so far
+    std::set<std::string> listeners_read;  ///< names of the listeners read so far
     HealthChains health_chains;
 };
 
@@ -54,7 +55,7 @@
 void read_recording(const Recording& message, const LocatedMessage& location,
                     routing::Recording& recording);
 
-// Within a listener or a pool.
+// Readers of messages within a listener or a pool.
 
 [[nodiscard]] routing::Match read_match(const Match& message, const LocatedMessage& location,
                                         const FileState& state);
--- a/src/operators/service_reader.cpp
+++ b/src/operators/service_reader.cpp
@@ -1,4 +1,4 @@
-// The planner that serves the file, and its recording.
+// Readers of the planner's settings and of its recording.
 #include <fmt/format.h>
 
 #include "operators/address.hpp"
--- a/src/operators/service_writer.cpp
+++ b/src/operators/service_writer.cpp
@@ -1,4 +1,4 @@
-// The planner that serves the file, and its recording.
+// Writers of the planner's settings and of its recording.
 #include "operators/duration.hpp"
 #include "operators/writers.hpp"
 
--- a/src/operators/text_parser.cpp
+++ b/src/operators/text_parser.cpp
@@ -14,10 +14,10 @@
 
 namespace pb = google::protobuf;
 
-constexpr int kMaxDepth = 64;  // messages in one another
-constexpr int kTabWidth = 8;   // as the library's tokenizer counts columns
+constexpr int kMaxDepth = 64;  // nesting depth of messages
+constexpr int kTabWidth = 8;   // as in the library's tokenizer
 
-// What the library's parser has to say, with the place as it counts.
+// An error or warning of the library's parser, with its place as the library counts it.
 struct ParserMessage {
     int line;    // from 0
     int column;  // from 0, tabs up to the next multiple of kTabWidth
@@ -40,7 +40,7 @@
     std::vector<ParserMessage> warnings_;
 };
 
-// A line of a text, by its first and its end, which is its line feed or the text's end.
+// The range of a line in a text; `end` is the position of its line feed or the end of the text.
 struct LineSpan {
     std::size_t begin;
     std::size_t end;
@@ -49,7 +49,7 @@
 // `line` counts from 0.
 std::optional<LineSpan> find_line(const std::string& text, int line) {
     std::size_t begin = 0;
-    for (int passed = 0; passed < line; ++passed) {
+    for (int skipped = 0; skipped < line; ++skipped) {
         const std::size_t line_feed = text.find('\n', begin);
         if (line_feed == std::string::npos) {
             return std::nullopt;
@@ -59,7 +59,7 @@
     return LineSpan{begin, std::min(text.find('\n', begin), text.size())};
 }
 
-std::vector<std::string> words_in_quotes(const std::string& text) {
+std::vector<std::string> quoted_words(const std::string& text) {
     std::vector<std::string> words;
     std::size_t open = text.find('"');
     while (open != std::string::npos) {
@@ -77,7 +77,7 @@
     return fmt::format("{}", fmt::join(words, ", "));
 }
 
-// All messages of the file, nested ones too.
+// All message types of the schema, including nested ones.
 std::vector<const pb::Descriptor*> message_types(const pb::FileDescriptor& file) {
     std::vector<const pb::Descriptor*> types;
     types.reserve(static_cast<std::size_t>(file.message_type_count()));
@@ -92,7 +92,8 @@
     return types;
 }
 
-// The values of every enum field of that name, as the parser does not tell whose field it is.
+// The values of every enum field of that name, since the parser does not report the field's
+// message.
 std::vector<std::string> enum_values(const pb::Descriptor& root, const std::string& field_name) {
     std::vector<std::string> values;
     for (const pb::Descriptor* type : message_types(*root.file())) {
@@ -134,7 +135,7 @@
     return fault;
 }
 
-// Any other fault: its value is the word that stands at its place.
+// Any other fault. Its value is the word at its place.
 Fault syntax_fault(Fault fault, const ParserMessage& message, const std::string& text) {
     const std::optional<LineSpan> line = find_line(text, message.line);
     if (!line) {
@@ -155,11 +156,11 @@
     return fault;
 }
 
-// The parser tells what is wrong in words alone.
+// Converts a parser message to a fault. The parser reports errors only as text, which is matched.
 Fault to_fault(const ParserMessage& message, const std::string& name, const std::string& text,
                const pb::Descriptor& root) {
     Fault fault{name, message.line + 1, message.column + 1, "", message.text, ""};
-    const std::vector<std::string> words = words_in_quotes(message.text);
+    const std::vector<std::string> words = quoted_words(message.text);
     if (message.text.find("has no field named") != std::string::npos && words.size() >= 2) {
         return unknown_field(std::move(fault), words[0], words[1], root);
     }
@@ -174,7 +175,7 @@
            (character >= 'A' && character <= 'Z') || character == '_';
 }
 
-// Where the name of the field begins whose colon is given.
+// The position at which the name of a field begins, given the position of its colon.
 std::size_t find_name_begin(const std::string& text, std::size_t line_begin, std::size_t colon) {
     std::size_t begin = colon;
     while (begin > line_begin && text[begin - 1] == ' ') {
@@ -186,7 +187,7 @@
     return begin;
 }
 
-// Where the value ends that begins at `begin`.
+// The position at which the value that begins at `begin` ends.
 std::size_t find_value_end(const std::string& text, std::size_t begin, std::size_t line_end) {
     if (begin < line_end && text[begin] == '"') {
         const std::size_t quote = std::min(text.find('"', begin + 1), line_end);
@@ -195,9 +196,9 @@
     return std::min(text.find_first_of(" \t\r;,{}", begin), line_end);
 }
 
-// Blanks the scalar field whose value stands at the fault's place or just before it, on its line
-// alone, and moves the place to that value. Returns false if there is none: the fault is of the
-// structure.
+// Overwrites with spaces the scalar field whose value is at the fault's place or just before it on
+// the same line, and moves the fault's place to that value. Returns false if there is no such
+// field, which means that the fault is in the structure of the text.
 bool blank_field(std::string& text, Fault& fault) {
     const std::optional<LineSpan> line = find_line(text, fault.line - 1);
     if (!line) {
@@ -220,7 +221,7 @@
     return true;
 }
 
-// Parses once.
+// Parses the text once and collects the messages of the library's parser.
 bool parse(const std::string& text, pb::Message& message, pb::TextFormat::ParseInfoTree& places,
            MessageCollector& collector) {
     pb::TextFormat::Parser parser;
@@ -239,7 +240,7 @@
     std::string best;
     std::size_t best_distance = std::max<std::size_t>(2, word.size() / 3) + 1;
     for (const std::string& other : known) {
-        // Levenshtein's distance, a row at a time.
+        // Levenshtein distance, computed row by row.
         std::vector<std::size_t> row(other.size() + 1);
         std::iota(row.begin(), row.end(), std::size_t{0});
         for (const char letter : word) {
@@ -264,17 +265,17 @@
     const std::string original = text;
     const pb::Descriptor& root = *message.GetDescriptor();
     std::vector<Fault> faults;
-    bool again = true;
-    while (again) {
+    bool reparse = true;
+    while (reparse) {
         MessageCollector collector;
         places = std::make_unique<pb::TextFormat::ParseInfoTree>();
         const bool parsed = parse(text, message, *places, collector);
-        again = false;
+        reparse = false;
         if (!parsed && !collector.errors().empty() && faults.size() < kMaxFaults) {
             faults.push_back(to_fault(collector.errors().front(), name, original, root));
-            again = blank_field(text, faults.back());
+            reparse = blank_field(text, faults.back());
         }
-        if (!again) {
+        if (!reparse) {
             for (const ParserMessage& warning : collector.warnings()) {
                 faults.push_back(to_fault(warning, name, original, root));
             }
--- a/src/operators/text_parser.hpp
+++ b/src/operators/text_parser.hpp
@@ -1,5 +1,6 @@
-/// Protobuf text format with every syntax fault at once. The library's parser stops at the first
-/// one, so the faulty field is blanked, which moves no place, and the text is parsed again.
+/// Parses protobuf text format and reports all syntax faults at once. The library's parser stops at
+/// the first fault; therefore the faulty field is overwritten with spaces, which keeps all places,
+/// and the text is parsed again.
 #pragma once
 
 #include <google/protobuf/message.h>
@@ -14,14 +15,14 @@
 
 namespace micaroad::operators {
 
-/// Fills `message` with what can be read, and `places` with where its fields stand. Returns the
-/// faults, which have `name` as their file.
+/// Fills `message` with the fields that can be read, and `places` with their places. Returns the
+/// faults, which give `name` as their file.
 [[nodiscard]] std::vector<Fault> parse_text(
     std::string text, const std::string& name, google::protobuf::Message& message,
     std::unique_ptr<google::protobuf::TextFormat::ParseInfoTree>& places);
 
-/// The member of `known` that `word` was likely meant to be, by edit distance; empty if none is
-/// near.
+/// Returns the member of `known` that is nearest to `word` by edit distance; empty if none is near
+/// enough.
 [[nodiscard]] std::string nearest(std::string_view word, const std::vector<std::string>& known);
 
 }  // namespace micaroad::operators
--- a/src/operators/writers.hpp
+++ b/src/operators/writers.hpp
@@ -1,5 +1,5 @@
-/// The writers of the operator's file, one for each message that stands at its top. Values that
-/// are the schema's defaults are left out.
+/// The writers of the operator's file, one for each top-level message and one for nested matches.
+/// Values equal to the schema's defaults are left out.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 void write_planner(const routing::Service& service, Planner& message);
 void write_recording(const routing::Recording& recording, Recording& message);
 
-/// A number of a plan, which is never negative, as the file's fields hold it.
+/// Converts a number of a plan, which is never negative, to the type of the file's fields.
 [[nodiscard]] inline std::uint32_t to_unsigned(int number) {
     return static_cast<std::uint32_t>(number);
 }
