--- a/src/command/check.cpp
+++ b/src/command/check.cpp
@@ -1,4 +1,4 @@
-// `micaroad check`: names every fault of an operator's file.
+// `micaroad check`: reports all faults of an operator's file.
 #include <fmt/ostream.h>
 
 #include "command/exit_code.hpp"
@@ -18,10 +18,10 @@
     int run(std::ostream& out, std::ostream& err) override {
         const std::optional<operators::ReadResult> result = read_operator_file(file_, err);
         if (!result) {
-            return kUnusable;
+            return kInvalidInput;
         }
         print_counts(result->plan, out);
-        return kDone;
+        return kSuccess;
     }
 
  private:
--- a/src/command/command.cpp
+++ b/src/command/command.cpp
@@ -25,24 +25,24 @@
         "`micaroad serve` is.",
         "micaroad"};
     describe_program(program);
-    // In the order of the help.
+    // In the order of the help text.
     const std::array subcommands{add_serve(program), add_import(program), add_check(program),
                                  add_explain(program), add_replay(program)};
-    // The parser takes the last word first.
+    // CLI11 expects the words in reverse order.
     std::vector<std::string> reversed(words.rbegin(), words.rend());
     try {
         program.parse(reversed);
     } catch (const CLI::ParseError& error) {
-        // Help and version come this way too, with code 0.
+        // --help and --version also end here, with exit code 0.
         const int code = program.exit(error, out, err);
-        return code == 0 ? kDone : kWrongUsage;
+        return code == 0 ? kSuccess : kUsageError;
     }
     for (const std::unique_ptr<Subcommand>& subcommand : subcommands) {
         if (subcommand->chosen()) {
             return subcommand->run(out, err);
         }
     }
-    return kWrongUsage;  // not reached: the parser requires a subcommand
+    return kUsageError;  // not reached: the parser requires a subcommand
 }
 
 }  // namespace micaroad::command
--- a/src/command/command.hpp
+++ b/src/command/command.hpp
@@ -1,6 +1,7 @@
-/// The command line but for the daemon of a start file: import, check, explain, replay and serve.
-/// It is built as a library that the program loads when such a subcommand is given, so that the
-/// daemon holds none of it (docs/haproxy-import.md has the figures).
+/// The command line: the subcommands import, check, explain, replay and serve. The daemon that runs
+/// from a start file is not part of it. It is built as a library that the program loads only if a
+/// subcommand is given, which keeps its memory out of the daemon (docs/haproxy-import.md has the
+/// figures).
 #pragma once
 
 #include <ostream>
@@ -11,8 +12,8 @@
 
 namespace micaroad::command {
 
-/// Runs a command line, `words` without the program's name. Results go to `out`, all else to `err`.
-/// Returns the exit code.
+/// Runs a command line, given as `words` without the program's name. Results go to `out`, all other
+/// output to `err`. Returns the exit code.
 int run(const std::vector<std::string>& words, std::ostream& out, std::ostream& err);
 
 }  // namespace micaroad::command
--- a/src/command/exit_code.hpp
+++ b/src/command/exit_code.hpp
@@ -1,16 +1,16 @@
-/// Exit codes of the program, alike for every subcommand.
+/// Exit codes of the program, the same for all subcommands.
 #pragma once
 
 namespace micaroad::command {
 
-/// Done, without anything to report.
-constexpr int kDone = 0;
-/// Done, but there are findings: under --strict something was changed or refused; a recording
-/// differs from its replay.
+/// Success without findings.
+constexpr int kSuccess = 0;
+/// Success with findings: `import --strict` changed or refused something, or the replay of a
+/// recording differs from it.
 constexpr int kFindings = 1;
-/// The input can't be used; nothing was written.
-constexpr int kUnusable = 2;
-/// The command line can't be used (EX_USAGE of sysexits.h).
-constexpr int kWrongUsage = 64;
+/// The input is invalid; nothing was written.
+constexpr int kInvalidInput = 2;
+/// The command line is invalid (EX_USAGE of sysexits.h).
+constexpr int kUsageError = 64;
 
 }  // namespace micaroad::command
--- a/src/command/explain.cpp
+++ b/src/command/explain.cpp
@@ -1,4 +1,5 @@
-// `micaroad explain`: the route, pool, tier and weights that an RPC gets by an operator's file.
+// `micaroad explain`: prints the route, pool, tier and shares that an RPC gets by an operator's
+// file.
 #include <fmt/format.h>
 #include <fmt/ostream.h>
 
@@ -46,7 +47,7 @@
                                 {"status", decision.status},
                                 {"location", decision.location},
                                 {"why", decision.explanation}};
-    // Names from the file need not be UTF-8.
+    // Names from the file may be invalid UTF-8, which would make dump() throw.
     out << report.dump(1, ' ', false, nlohmann::json::error_handler_t::replace) << "\n";
 }
 
@@ -78,9 +79,9 @@
     }
 }
 
-int wrong_usage(const OptionError& error, std::ostream& err) {
+int report_usage_error(const OptionError& error, std::ostream& err) {
     fmt::print(err, "{}\n", describe(error));
-    return kWrongUsage;
+    return kUsageError;
 }
 
 class Explain : public Subcommand {
@@ -109,19 +110,19 @@
     int run(std::ostream& out, std::ostream& err) override {
         const std::optional<operators::ReadResult> result = read_operator_file(options_.file, err);
         if (!result) {
-            return kUnusable;
+            return kInvalidInput;
         }
         const auto listener = find_listener(options_, result->plan);
         if (!listener) {
-            return wrong_usage(listener.error(), err);
+            return report_usage_error(listener.error(), err);
         }
         const auto rpc = make_rpc(options_);
         if (!rpc) {
-            return wrong_usage(rpc.error(), err);
+            return report_usage_error(rpc.error(), err);
         }
         const auto view = make_view(options_, result->plan);
         if (!view) {
-            return wrong_usage(view.error(), err);
+            return report_usage_error(view.error(), err);
         }
         const routing::Router router(result->plan);
         const routing::Decision decision = router.decide(*listener, *rpc, *view);
@@ -130,7 +131,7 @@
         } else {
             print_text(decision, out);
         }
-        return kDone;
+        return kSuccess;
     }
 
  private:
--- a/src/command/explain_request.cpp
+++ b/src/command/explain_request.cpp
@@ -11,7 +11,7 @@
 namespace micaroad::command {
 namespace {
 
-// Any time will do, as long as servers that are up since long ago have come before it.
+// An arbitrary time after the epoch, which stands for servers that have been up for long.
 constexpr TimePoint kNow{std::chrono::seconds(1'000)};
 
 constexpr char kHeaderSeparator = ':';
@@ -19,10 +19,10 @@
 
 struct NameAndValue {
     std::string name;
-    std::string value;  // without blanks in front
+    std::string value;  // without leading spaces
 };
 
-// Absent without a name or a separator.
+// Splits a word at the first separator. Absent if the name or the separator is missing.
 std::optional<NameAndValue> split(const std::string& word, char separator) {
     const std::size_t at = word.find(separator);
     if (at == std::string::npos || at == 0) {
@@ -32,7 +32,7 @@
     return NameAndValue{word.substr(0, at), word.substr(value_begin)};
 }
 
-// A server by its full name, or by its own name where only one has it.
+// Finds a server by its full name, or by its own name if that is unique. Returns the full name.
 tl::expected<std::string, OptionError> find_server(const std::string& word,
                                                    const routing::Plan& plan) {
     std::vector<std::string> found;
--- a/src/command/explain_request.hpp
+++ b/src/command/explain_request.hpp
@@ -1,5 +1,4 @@
-/// What `micaroad explain` is asked: the RPC and the state of the servers, from the words of the
-/// command line.
+/// Converts the options of `micaroad explain` to an RPC and a view of the servers.
 #pragma once
 
 #include <string>
@@ -11,7 +10,7 @@
 
 namespace micaroad::command {
 
-/// The options of the command line, as they stand.
+/// The unparsed options of the command line.
 struct ExplainOptions {
     std::string file;
     std::string listener;
@@ -26,7 +25,7 @@
     bool json = false;
 };
 
-/// An option whose value can't be used.
+/// An option with an invalid value.
 struct OptionError {
     enum class Kind {
         unknown_listener,
@@ -38,18 +37,18 @@
     };
     Kind kind = Kind::unknown_listener;
     std::string value;
-    std::vector<std::string> candidates;  ///< the listeners, or the servers of that name
+    std::vector<std::string> candidates;  ///< all listeners, or the servers of that name
 };
 
-/// The error in words.
+/// Formats the error as a message.
 [[nodiscard]] std::string describe(const OptionError& error);
 
-/// The listener that the options name, or the plan's only one.
+/// Returns the listener that the options name, or the plan's only listener.
 [[nodiscard]] tl::expected<std::string, OptionError> find_listener(const ExplainOptions& options,
                                                                    const routing::Plan& plan);
-/// The RPC that the options describe.
+/// Builds the RPC that the options describe.
 [[nodiscard]] tl::expected<routing::Rpc, OptionError> make_rpc(const ExplainOptions& options);
-/// All servers up and idle, but for those that the options name.
+/// Builds a view in which all servers are up and idle, except those that the options name.
 [[nodiscard]] tl::expected<routing::View, OptionError> make_view(const ExplainOptions& options,
                                                                  const routing::Plan& plan);
 
--- a/src/command/import.cpp
+++ b/src/command/import.cpp
@@ -1,4 +1,4 @@
-// `micaroad import haproxy`: makes an operator's file of HAProxy's configuration.
+// `micaroad import haproxy`: translates an HAProxy configuration to an operator's file.
 #include <fmt/format.h>
 #include <fmt/ostream.h>
 #include <unistd.h>
@@ -56,21 +56,21 @@
             haproxy::translate(haproxy::read_files(files_, process_environment()));
         if (!import.troubles.empty()) {
             print_faults(import.troubles, err);
-            return kUnusable;
+            return kInvalidInput;
         }
         const std::string text = operators::write_text(import.plan, heading());
-        // What was made is read as the operator's file will be: a fault in it is the importer's.
+        // The result is read back as an operator's file; a fault in it is a bug of the importer.
         const operators::ReadResult read_back =
             operators::read_text(text, output_.empty() ? "(result)" : output_);
         if (!read_back.faults.empty()) {
             print_faults(read_back.faults, err);
-            return kUnusable;
+            return kInvalidInput;
         }
         if (!write_result(text, out, err)) {
-            return kUnusable;
+            return kInvalidInput;
         }
         write_report(import, out, err);
-        return strict_ && has_findings(import) ? kFindings : kDone;
+        return strict_ && has_findings(import) ? kFindings : kSuccess;
     }
 
  private:
@@ -82,7 +82,7 @@
 
     bool write_result(const std::string& text, std::ostream& out, std::ostream& err) const {
         if (output_.empty()) {
-            // With a report, standard output is the report's.
+            // With --report, standard output is reserved for the report.
             if (report_.empty()) {
                 out << text;
             }
@@ -96,7 +96,7 @@
         return true;
     }
 
-    // To `err` where standard output is the result's.
+    // Writes the report to `err` if standard output holds the result.
     void write_report(const haproxy::Import& import, std::ostream& out, std::ostream& err) const {
         const bool result_on_out = report_.empty() && output_.empty();
         std::ostream& report = result_on_out ? err : out;
--- a/src/command/library.cpp
+++ b/src/command/library.cpp
@@ -1,4 +1,4 @@
-// The entry point that the program looks up in the library that it loads.
+// The entry point that the program looks up in the command library, which it loads at run time.
 #include <cstdio>
 #include <exception>
 #include <iostream>
@@ -10,6 +10,6 @@
         return micaroad::command::run({argv + 1, argv + argc}, std::cout, std::cerr);
     } catch (const std::exception& error) {
         std::fprintf(stderr, "micaroad: %s\n", error.what());
-        return micaroad::command::kUnusable;
+        return micaroad::command::kInvalidInput;
     }
 }
--- a/src/command/operator_file.hpp
+++ b/src/command/operator_file.hpp
@@ -1,4 +1,4 @@
-/// Reading the operator's file for a subcommand.
+/// Reads the operator's file for a subcommand.
 #pragma once
 
 #include <optional>
--- a/src/command/planner_service.cpp
+++ b/src/command/planner_service.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr int kReportIntervalsInWindow = 120;
-constexpr Duration kLeastLongestWindow = std::chrono::seconds(1);
+constexpr Duration kMinLongestWindow = std::chrono::seconds(1);
 constexpr double kBytesPerKib = 1'024.0;
 constexpr double kPercent = 100.0;
 constexpr int kBytesPerMibShift = 20;
@@ -26,7 +26,7 @@
     return settings;
 }
 
-// The list at the start has no version, so that the first of the health checks is newer.
+// The initial endpoint list has no version, so that the first list from health checks is newer.
 StartConfiguration make_start_configuration(const routing::Plan& plan, TimePoint now) {
     const routing::EndpointRegistry registry(plan);
     StartConfiguration start;
@@ -39,7 +39,7 @@
     start.names = registry.names();
     start.bounds.proxies = start.settings.proxy_count;
     start.bounds.longest_window =
-        std::max(kReportIntervalsInWindow * start.settings.report_interval, kLeastLongestWindow);
+        std::max(kReportIntervalsInWindow * start.settings.report_interval, kMinLongestWindow);
     routing::View view;
     view.now = now;
     start.known.list = registry.list(view);
@@ -57,7 +57,7 @@
 
 }  // namespace
 
-// Records on a thread of its own, within the bounds that the plan sets.
+// Records events and orders on a separate thread, within the limits that the plan sets.
 class PlannerService::RecordingService {
  public:
     RecordingService(const routing::Recording& settings, const StartConfiguration& start,
--- a/src/command/planner_service.hpp
+++ b/src/command/planner_service.hpp
@@ -1,5 +1,5 @@
-/// The daemon from an operator's file alone: the planner process, the health checks of its
-/// endpoints, and its recording.
+/// The daemon that is configured by an operator's file alone: the planner process, the health
+/// checks of its endpoints, and its recording.
 #pragma once
 
 #include <cstdint>
@@ -13,12 +13,12 @@
 
 namespace micaroad::command {
 
-/// Serves a plan: its pools are the planner's methods, its servers the endpoint list, whose states
-/// follow the pools' health rules.
+/// Serves a plan. Its pools are the planner's methods and its servers the endpoint list, whose
+/// states follow the pools' health rules.
 class PlannerService {
  public:
-    /// The log must outlive the service. Throws ConfigurationError where the plan's service can't
-    /// be used.
+    /// The log must outlive the service. Throws ConfigurationError if the plan's service is
+    /// invalid.
     PlannerService(const routing::Plan& plan, const Clock& clock, Log& log);
     PlannerService(const PlannerService&) = delete;
     PlannerService& operator=(const PlannerService&) = delete;
@@ -26,13 +26,14 @@
 
     /// Serves until stop() is called. Returns the program's exit code.
     int run();
-    /// Any thread.
+    /// Makes run() return. Any thread may call it.
     void stop() { planner_.stop(); }
-    /// Any thread. Returns false, with nothing changed, if its pools differ from those served.
+    /// Replaces the plan. Returns false and changes nothing if its pools differ from those served.
+    /// Any thread may call it.
     [[nodiscard]] bool replace(const routing::Plan& plan) { return health_.replace(plan); }
-    /// Any thread. Where it listens.
+    /// The address on which it listens. Any thread may call it.
     [[nodiscard]] net::Address address() const { return planner_.address(); }
-    /// Any thread.
+    /// Any thread may call it.
     [[nodiscard]] LifecycleState state() const { return planner_.state(); }
 
  private:
@@ -45,7 +46,7 @@
 
     Log& log_;
     std::int64_t list_version_ = 0;
-    std::unique_ptr<RecordingService> recording_;  // empty: the plan asks for none
+    std::unique_ptr<RecordingService> recording_;  // null: the plan has no recording
     PlannerProcess planner_;
     net::HealthChecker health_;
 };
--- a/src/command/replay.cpp
+++ b/src/command/replay.cpp
@@ -1,4 +1,4 @@
-// `micaroad replay`: what a recording holds, and whether this build gives the same orders.
+// `micaroad replay`: summarizes a recording, and verifies that this build gives the same orders.
 #include "record/replay.hpp"
 
 #include <fmt/ostream.h>
@@ -36,7 +36,7 @@
     int run(std::ostream& out, std::ostream& err) override {
         if (!std::filesystem::is_directory(folder_)) {
             fmt::print(err, "{}: no folder\n", folder_);
-            return kUnusable;
+            return kInvalidInput;
         }
         const auto disk = record::open_directory(folder_);
         record::ReplayResult result;
@@ -50,7 +50,7 @@
         } else {
             print_text(result, out);
         }
-        return result.matches() ? kDone : kFindings;
+        return result.matches() ? kSuccess : kFindings;
     }
 
  private:
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -1,5 +1,5 @@
-// `micaroad serve --operators`: the daemon from an operator's file. SIGHUP reads the file again;
-// SIGTERM and SIGINT end it.
+// `micaroad serve --operators`: runs the daemon with an operator's file. SIGHUP reloads the file;
+// SIGTERM and SIGINT stop the daemon.
 #include <fmt/format.h>
 #include <pthread.h>
 #include <signal.h>
@@ -16,7 +16,7 @@
 namespace micaroad::command {
 namespace {
 
-// Blocks the signals in this thread and those that it starts, so that the signal thread alone
+// Blocks the signals in this thread and the threads that it starts, so that only the signal thread
 // receives them.
 sigset_t block_signals() {
     signal(SIGPIPE, SIG_IGN);
@@ -64,7 +64,7 @@
             err << fault.text() << "\n";
         }
         if (!result.faults.empty()) {
-            return kUnusable;
+            return kInvalidInput;
         }
         Log log(STDERR_FILENO);
         for (const std::string& notice : result.notices) {
@@ -74,8 +74,8 @@
         std::thread signal_thread([&] { handle_signals(signals, service, log); });
         const int code = service.run();
         if (code != 0) {
-            // It ended by itself, so no signal has ended the thread, which waits for one.
-            // NOLINTNEXTLINE(bugprone-bad-signal-to-kill-thread): blocked, and taken by sigwait.
+            // The service failed without a signal, so the signal thread still waits for one.
+            // NOLINTNEXTLINE(bugprone-bad-signal-to-kill-thread): blocked, and received by sigwait.
             pthread_kill(signal_thread.native_handle(), SIGTERM);
         }
         signal_thread.join();
--- a/src/command/subcommand.hpp
+++ b/src/command/subcommand.hpp
@@ -1,5 +1,5 @@
-/// What the subcommands have in common. Each stands in a file of its own, with its options and its
-/// help; command.cpp has the list of them.
+/// The interface of the subcommands. Each is defined in its own file, with its options and its
+/// help; command.cpp lists them.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -8,22 +8,22 @@
 
 namespace micaroad::command {
 
-/// A subcommand of the command line. Its options are members that the parser fills, so it must
-/// outlive the parsing.
+/// A subcommand of the command line. The parser stores the options in its members, so it must
+/// outlive parsing.
 class Subcommand {
  public:
     virtual ~Subcommand() = default;
     Subcommand(const Subcommand&) = delete;
     Subcommand& operator=(const Subcommand&) = delete;
 
-    /// Whether the command line that was parsed names this one.
+    /// Whether the parsed command line names this subcommand.
     [[nodiscard]] bool chosen() const { return app_->parsed(); }
-    /// Runs it with the options that were parsed. Results go to `out`, all else to `err`. Returns
-    /// the exit code.
+    /// Runs the subcommand with the parsed options. Results go to `out`, all other output to `err`.
+    /// Returns the exit code.
     virtual int run(std::ostream& out, std::ostream& err) = 0;
 
  protected:
-    /// `app` is the parser of this subcommand, a part of the program's.
+    /// `app` is the parser of this subcommand, which belongs to the program's parser.
     explicit Subcommand(CLI::App* app) : app_(app) {}
     [[nodiscard]] CLI::App& app() { return *app_; }
 
@@ -31,7 +31,7 @@
     CLI::App* app_;
 };
 
-/// Each of these adds a subcommand to the program's parser, which must outlive it.
+/// Each function adds a subcommand to the program's parser, which must outlive the subcommand.
 [[nodiscard]] std::unique_ptr<Subcommand> add_serve(CLI::App& program);
 [[nodiscard]] std::unique_ptr<Subcommand> add_import(CLI::App& program);
 [[nodiscard]] std::unique_ptr<Subcommand> add_check(CLI::App& program);
--- a/src/command/version.hpp
+++ b/src/command/version.hpp
@@ -1,4 +1,4 @@
-/// The program's version, as `--version` and recordings have it.
+/// The program's version, as shown by `--version` and stored in recordings.
 #pragma once
 
 namespace micaroad {
--- a/src/command/write_atomically.cpp
+++ b/src/command/write_atomically.cpp
@@ -16,8 +16,8 @@
 constexpr mode_t kNewFileMode = 0644;
 constexpr mode_t kPermissionBits = 07777;
 
-// The file beside the wanted one. It is removed unless it has been renamed. Its functions return
-// false with errno set.
+// A temporary file in the directory of the target, removed on destruction unless it was renamed.
+// Its functions return false with errno set on failure.
 class TemporaryFile {
  public:
     explicit TemporaryFile(std::string path) : path_(std::move(path)) {}
@@ -38,7 +38,7 @@
         return descriptor_ >= 0;
     }
 
-    // Where this fails the file has the permissions of a new one.
+    // If this fails, the file keeps the permissions of a new file.
     void copy_permissions(const std::string& other) const {
         struct stat status{};
         if (::stat(other.c_str(), &status) == 0) {
--- a/src/command/write_atomically.hpp
+++ b/src/command/write_atomically.hpp
@@ -1,4 +1,4 @@
-/// Writing a file so that nobody ever reads half of it.
+/// Writes a file so that no reader ever sees it incomplete.
 #pragma once
 
 #include <string>
@@ -6,7 +6,7 @@
 
 namespace micaroad::command {
 
-/// A file that could not be written; what stood there is unchanged.
+/// A file could not be written; an existing file is unchanged.
 struct WriteError {
     enum class Step { write, sync, rename };
     std::string path;
@@ -14,11 +14,11 @@
     int error_number = 0;  ///< errno of the step
 };
 
-/// The error in words, with the path and the system's reason.
+/// Formats the error as a message with the path and the system's reason.
 [[nodiscard]] std::string describe(const WriteError& error);
 
-/// Writes `text` to a file beside `path`, waits until it is on the disk, and renames it to `path`.
-/// An existing file keeps its permissions, not its owner.
+/// Writes `text` to a temporary file in the same directory, syncs it to disk, and renames it to
+/// `path`. An existing file's permissions are kept, but not its owner.
 [[nodiscard]] tl::expected<void, WriteError> write_atomically(const std::string& path,
                                                               const std::string& text);
 
--- a/tests/command_test.cpp
+++ b/tests/command_test.cpp
@@ -70,11 +70,11 @@
     const Folder folder;
     const std::string cfg = folder.file("shop.cfg", kShop), out = folder.at("operator.txtpb");
     const Ran plain = run({"import", "haproxy", cfg});
-    CHECK((plain.code == command::kDone && plain.out.find("pool {") != std::string::npos));
+    CHECK((plain.code == command::kSuccess && plain.out.find("pool {") != std::string::npos));
     CHECK((plain.out.starts_with("# Made by") &&
            plain.err.find("changed: balance") != std::string::npos));
     const Ran kept = run({"import", "haproxy", cfg, "--out", out});
-    CHECK((kept.code == command::kDone &&
+    CHECK((kept.code == command::kSuccess &&
            kept.out.ends_with("14 lines: 11 translated, 2 changed, 1 refused, 0 no_effect\n")));
     CHECK(read(out) == plain.out);
     const Ran strict =
@@ -96,15 +96,15 @@
     const std::string out = folder.file("operator.txtpb", "old");
     const std::string bad = folder.file("bad.cfg", "backend web\n server a \"10.0.0.1\n");
     const Ran ran = run({"import", "haproxy", bad, "--out", out});
-    CHECK((ran.code == command::kUnusable && ran.out.empty() &&
+    CHECK((ran.code == command::kInvalidInput && ran.out.empty() &&
            ran.err == bad + ":2:11: a quote without its end\n"));
     CHECK(read(out) == "old");
     CHECK(run({"import", "haproxy", folder.at("none.cfg"), "--out", out}).code ==
-          command::kUnusable);
+          command::kInvalidInput);
     const std::string cfg = folder.file("shop.cfg", kShop);
     const auto before = folder.files();
     CHECK(run({"import", "haproxy", cfg, "--out", folder.at("no/where.txtpb")}).code ==
-          command::kUnusable);
+          command::kInvalidInput);
     CHECK(folder.files() == before);
     // Where the rename fails, nothing of it is left beside.
     fs::create_directory(folder.path / "dir");
@@ -128,7 +128,7 @@
     CHECK(run({"check", out}).out == out + ": sound: 1 listeners, 1 routes, 2 pools, 4 servers\n");
     const Ran bad =
         run({"check", folder.file("bad.txtpb", "pool { nane: 1 }\npool { name: \"\" }")});
-    CHECK((bad.code == command::kUnusable && bad.out.empty() &&
+    CHECK((bad.code == command::kInvalidInput && bad.out.empty() &&
            std::count(bad.err.begin(), bad.err.end(), '\n') >= 3));
 
     const auto explain = [&](std::vector<std::string> words) {
@@ -136,7 +136,7 @@
         return run(words);
     };
     const Ran image = explain({"--path", "/img/x"});
-    CHECK((image.code == command::kDone && image.out.find("static") != std::string::npos &&
+    CHECK((image.code == command::kSuccess && image.out.find("static") != std::string::npos &&
            image.out.find("a 1.0000") != std::string::npos));
     const auto web =
         nlohmann::json::parse(explain({"--path", "/", "--down", "web/a", "b", "--json"}).out);
@@ -145,20 +145,20 @@
     CHECK((drained["parts"].size() == 1 && drained["parts"][0]["server"] == "b"));
     CHECK(nlohmann::json::parse(
               explain({"--down", "web/a", "web/b", "c", "--json"}).out)["status"] == 503);
-    CHECK(explain({"--down", "nobody"}).code == command::kWrongUsage);
+    CHECK(explain({"--down", "nobody"}).code == command::kUsageError);
     CHECK(explain({"--down", "a"}).err.find("several servers: web/a, static/a") !=
           std::string::npos);
-    CHECK(explain({"--listener", "none"}).code == command::kWrongUsage);
-    CHECK(explain({"--source", "x"}).code == command::kWrongUsage);
-    CHECK(explain({"--header", "x"}).code == command::kWrongUsage);
+    CHECK(explain({"--listener", "none"}).code == command::kUsageError);
+    CHECK(explain({"--source", "x"}).code == command::kUsageError);
+    CHECK(explain({"--header", "x"}).code == command::kUsageError);
 }
 
 TEST_CASE("wrong usage ends with 64, help and version with 0") {
-    CHECK(run({"frob"}).code == command::kWrongUsage);
-    CHECK(run({"import"}).code == command::kWrongUsage);
-    CHECK(run({"import", "haproxy"}).code == command::kWrongUsage);
-    CHECK(run({"import", "haproxy", "x", "--report", "xml"}).code == command::kWrongUsage);
-    CHECK(run({"check", "a", "b"}).code == command::kWrongUsage);
+    CHECK(run({"frob"}).code == command::kUsageError);
+    CHECK(run({"import"}).code == command::kUsageError);
+    CHECK(run({"import", "haproxy"}).code == command::kUsageError);
+    CHECK(run({"import", "haproxy", "x", "--report", "xml"}).code == command::kUsageError);
+    CHECK(run({"check", "a", "b"}).code == command::kUsageError);
     CHECK(run({"--version"}).out == std::string("micaroad ") + kVersion + "\n");
     for (const std::vector<std::string>& words : {std::vector<std::string>{"--help"},
                                                   {"import", "haproxy", "--help"},
