--- a/src/haproxy/request_rules.cpp
+++ b/src/haproxy/request_rules.cpp
@@ -392,7 +392,7 @@
 }
 
 Match match_both(const Match& first, const Match& second) {
-    const auto* all = std::get_if<AllOf>(&first.condition);
+    const auto* all = std::get_if<AllOf>(&first.is);
     if (all != nullptr && all->conditions.empty()) {
         return second;
     }
--- a/src/operators/file.cpp
+++ b/src/operators/file.cpp
@@ -36,7 +36,7 @@
 }
 
 // Sorts faults by place, removes duplicates and keeps at most kMaxFaults.
-void sort_and_limit(std::vector<Fault>& faults) {
+void tidy(std::vector<Fault>& faults) {
     const auto before = [](const Fault& one, const Fault& other) {
         return std::tie(one.line, one.column) < std::tie(other.line, other.column);
     };
@@ -75,7 +75,7 @@
     result.faults = parse_text(std::string(text), name, file, places);
     const Fault file_begin{name, 1, 1, "", "", ""};
     read_installation(file, {file, places.get(), file_begin, result.faults}, result);
-    sort_and_limit(result.faults);
+    tidy(result.faults);
     return result;
 }
 
--- a/src/operators/listener_writer.cpp
+++ b/src/operators/listener_writer.cpp
@@ -109,7 +109,7 @@
 
 // Whether a match has no conditions, as that of a route without `when`.
 bool always_matches(const routing::Match& match) {
-    const auto* all = std::get_if<routing::AllOf>(&match.condition);
+    const auto* all = std::get_if<routing::AllOf>(&match.is);
     return all != nullptr && all->conditions.empty();
 }
 
@@ -124,7 +124,7 @@
 }  // namespace
 
 void write_match(const routing::Match& match, Match& message) {
-    std::visit(MatchWriter(message), match.condition);
+    std::visit(MatchWriter(message), match.is);
 }
 
 void write_listener(const routing::Listener& listener, Listener& message) {
--- a/src/routing/match.cpp
+++ b/src/routing/match.cpp
@@ -117,7 +117,7 @@
 }
 
 bool matches(const Match& match, const Rpc& rpc, const UsableCount& usable_count) {
-    return std::visit(ConditionCheck{.rpc = rpc, .usable_count = usable_count}, match.condition);
+    return std::visit(ConditionCheck{.rpc = rpc, .usable_count = usable_count}, match.is);
 }
 
 }  // namespace micaroad::routing
--- a/src/routing/plan.hpp
+++ b/src/routing/plan.hpp
@@ -95,8 +95,7 @@
 };
 
 struct Match {
-    std::variant<AllOf, AnyOf, Not, HostIs, PathIs, MethodIs, HeaderIs, SourceIn, UsableServers>
-        condition;
+    std::variant<AllOf, AnyOf, Not, HostIs, PathIs, MethodIs, HeaderIs, SourceIn, UsableServers> is;
     bool operator==(const Match&) const = default;
 };
 
@@ -177,7 +176,7 @@
     enum class Condition {
         no_connection,  ///< no connection was made
         not_executed,   ///< also if the server said that it did not execute the RPC
-        any_failure,    ///< also after any other failure, if the RPC is idempotent
+        any_failure     ///< also after any other failure, if the RPC is idempotent
     } condition = Condition::no_connection;
     enum class Target { same, other_on_last_retry, other } target = Target::other_on_last_retry;
     bool operator==(const RetryRule&) const = default;
--- a/src/routing/route_index.cpp
+++ b/src/routing/route_index.cpp
@@ -130,7 +130,7 @@
 };
 
 std::optional<Anchors> find_anchors(const Match& match) {
-    return std::visit(AnchorFinder{}, match.condition);
+    return std::visit(AnchorFinder{}, match.is);
 }
 
 // The remaining part of a list of route numbers in ascending order; never empty.
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -75,8 +75,8 @@
            web.servers[1].state == routing::State::draining));
     CHECK((web.health.http_path == "/ping" && web.health.max_status == 299 &&
            web.health.min_status == 200 && web.health.rise == 2));
-    CHECK(std::get<routing::HostIs>(plan.listeners[0].routes[1].match.condition)
-              .text.values.front() == "old.example");
+    CHECK(std::get<routing::HostIs>(plan.listeners[0].routes[1].match.is).text.values.front() ==
+          "old.example");
     const std::string text = write_text(plan, "one\n\ntwo");
     CHECK(text.starts_with("# one\n#\n# two\n"));
     const ReadResult back = read_text(text, "f");
