--- a/src/command/check.cpp
+++ b/src/command/check.cpp
@@ -34,7 +34,7 @@
         for (const routing::Pool& pool : plan.pools) {
             servers += pool.servers.size();
         }
-        fmt::print(out, "{}: sound: {} listeners, {} routes, {} pools, {} servers\n", file_,
+        fmt::print(out, "{}: valid: {} listeners, {} routes, {} pools, {} servers\n", file_,
                    plan.listeners.size(), routes, plan.pools.size(), servers);
     }
 
@@ -44,9 +44,10 @@
 }  // namespace
 
 std::unique_ptr<Subcommand> add_check(CLI::App& program) {
-    return std::make_unique<Check>(program.add_subcommand(
-        "check",
-        "Read an operator's file and name every fault in it, with place and what is allowed."));
+    return std::make_unique<Check>(
+        program.add_subcommand("check",
+                               "Check an operator's file and report all faults with their places "
+                               "and the allowed values."));
 }
 
 }  // namespace micaroad::command
--- a/src/command/command.cpp
+++ b/src/command/command.cpp
@@ -12,7 +12,7 @@
 void describe_program(CLI::App& program) {
     program.set_version_flag("--version", std::string("micaroad ") + kVersion);
     program.footer(
-        "Exit codes: 0 done, 1 findings under --strict, 2 unusable input, 64 wrong usage.\n"
+        "Exit codes: 0 success, 1 findings under --strict, 2 invalid input, 64 usage error.\n"
         "Example: micaroad import haproxy /etc/haproxy/haproxy.cfg --out deploy/operator.txtpb");
     program.require_subcommand(1);
 }
@@ -21,8 +21,8 @@
 
 int run(const std::vector<std::string>& words, std::ostream& out, std::ostream& err) {
     CLI::App program{
-        "micaroad tells forwarding proxies where RPCs go. Without words it is the daemon, as "
-        "`micaroad serve` is.",
+        "micaroad tells forwarding proxies where RPCs go. Without arguments it runs the daemon, "
+        "like `micaroad serve`.",
         "micaroad"};
     describe_program(program);
     // In the order of the help text.
--- a/src/command/explain.cpp
+++ b/src/command/explain.cpp
@@ -88,20 +88,21 @@
  public:
     explicit Explain(CLI::App* parser) : Subcommand(parser) {
         app().add_option("FILE", options_.file, "The operator's file")->required();
-        app().add_option("--listener", options_.listener, "Needed where there are several");
-        app().add_option("--method", options_.method, "GET if absent");
-        app().add_option("--path", options_.path, "With its query, if any; / if absent");
-        app().add_option("--host", options_.host, "As the client names it");
-        app().add_option("--source", options_.source, "The client's address; 127.0.0.1 if absent");
+        app().add_option("--listener", options_.listener,
+                         "Required if the file has several listeners");
+        app().add_option("--method", options_.method, "Default: GET");
+        app().add_option("--path", options_.path, "With the query, if any; default: /");
+        app().add_option("--host", options_.host, "As sent by the client");
+        app().add_option("--source", options_.source, "The client's address; default: 127.0.0.1");
         app()
-            .add_option("--header", options_.headers, "NAME:VALUE, as often as need be")
+            .add_option("--header", options_.headers, "NAME:VALUE; may be repeated")
             ->allow_extra_args(false);
         app()
-            .add_option("--cookie", options_.cookies, "NAME=VALUE, as often as need be")
+            .add_option("--cookie", options_.cookies, "NAME=VALUE; may be repeated")
             ->allow_extra_args(false);
         app().add_option("--down", options_.down, "Servers that are down, by name or pool/name");
-        app().add_option("--draining", options_.draining, "Servers that drain since now");
-        app().add_flag("--json", options_.json, "For a program");
+        app().add_option("--draining", options_.draining, "Servers that start to drain now");
+        app().add_flag("--json", options_.json, "Print JSON");
         app().footer(
             "Example: micaroad explain deploy/operator.txtpb --host shop.example --path /img/a.png "
             "--down web/a");
@@ -143,7 +144,7 @@
 std::unique_ptr<Subcommand> add_explain(CLI::App& program) {
     return std::make_unique<Explain>(
         program.add_subcommand("explain",
-                               "Tell the route, pool, tier and parts that an RPC would get by an "
+                               "Print the route, pool, tier and shares that an RPC would get by an "
                                "operator's file, and why."));
 }
 
--- a/src/command/explain_request.cpp
+++ b/src/command/explain_request.cpp
@@ -60,18 +60,18 @@
     using Kind = OptionError::Kind;
     switch (error.kind) {
         case Kind::unknown_listener:
-            return fmt::format("--listener '{}': one of {}", error.value,
+            return fmt::format("--listener '{}': unknown listener; allowed: {}", error.value,
                                fmt::join(error.candidates, ", "));
         case Kind::bad_source:
-            return fmt::format("--source '{}': no address", error.value);
+            return fmt::format("--source '{}': invalid address", error.value);
         case Kind::bad_header:
-            return fmt::format("'{}': NAME{}VALUE", error.value, kHeaderSeparator);
+            return fmt::format("'{}': must be NAME{}VALUE", error.value, kHeaderSeparator);
         case Kind::bad_cookie:
-            return fmt::format("'{}': NAME{}VALUE", error.value, kCookieSeparator);
+            return fmt::format("'{}': must be NAME{}VALUE", error.value, kCookieSeparator);
         case Kind::unknown_server:
-            return fmt::format("'{}': no such server", error.value);
+            return fmt::format("'{}': unknown server", error.value);
         case Kind::ambiguous_server:
-            return fmt::format("'{}': several servers: {}", error.value,
+            return fmt::format("'{}': ambiguous server name: {}", error.value,
                                fmt::join(error.candidates, ", "));
     }
     return "?";
--- a/src/command/import.cpp
+++ b/src/command/import.cpp
@@ -36,16 +36,17 @@
  public:
     explicit ImportHaproxy(CLI::App* parser) : Subcommand(parser) {
         app()
-            .add_option("FILE", files_, "Files, or directories of *.cfg, in the original's order")
+            .add_option("FILE", files_,
+                        "Files, or directories of *.cfg, in the order in which HAProxy reads them")
             ->required();
         app().add_option(
             "--out", output_,
-            "Where the operator's file goes, whole or not at all; else to standard output, "
+            "Where the operator's file is written, atomically; default: standard output, "
             "unless --report is given");
         app()
-            .add_option("--report", report_, "How findings are told on standard output")
+            .add_option("--report", report_, "Print the findings to standard output in this format")
             ->check(CLI::IsMember({"text", "json"}));
-        app().add_flag("--strict", strict_, "End with 1 if anything was changed or refused");
+        app().add_flag("--strict", strict_, "Exit with 1 if anything was changed or refused");
         app().footer(
             "Example: micaroad import haproxy haproxy.cfg conf.d --out deploy/operator.txtpb "
             "--report json --strict");
@@ -119,12 +120,12 @@
 
 std::unique_ptr<Subcommand> add_import(CLI::App& program) {
     CLI::App* const import = program.add_subcommand(
-        "import", "Make an operator's file of another program's configuration.");
+        "import", "Translate another program's configuration to an operator's file.");
     import->require_subcommand(1);
     return std::make_unique<ImportHaproxy>(
         import->add_subcommand("haproxy",
-                               "Of HAProxy's (2.8). Each line of it is translated, changed, "
-                               "refused or without effect, and named."));
+                               "Translate an HAProxy 2.8 configuration. Each line is reported as "
+                               "translated, changed, refused or without effect."));
 }
 
 }  // namespace micaroad::command
--- a/src/command/replay.cpp
+++ b/src/command/replay.cpp
@@ -25,17 +25,17 @@
  public:
     explicit Replay(CLI::App* parser) : Subcommand(parser) {
         app()
-            .add_option("FOLDER", folder_, "Where the operator's file has its recording")
+            .add_option("FOLDER", folder_, "Directory of the recording, as in the operator's file")
             ->required();
         app().add_flag("--verify", verify_,
-                       "Play it again, and end with 1 at the first decision that differs");
-        app().add_flag("--json", json_, "For a program");
+                       "Replay the recording, and exit with 1 at the first decision that differs");
+        app().add_flag("--json", json_, "Print JSON");
         app().footer("Example: micaroad replay /var/lib/micaroad/recording --verify");
     }
 
     int run(std::ostream& out, std::ostream& err) override {
         if (!std::filesystem::is_directory(folder_)) {
-            fmt::print(err, "{}: no folder\n", folder_);
+            fmt::print(err, "{}: not a directory\n", folder_);
             return kInvalidInput;
         }
         const auto disk = record::open_directory(folder_);
@@ -79,9 +79,11 @@
 
     void print_text(const record::ReplayResult& result, std::ostream& out) const {
         const record::ReadSummary& read = result.summary;
-        fmt::print(
-            out, "{} turns with {} events and {} orders, {} bytes, {} lives, {} turns missing\n",
-            read.turns, read.events, read.orders, read.bytes, read.headers, read.missing_turns);
+        fmt::print(out,
+                   "{} turns with {} events and {} orders, {} bytes, {} planner starts, {} turns "
+                   "missing\n",
+                   read.turns, read.events, read.orders, read.bytes, read.headers,
+                   read.missing_turns);
         for (const auto& fault : read.faults) {
             fmt::print(out, "{}: at {}: {} bytes: {}\n", fault.segment, fault.offset, fault.bytes,
                        fault.description);
@@ -90,7 +92,8 @@
             return;
         }
         if (result.matches()) {
-            fmt::print(out, "{} turns replayed, the same to the byte; {} behind a hole were not\n",
+            fmt::print(out,
+                       "{} turns replayed with identical results; {} after a gap were skipped\n",
                        result.replayed_turns, result.skipped_turns);
         } else {
             fmt::print(out, "turn {} differs, at {:.4f}: {}\n", result.replayed_turns,
@@ -108,8 +111,8 @@
 std::unique_ptr<Subcommand> add_replay(CLI::App& program) {
     return std::make_unique<Replay>(
         program.add_subcommand("replay",
-                               "Read a recording: what it holds, where it has holes, and whether "
-                               "this build orders the same."));
+                               "Summarize a recording, report its gaps, and verify that this build "
+                               "gives the same orders."));
 }
 
 }  // namespace micaroad::command
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -51,8 +51,8 @@
     explicit Serve(CLI::App* parser) : Subcommand(parser) {
         app()
             .add_option("--operators", file_,
-                        "Serve an operator's file instead: its pools as methods, its servers by "
-                        "its health rules")
+                        "Serve an operator's file instead of a start file: its pools are the "
+                        "methods, and its health rules apply to its servers")
             ->required();
         app().footer("Example: micaroad serve --operators deploy/operator.txtpb");
     }
@@ -98,7 +98,7 @@
 
 std::unique_ptr<Subcommand> add_serve(CLI::App& program) {
     return std::make_unique<Serve>(program.add_subcommand(
-        "serve", "The daemon. Without words LB_CONFIG names its start file."));
+        "serve", "Run the daemon. Without options, LB_CONFIG names its start file."));
 }
 
 }  // namespace micaroad::command
--- a/src/command/write_atomically.cpp
+++ b/src/command/write_atomically.cpp
@@ -87,10 +87,10 @@
             what = "can't be written";
             break;
         case WriteError::Step::sync:
-            what = "can't be kept";
+            what = "can't be synced to disk";
             break;
         case WriteError::Step::rename:
-            what = "can't be put in place";
+            what = "can't be renamed";
             break;
     }
     return fmt::format("{}: {}: {}", error.path, what, std::strerror(error.error_number));
--- a/src/operators/file.cpp
+++ b/src/operators/file.cpp
@@ -88,7 +88,7 @@
     contents << file.rdbuf();
     const std::string text = std::move(contents).str();
     if (file.bad() || text.size() > kMaxFileBytes) {
-        return unreadable_file(path, "can't be read, or is over 64 MiB");
+        return unreadable_file(path, "can't be read, or is larger than 64 MiB");
     }
     return read_text(text, path);
 }
--- a/src/operators/health_reader.cpp
+++ b/src/operators/health_reader.cpp
@@ -37,7 +37,7 @@
         location.read_number("status_most", message.status_most(), kFirstStatus, kLastStatus);
     if (rule.min_status > rule.max_status) {
         location.add_fault("status_least", std::to_string(rule.min_status),
-                           "more than 'status_most'",
+                           "greater than 'status_most'",
                            fmt::format("{} to {}", kFirstStatus, rule.max_status));
     }
 }
@@ -77,12 +77,12 @@
         const std::string& followed = followed_.at(server);
         if (!visited.insert(server).second) {
             follower.location.add_fault("health_of", followed_.at(follower.full_name),
-                                        "it comes back to itself",
-                                        "a chain that ends at a server with a health of its own");
+                                        "circular health chain",
+                                        "a chain that ends at a server with its own health");
             return;
         }
         if (server == follower.full_name && !servers_.contains(followed)) {
-            follower.location.add_fault("health_of", followed, "no such server", "pool/server");
+            follower.location.add_fault("health_of", followed, "unknown server", "pool/server");
             return;
         }
         server = followed;
--- a/src/operators/listener_reader.cpp
+++ b/src/operators/listener_reader.cpp
@@ -19,8 +19,8 @@
     for (int i = 0; i < message.address_size(); ++i) {
         const std::string& address = message.address(i);
         if (!is_socket_address(address, HostForm::any_allowed)) {
-            location.add_fault("address", address, "no address", "host:port, *:port or [IPv6]:port",
-                               i);
+            location.add_fault("address", address, "invalid address",
+                               "host:port, *:port or [IPv6]:port", i);
         }
         listener.addresses.push_back(address);
     }
@@ -33,7 +33,7 @@
     const std::uint32_t status = message.status();
     if (std::find(kRedirectStatuses.begin(), kRedirectStatuses.end(), status) ==
         kRedirectStatuses.end()) {
-        location.add_fault("status", std::to_string(status), "no redirect",
+        location.add_fault("status", std::to_string(status), "not a redirect status",
                            fmt::format("{}", fmt::join(kRedirectStatuses, ", ")));
     }
     route.action = routing::Redirect{message.location(), static_cast<int>(status)};
@@ -57,7 +57,7 @@
                           route);
             return;
         case Route::THEN_NOT_SET:
-            location.add_fault("name", route.name, "the route says nothing of what is done",
+            location.add_fault("name", route.name, "the route has no action",
                                "pool, turn_away or redirect");
     }
 }
@@ -70,7 +70,7 @@
     routing::Route route;
     route.name = location.check_name("name", message.name());
     if (!names.insert(route.name).second) {
-        location.add_fault("name", route.name, "a second route of this name here");
+        location.add_fault("name", route.name, "duplicate route name in this listener");
     }
     if (message.has_when()) {
         route.match = read_match(message.when(), location.nested("when", message.when()), state);
@@ -87,7 +87,7 @@
         const std::string near = nearest(name, {state.pool_names.begin(), state.pool_names.end()});
         location.add_fault(
             field, name,
-            near.empty() ? "no such pool" : fmt::format("no such pool (perhaps '{}')", near));
+            near.empty() ? "unknown pool" : fmt::format("unknown pool (did you mean '{}'?)", near));
     }
     return name;
 }
@@ -99,7 +99,7 @@
     routing::Listener listener;
     listener.name = location.check_name("name", message.name());
     if (!state.listeners_read.insert(listener.name).second) {
-        location.add_fault("name", listener.name, "a second listener of this name");
+        location.add_fault("name", listener.name, "duplicate listener name");
     }
     read_addresses(message, location, listener);
     if (message.has_connections_most()) {
--- a/src/operators/located_message.cpp
+++ b/src/operators/located_message.cpp
@@ -15,7 +15,7 @@
 namespace pb = google::protobuf;
 
 constexpr std::size_t kMaxNameLength = 128;
-constexpr std::string_view kNameAllowed = "letters, digits and ._-:, 128 at most";
+constexpr std::string_view kNameAllowed = "up to 128 letters, digits and ._-:";
 
 bool is_name_character(char character) {
     return (character >= '0' && character <= '9') || (character >= 'a' && character <= 'z') ||
@@ -60,7 +60,7 @@
         }
         Fault fault = place_;
         fault.value = type->name();
-        fault.message = fmt::format("it lacks '{}'", field->name());
+        fault.message = fmt::format("required field '{}' is missing", field->name());
         faults_->push_back(std::move(fault));
         complete = false;
     }
@@ -69,7 +69,7 @@
 
 std::string LocatedMessage::check_name(const char* field, const std::string& value) const {
     if (!is_name(value)) {
-        add_fault(field, value, "no name", kNameAllowed);
+        add_fault(field, value, "invalid name", kNameAllowed);
     }
     return value;
 }
@@ -77,7 +77,7 @@
 Duration LocatedMessage::read_duration(const char* field, const std::string& value) const {
     const std::optional<Duration> duration = parse_duration(value);
     if (duration && *duration == Duration{}) {
-        add_fault(field, value, "no time at all", "more than 0");
+        add_fault(field, value, "zero duration", "more than 0");
         return Duration{};
     }
     return read_duration_or_zero(field, value);
@@ -86,7 +86,7 @@
 Duration LocatedMessage::read_duration_or_zero(const char* field, const std::string& value) const {
     const std::optional<Duration> duration = parse_duration(value);
     if (!duration) {
-        add_fault(field, value, "no duration", kDurationAllowed);
+        add_fault(field, value, "invalid duration", kDurationAllowed);
     }
     return duration.value_or(Duration{});
 }
--- a/src/operators/match_reader.cpp
+++ b/src/operators/match_reader.cpp
@@ -50,7 +50,7 @@
         reader.add_presence();
     }
     if (message.present() && presence == Presence::not_allowed) {
-        location.add_fault("present", "true", "for headers alone");
+        location.add_fault("present", "true", "allowed only for headers");
     }
     if (reader.kinds() != 1) {
         location.add_fault("exact", "", fmt::format("{} kinds of value are set", reader.kinds()),
@@ -82,7 +82,7 @@
 
 routing::Match read_method(const Words& message, const LocatedMessage& parent) {
     if (message.value_size() == 0) {
-        parent.add_fault("method", "", "no method is named");
+        parent.add_fault("method", "", "no method is given");
     }
     return {routing::MethodIs{{message.value().begin(), message.value().end()}}};
 }
@@ -104,12 +104,12 @@
         if (network) {
             source.networks.push_back(*network);
         } else {
-            location.add_fault("value", message.value(i), "no network",
+            location.add_fault("value", message.value(i), "invalid network",
                                "10.0.0.0/8, 10.1.2.3, 2001:db8::/32", i);
         }
     }
     if (message.value_size() == 0) {
-        parent.add_fault("source", "", "no network is named");
+        parent.add_fault("source", "", "no network is given");
     }
     return {std::move(source)};
 }
@@ -124,7 +124,7 @@
     usable.min_count = location.read_number("least", message.least(), 0, kMaxServers);
     usable.max_count = location.read_number("most", message.most(), 0, kMaxServers);
     if (usable.min_count > usable.max_count) {
-        location.add_fault("least", std::to_string(usable.min_count), "more than 'most'",
+        location.add_fault("least", std::to_string(usable.min_count), "greater than 'most'",
                            fmt::format("0 to {}", usable.max_count));
     }
     return {std::move(usable)};
@@ -168,7 +168,7 @@
             return read_usable_servers(message.usable_servers(),
                                        nested("usable_servers", message.usable_servers()), state);
         case Match::IS_NOT_SET:
-            location.add_fault("all_of", "", "a match that says nothing", "one of its fields");
+            location.add_fault("all_of", "", "empty match", "one of its fields");
     }
     return {};
 }
--- a/src/operators/pool_reader.cpp
+++ b/src/operators/pool_reader.cpp
@@ -39,8 +39,8 @@
     server.name = location.check_name("name", message.name());
     server.address = message.address();
     if (!is_socket_address(server.address, HostForm::address)) {
-        location.add_fault("address", server.address, "no address",
-                           "10.0.0.1:80 or [::1]:80; names need a look-up, which is not done");
+        location.add_fault("address", server.address, "invalid address",
+                           "10.0.0.1:80 or [::1]:80; host names are not resolved");
     }
     server.weight = location.read_number("weight", message.weight(), 0, kMaxWeight);
     server.tier = to_plan(kTiers, message.tier());
@@ -70,7 +70,7 @@
         }
         const routing::Server& server = pool.servers.back();
         if (!names.insert(server.name).second) {
-            inner.add_fault("name", server.name, "a second server of this name in the pool");
+            inner.add_fault("name", server.name, "duplicate server name in this pool");
         }
         const bool ready = server.state == routing::State::ready;
         any_ready = any_ready || ready;
@@ -78,12 +78,12 @@
     }
     if (any_ready && !any_weight) {
         location.add_fault("name", pool.name,
-                           "its shares can't be met: every ready server has weight 0",
+                           "its shares are undefined: every ready server has weight 0",
                            "a weight over 0, or state: DRAINING");
     }
     if (pool.servers.empty()) {
         state.result.notices.push_back(
-            fmt::format("pool {} has no servers: what is sent there is turned away", pool.name));
+            fmt::format("pool {} has no servers: RPCs sent to it are rejected", pool.name));
     }
 }
 
@@ -108,7 +108,8 @@
     const bool needs_name =
         stickiness.by == By::header || stickiness.by == By::query || stickiness.by == By::cookie;
     if (needs_name && stickiness.name.empty()) {
-        location.add_fault("by", Stickiness::By_Name(message.by()), "it lacks 'name'");
+        location.add_fault("by", Stickiness::By_Name(message.by()),
+                           "required field 'name' is missing");
     }
     if (message.has_path_depth()) {
         stickiness.path_depth =
@@ -154,7 +155,7 @@
     routing::Pool pool;
     pool.name = location.check_name("name", message.name());
     if (!state.pools_read.insert(pool.name).second) {
-        location.add_fault("name", pool.name, "a second pool of this name");
+        location.add_fault("name", pool.name, "duplicate pool name");
     }
     read_pool_settings(message, location, pool);
     read_servers(message, location, state, pool);
--- a/src/operators/service_reader.cpp
+++ b/src/operators/service_reader.cpp
@@ -11,8 +11,8 @@
     service.name = location.check_name("name", message.name());
     service.listen = message.listen();
     if (!is_listening_address(service.listen)) {
-        location.add_fault("listen", service.listen, "no address",
-                           "10.0.0.1:3000 or [::1]:3000; port 0: any that is free");
+        location.add_fault("listen", service.listen, "invalid address",
+                           "10.0.0.1:3000 or [::1]:3000; port 0 for any free port");
     }
     service.proxies = location.read_number("proxies", message.proxies(), 1, 100'000);
     service.lines_per_second =
@@ -27,7 +27,8 @@
     service.drain_grace = location.read_duration("drain_grace", message.drain_grace());
     if (service.drain_grace <= service.max_message_delay) {
         location.add_fault("drain_grace", message.drain_grace(),
-                           "shorter than a message may travel", "more than message_longest");
+                           "not longer than the maximum message delay",
+                           "more than message_longest");
     }
     service.memory_mb = location.read_number("memory_mb", message.memory_mb(), 16, 65'536);
     service.sockets = location.read_number("sockets", message.sockets(), 64, 1'000'000);
@@ -40,7 +41,7 @@
     }
     recording.path = message.path();
     if (recording.path.empty()) {
-        location.add_fault("path", "", "no path");
+        location.add_fault("path", "", "empty path");
     }
     recording.segment_mb = location.read_number("segment_mb", message.segment_mb(), 1, 1'024);
     recording.total_mb = location.read_number("all_mb", message.all_mb(), 2, 1'000'000);
--- a/src/operators/text_parser.cpp
+++ b/src/operators/text_parser.cpp
@@ -117,11 +117,11 @@
         for (int i = 0; i < type->field_count(); ++i) {
             known.push_back(type->field(i)->name());
         }
-        fault.message = fmt::format("no field of {}", type->name());
+        fault.message = fmt::format("unknown field of {}", type->name());
     }
     const std::string near = nearest(field_name, known);
     if (!near.empty()) {
-        fault.message += fmt::format(" (perhaps '{}')", near);
+        fault.message += fmt::format(" (did you mean '{}'?)", near);
     }
     fault.allowed = joined(known);
     return fault;
@@ -130,7 +130,7 @@
 Fault unknown_enum_value(Fault fault, const std::string& value, const std::string& field_name,
                          const pb::Descriptor& root) {
     fault.value = value;
-    fault.message = fmt::format("no value of {}", field_name);
+    fault.message = fmt::format("invalid value of {}", field_name);
     fault.allowed = joined(enum_values(root, field_name));
     return fault;
 }
--- a/src/routing/health_checked_endpoints.hpp
+++ b/src/routing/health_checked_endpoints.hpp
@@ -27,7 +27,7 @@
     HealthRule rule;
 };
 
-/// A change for the log, such as "web/a is down: 3 probes in a row were not".
+/// A change for the log, such as "web/a is down: 3 consecutive health checks failed".
 [[nodiscard]] std::string describe(const HealthChange& change);
 
 /// Not thread-safe. Servers are identified by their full names.
--- a/src/routing/health_tracker.cpp
+++ b/src/routing/health_tracker.cpp
@@ -8,11 +8,12 @@
 namespace {
 
 std::string describe_reason(const ConsecutiveChecks& checks) {
-    return fmt::format("{} probes in a row were {}", checks.count, checks.healthy ? "ok" : "not");
+    return fmt::format("{} consecutive health checks {}", checks.count,
+                       checks.healthy ? "succeeded" : "failed");
 }
 
 std::string describe_reason(const ConsecutiveErrors& errors) {
-    return fmt::format("{} RPCs in a row failed there", errors.count);
+    return fmt::format("{} consecutive RPCs failed", errors.count);
 }
 
 }  // namespace
--- a/src/routing/health_tracker.hpp
+++ b/src/routing/health_tracker.hpp
@@ -28,7 +28,7 @@
 };
 using HealthChangeReason = std::variant<ConsecutiveChecks, ConsecutiveErrors>;
 
-/// A text for the log, such as "3 probes in a row were not".
+/// A text for the log, such as "3 consecutive health checks failed".
 [[nodiscard]] std::string describe(const HealthChangeReason& reason);
 
 /// A server came up or went down.
--- a/src/routing/retry.cpp
+++ b/src/routing/retry.cpp
@@ -20,22 +20,22 @@
     using Target = RetryRule::Target;
     const RetryRule& rule = pool.retry_rule;
     if (attempted_servers.empty()) {
-        return no_retry("nothing was tried");
+        return no_retry("no attempt was made");
     }
     const int retries = static_cast<int>(attempted_servers.size()) - 1;
     if (retries >= rule.max_retries) {
-        return no_retry(fmt::format("{} further tries were made, as many as may be", retries));
+        return no_retry(fmt::format("{} retries were made, which is the limit", retries));
     }
     if (outcome != AttemptOutcome::no_connection && rule.condition == Condition::no_connection) {
-        return no_retry("only what never reached a server is tried again here");
+        return no_retry("the pool retries only RPCs for which no connection was made");
     }
     const bool not_executed =
         outcome == AttemptOutcome::no_connection || outcome == AttemptOutcome::rejected_by_server;
     if (!not_executed && rule.condition == Condition::not_executed) {
-        return no_retry("only what a server has pushed back is tried again here");
+        return no_retry("the pool retries only RPCs that no server executed");
     }
     if (!not_executed && !rpc.idempotent()) {
-        return no_retry(fmt::format("{} may have run, and must not take effect twice", rpc.method));
+        return no_retry(fmt::format("{} is not idempotent and may have been executed", rpc.method));
     }
     const bool is_last = retries + 1 == rule.max_retries;
     const bool other_server =
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -15,13 +15,13 @@
 std::optional<std::string> follow_route(const Listener& listener, const Route& route,
                                         Decision& decision) {
     decision.route = route.name;
-    decision.explanation.push_back(
-        fmt::format("route {} is the first of {} that fits", route.name, listener.routes.size()));
+    decision.explanation.push_back(fmt::format("route {} is the first of {} that matches",
+                                               route.name, listener.routes.size()));
     if (const auto* rejection = std::get_if<Reject>(&route.action)) {
         decision.kind = Decision::Kind::rejected;
         decision.status = rejection->status;
         decision.explanation.push_back(
-            fmt::format("it turns RPCs away with {}", rejection->status));
+            fmt::format("it rejects RPCs with status {}", rejection->status));
         return std::nullopt;
     }
     if (const auto* redirect = std::get_if<Redirect>(&route.action)) {
@@ -38,11 +38,11 @@
 std::optional<std::string> follow_default(const Listener& listener, Decision& decision) {
     if (listener.default_pool.empty()) {
         decision.explanation.push_back(fmt::format(
-            "none of {} routes fits and there is no default pool", listener.routes.size()));
+            "none of {} routes matches and there is no default pool", listener.routes.size()));
         return std::nullopt;
     }
     decision.explanation.push_back(
-        fmt::format("none of {} routes fits: the default pool", listener.routes.size()));
+        fmt::format("none of {} routes matches: the default pool applies", listener.routes.size()));
     return listener.default_pool;
 }
 
@@ -92,9 +92,9 @@
     decision.sticky_server = selector_.sticky_server(pool, rpc, view, decision.split);
     if (!decision.sticky_server.empty()) {
         const bool by_cookie = pool.stickiness.by == Stickiness::By::cookie;
-        decision.explanation.push_back(fmt::format("it stays with {}, by its {}",
+        decision.explanation.push_back(fmt::format("it is sticky to {} by its {}",
                                                    decision.sticky_server,
-                                                   by_cookie ? "cookie" : "key's hash"));
+                                                   by_cookie ? "cookie" : "hashed key"));
     }
     const bool no_shares = decision.split.shares.empty();
     if (no_shares && decision.sticky_server.empty()) {
@@ -111,8 +111,9 @@
     decision.kind = Decision::Kind::wait;
     decision.queue_timeout = pool.queue_timeout;
     decision.explanation.push_back(
-        pool_full ? fmt::format("the pool runs the {} it may: it waits", pool.max_connections)
-                  : "it waits for a server");
+        pool_full ? fmt::format("the pool has reached its limit of {} running RPCs: it waits",
+                                pool.max_connections)
+                  : "it waits for a server with free capacity");
 }
 
 }  // namespace micaroad::routing
--- a/src/routing/server_selector.cpp
+++ b/src/routing/server_selector.cpp
@@ -94,14 +94,14 @@
 std::string explain(const Pool& pool, const TrafficSplit& split) {
     std::string remark;
     if (split.tier == Tier::backup && !pool.all_backups) {
-        remark = ", the first of its backups";
+        remark = ", only its first usable backup";
     } else if (split.all_full) {
-        remark = ", all of them full";
+        remark = ", all at their limits";
     } else if (split.tier == Tier::backup) {
-        remark = ", as no active server can";
+        remark = ", as no active server is usable";
     }
-    return fmt::format("{} {} of pool {} can be used{}", split.shares.size(), tier_name(split.tier),
-                       pool.name, remark);
+    return fmt::format("usable servers: {} {} in pool {}{}", split.shares.size(),
+                       tier_name(split.tier), pool.name, remark);
 }
 
 }  // namespace
@@ -192,7 +192,7 @@
     if (in_use.empty()) {
         in_use = candidates(pool, Tier::backup, view);
         if (in_use.empty()) {
-            split.explanation = fmt::format("no server of pool {} can be used", pool.name);
+            split.explanation = fmt::format("no server of pool {} is usable", pool.name);
             return split;
         }
         split.tier = Tier::backup;
--- a/tests/command_test.cpp
+++ b/tests/command_test.cpp
@@ -111,7 +111,7 @@
     const auto failed = command::write_atomically(folder.at("dir"), "text");
     REQUIRE(!failed);
     CHECK(failed.error().step == command::WriteError::Step::rename);
-    CHECK(command::describe(failed.error()).find("can't be put in place") != std::string::npos);
+    CHECK(command::describe(failed.error()).find("can't be renamed") != std::string::npos);
     ::chmod(out.c_str(), 0600);
     CHECK(command::write_atomically(out, "new"));
     CHECK(read(out) == "new");
@@ -125,7 +125,7 @@
     const Folder folder;
     const std::string out = folder.at("o.txtpb");
     run({"import", "haproxy", folder.file("shop.cfg", kShop), "--out", out});
-    CHECK(run({"check", out}).out == out + ": sound: 1 listeners, 1 routes, 2 pools, 4 servers\n");
+    CHECK(run({"check", out}).out == out + ": valid: 1 listeners, 1 routes, 2 pools, 4 servers\n");
     const Ran bad =
         run({"check", folder.file("bad.txtpb", "pool { nane: 1 }\npool { name: \"\" }")});
     CHECK((bad.code == command::kInvalidInput && bad.out.empty() &&
@@ -146,7 +146,7 @@
     CHECK(nlohmann::json::parse(
               explain({"--down", "web/a", "web/b", "c", "--json"}).out)["status"] == 503);
     CHECK(explain({"--down", "nobody"}).code == command::kUsageError);
-    CHECK(explain({"--down", "a"}).err.find("several servers: web/a, static/a") !=
+    CHECK(explain({"--down", "a"}).err.find("ambiguous server name: web/a, static/a") !=
           std::string::npos);
     CHECK(explain({"--listener", "none"}).code == command::kUsageError);
     CHECK(explain({"--source", "x"}).code == command::kUsageError);
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -131,27 +131,28 @@
         }
         return found;
     };
-    CHECK(has("f:2:3: 'a b': no name", "letters, digits"));
-    CHECK(has("f:3:3: 'nowhere': no address", "host:port"));
-    CHECK(
-        has("f:4:", "'adress': no field of Listener (perhaps 'address'); allowed: name, address"));
-    CHECK(has("f:5:21: 'wev': no such pool (perhaps 'web')", ""));
-    CHECK(has("f:6:11: 'r': a second route", ""));
-    CHECK(has("f:6:11: 'r': the route says nothing", "turn_away"));
-    CHECK(has("f:7:3: 'none': no such pool", ""));
-    CHECK(has("f:11:3: '12': no duration", "2147483647ms"));
-    CHECK(has("f:12:3: '99999999999999999999s': no duration", ""));
-    CHECK(has("f:13:22: 'web.internal:80': no address", "look-up"));
+    CHECK(has("f:2:3: 'a b': invalid name", "letters, digits"));
+    CHECK(has("f:3:3: 'nowhere': invalid address", "host:port"));
+    CHECK(has(
+        "f:4:",
+        "'adress': unknown field of Listener (did you mean 'address'?); allowed: name, address"));
+    CHECK(has("f:5:21: 'wev': unknown pool (did you mean 'web'?)", ""));
+    CHECK(has("f:6:11: 'r': duplicate route name", ""));
+    CHECK(has("f:6:11: 'r': the route has no action", "turn_away"));
+    CHECK(has("f:7:3: 'none': unknown pool", ""));
+    CHECK(has("f:11:3: '12': invalid duration", "2147483647ms"));
+    CHECK(has("f:12:3: '99999999999999999999s': invalid duration", ""));
+    CHECK(has("f:13:22: 'web.internal:80': invalid address", "not resolved"));
     CHECK(has("f:13:49: '300': out of range; allowed: 0 to 256", ""));
     CHECK(has("f:13:",
-              "'SLEEPY': no value of state; allowed: READY, DRAINING, DISABLED, MAINTENANCE"));
-    CHECK(has("f:14:12: 'a': a second server", ""));
-    CHECK(has("f:14:45: 'web/zz': no such server", "pool/server"));
-    CHECK(has("f:15:3: 'Server': it lacks 'address'", ""));
+              "'SLEEPY': invalid value of state; allowed: READY, DRAINING, DISABLED, MAINTENANCE"));
+    CHECK(has("f:14:12: 'a': duplicate server name", ""));
+    CHECK(has("f:14:45: 'web/zz': unknown server", "pool/server"));
+    CHECK(has("f:15:3: 'Server': required field 'address' is missing", ""));
     CHECK(has("f:16:21: '99999999999'", "whole number"));
-    CHECK(has("f:18:8: 'web': a second pool", ""));
-    CHECK(has("f:18:8: 'web': its shares can't be met", "DRAINING"));
-    CHECK(has("f:18:39: '10.0.0.9:99999': no address", ""));
+    CHECK(has("f:18:8: 'web': duplicate pool name", ""));
+    CHECK(has("f:18:8: 'web': its shares are undefined", "DRAINING"));
+    CHECK(has("f:18:39: '10.0.0.9:99999': invalid address", ""));
     CHECK(faults.size() == 19);
     CHECK(std::is_sorted(faults.begin(), faults.end(), [](const auto& a, const auto& b) {
         return std::stoi(a.substr(2)) < std::stoi(b.substr(2));
