--- a/src/command/command.cpp
+++ b/src/command/command.cpp
@@ -12,7 +12,7 @@
 void describe_program(CLI::App& program) {
     program.set_version_flag("--version", std::string("micaroad ") + kVersion);
     program.footer(
-        "Exit codes: 0 done, 1 findings under --strict, 2 unusable input, 64 wrong usage.\n"
+        "Exit codes: 0 success, 1 findings under --strict, 2 invalid input, 64 usage error.\n"
         "Example: micaroad import haproxy /etc/haproxy/haproxy.cfg --out deploy/operator.txtpb");
     program.require_subcommand(1);
 }
@@ -21,28 +21,28 @@
 
 int run(const std::vector<std::string>& words, std::ostream& out, std::ostream& err) {
     CLI::App program{
-        "micaroad tells forwarding proxies where RPCs go. Without words it is the daemon, as "
-        "`micaroad serve` is.",
+        "micaroad tells forwarding proxies where RPCs go. Without arguments it runs the daemon, "
+        "like `micaroad serve`.",
         "micaroad"};
     describe_program(program);
-    // In the order of the help.
+    // In the order of the help text.
     const std::array subcommands{add_serve(program), add_import(program), add_check(program),
                                  add_explain(program), add_replay(program)};
-    // The parser takes the last word first.
+    // CLI11 expects the words in reverse order.
     std::vector<std::string> reversed(words.rbegin(), words.rend());
     try {
         program.parse(reversed);
     } catch (const CLI::ParseError& error) {
-        // Help and version come this way too, with code 0.
+        // --help and --version also end here, with exit code 0.
         const int code = program.exit(error, out, err);
-        return code == 0 ? kDone : kWrongUsage;
+        return code == 0 ? kSuccess : kUsageError;
     }
     for (const std::unique_ptr<Subcommand>& subcommand : subcommands) {
         if (subcommand->chosen()) {
             return subcommand->run(out, err);
         }
     }
-    return kWrongUsage;  // not reached: the parser requires a subcommand
+    return kUsageError;  // not reached: the parser requires a subcommand
 }
 
 }  // namespace micaroad::command
--- a/src/command/explain.cpp
+++ b/src/command/explain.cpp
@@ -1,4 +1,5 @@
-// `micaroad explain`: the route, pool, tier and weights that an RPC gets by an operator's file.
+// `micaroad explain`: prints the route, pool, tier and shares that an RPC gets by an operator's
+// file.
 #include <fmt/format.h>
 #include <fmt/ostream.h>
 
@@ -46,7 +47,7 @@
                                 {"status", decision.status},
                                 {"location", decision.location},
                                 {"why", decision.explanation}};
-    // Names from the file need not be UTF-8.
+    // Names from the file may be invalid UTF-8, which would make dump() throw.
     out << report.dump(1, ' ', false, nlohmann::json::error_handler_t::replace) << "\n";
 }
 
@@ -78,59 +79,60 @@
     }
 }
 
-int wrong_usage(const OptionError& error, std::ostream& err) {
+int report_usage_error(const OptionError& error, std::ostream& err) {
     fmt::print(err, "{}\n", describe(error));
-    return kWrongUsage;
+    return kUsageError;
 }
 
 class Explain : public Subcommand {
  public:
     explicit Explain(CLI::App* parser) : Subcommand(parser) {
         app().add_option("FILE", options_.file, "The operator's file")->required();
-        app().add_option("--listener", options_.listener, "Needed where there are several");
-        app().add_option("--method", options_.method, "GET if absent");
-        app().add_option("--path", options_.path, "With its query, if any; / if absent");
-        app().add_option("--host", options_.host, "As the client names it");
-        app().add_option("--source", options_.source, "The client's address; 127.0.0.1 if absent");
+        app().add_option("--listener", options_.listener,
+                         "Required if the file has several listeners");
+        app().add_option("--method", options_.method, "Default: GET");
+        app().add_option("--path", options_.path, "With the query, if any; default: /");
+        app().add_option("--host", options_.host, "As sent by the client");
+        app().add_option("--source", options_.source, "The client's address; default: 127.0.0.1");
         app()
-            .add_option("--header", options_.headers, "NAME:VALUE, as often as need be")
+            .add_option("--header", options_.headers, "NAME:VALUE; may be repeated")
             ->allow_extra_args(false);
         app()
-            .add_option("--cookie", options_.cookies, "NAME=VALUE, as often as need be")
+            .add_option("--cookie", options_.cookies, "NAME=VALUE; may be repeated")
             ->allow_extra_args(false);
         app().add_option("--down", options_.down, "Servers that are down, by name or pool/name");
-        app().add_option("--draining", options_.draining, "Servers that drain since now");
-        app().add_flag("--json", options_.json, "For a program");
+        app().add_option("--draining", options_.draining, "Servers that start to drain now");
+        app().add_flag("--json", options_.json, "Print JSON");
         app().footer(
             "Example: micaroad explain deploy/operator.txtpb --host shop.example --path /img/a.png "
             "--down web/a");
     }
 
     int run(std::ostream& out, std::ostream& err) override {
-        const std::optional<operators::Reading> reading = read_operator_file(options_.file, err);
-        if (!reading) {
-            return kUnusable;
+        const std::optional<operators::ReadResult> result = read_operator_file(options_.file, err);
+        if (!result) {
+            return kInvalidInput;
         }
-        const auto listener = find_listener(options_, reading->plan);
+        const auto listener = find_listener(options_, result->plan);
         if (!listener) {
-            return wrong_usage(listener.error(), err);
+            return report_usage_error(listener.error(), err);
         }
         const auto rpc = make_rpc(options_);
         if (!rpc) {
-            return wrong_usage(rpc.error(), err);
+            return report_usage_error(rpc.error(), err);
         }
-        const auto view = make_view(options_, reading->plan);
+        const auto view = make_view(options_, result->plan);
         if (!view) {
-            return wrong_usage(view.error(), err);
+            return report_usage_error(view.error(), err);
         }
-        const routing::Router router(reading->plan);
+        const routing::Router router(result->plan);
         const routing::Decision decision = router.decide(*listener, *rpc, *view);
         if (options_.json) {
             print_json(decision, out);
         } else {
             print_text(decision, out);
         }
-        return kDone;
+        return kSuccess;
     }
 
  private:
@@ -142,7 +144,7 @@
 std::unique_ptr<Subcommand> add_explain(CLI::App& program) {
     return std::make_unique<Explain>(
         program.add_subcommand("explain",
-                               "Tell the route, pool, tier and parts that an RPC would get by an "
+                               "Print the route, pool, tier and shares that an RPC would get by an "
                                "operator's file, and why."));
 }
 
--- a/src/command/explain_request.cpp
+++ b/src/command/explain_request.cpp
@@ -11,7 +11,7 @@
 namespace micaroad::command {
 namespace {
 
-// Any time will do, as long as servers that are up since long ago have come before it.
+// An arbitrary time after the epoch, which stands for servers that have been up for long.
 constexpr TimePoint kNow{std::chrono::seconds(1'000)};
 
 constexpr char kHeaderSeparator = ':';
@@ -19,10 +19,10 @@
 
 struct NameAndValue {
     std::string name;
-    std::string value;  // without blanks in front
+    std::string value;  // without leading spaces
 };
 
-// Absent without a name or a separator.
+// Splits a word at the first separator. Absent if the name or the separator is missing.
 std::optional<NameAndValue> split(const std::string& word, char separator) {
     const std::size_t at = word.find(separator);
     if (at == std::string::npos || at == 0) {
@@ -32,7 +32,7 @@
     return NameAndValue{word.substr(0, at), word.substr(value_begin)};
 }
 
-// A server by its full name, or by its own name where only one has it.
+// Finds a server by its full name, or by its own name if that is unique. Returns the full name.
 tl::expected<std::string, OptionError> find_server(const std::string& word,
                                                    const routing::Plan& plan) {
     std::vector<std::string> found;
@@ -60,18 +60,18 @@
     using Kind = OptionError::Kind;
     switch (error.kind) {
         case Kind::unknown_listener:
-            return fmt::format("--listener '{}': one of {}", error.value,
+            return fmt::format("--listener '{}': unknown listener; allowed: {}", error.value,
                                fmt::join(error.candidates, ", "));
         case Kind::bad_source:
-            return fmt::format("--source '{}': no address", error.value);
+            return fmt::format("--source '{}': invalid address", error.value);
         case Kind::bad_header:
-            return fmt::format("'{}': NAME{}VALUE", error.value, kHeaderSeparator);
+            return fmt::format("'{}': must be NAME{}VALUE", error.value, kHeaderSeparator);
         case Kind::bad_cookie:
-            return fmt::format("'{}': NAME{}VALUE", error.value, kCookieSeparator);
+            return fmt::format("'{}': must be NAME{}VALUE", error.value, kCookieSeparator);
         case Kind::unknown_server:
-            return fmt::format("'{}': no such server", error.value);
+            return fmt::format("'{}': unknown server", error.value);
         case Kind::ambiguous_server:
-            return fmt::format("'{}': several servers: {}", error.value,
+            return fmt::format("'{}': ambiguous server name: {}", error.value,
                                fmt::join(error.candidates, ", "));
     }
     return "?";
@@ -103,7 +103,7 @@
     if (question_mark != std::string::npos) {
         rpc.query = options.path.substr(question_mark + 1);
     }
-    const std::optional<routing::Address> source = routing::address_of(options.source);
+    const std::optional<routing::Address> source = routing::parse_address(options.source);
     if (!source) {
         return tl::unexpected(OptionError{OptionError::Kind::bad_source, options.source, {}});
     }
@@ -113,7 +113,7 @@
         if (!header) {
             return tl::unexpected(OptionError{OptionError::Kind::bad_header, word, {}});
         }
-        rpc.headers.emplace_back(routing::lower(header->name), header->value);
+        rpc.headers.emplace_back(routing::to_lower(header->name), header->value);
     }
     for (const std::string& word : options.cookies) {
         const std::optional<NameAndValue> cookie = split(word, kCookieSeparator);
--- a/src/command/import.cpp
+++ b/src/command/import.cpp
@@ -1,4 +1,4 @@
-// `micaroad import haproxy`: makes an operator's file of HAProxy's configuration.
+// `micaroad import haproxy`: translates an HAProxy configuration to an operator's file.
 #include <fmt/format.h>
 #include <fmt/ostream.h>
 #include <unistd.h>
@@ -36,16 +36,17 @@
  public:
     explicit ImportHaproxy(CLI::App* parser) : Subcommand(parser) {
         app()
-            .add_option("FILE", files_, "Files, or directories of *.cfg, in the original's order")
+            .add_option("FILE", files_,
+                        "Files, or directories of *.cfg, in the order in which HAProxy reads them")
             ->required();
         app().add_option(
             "--out", output_,
-            "Where the operator's file goes, whole or not at all; else to standard output, "
+            "Where the operator's file is written, atomically; default: standard output, "
             "unless --report is given");
         app()
-            .add_option("--report", report_, "How findings are told on standard output")
+            .add_option("--report", report_, "Print the findings to standard output in this format")
             ->check(CLI::IsMember({"text", "json"}));
-        app().add_flag("--strict", strict_, "End with 1 if anything was changed or refused");
+        app().add_flag("--strict", strict_, "Exit with 1 if anything was changed or refused");
         app().footer(
             "Example: micaroad import haproxy haproxy.cfg conf.d --out deploy/operator.txtpb "
             "--report json --strict");
@@ -56,21 +57,21 @@
             haproxy::translate(haproxy::read_files(files_, process_environment()));
         if (!import.troubles.empty()) {
             print_faults(import.troubles, err);
-            return kUnusable;
+            return kInvalidInput;
         }
         const std::string text = operators::write_text(import.plan, heading());
-        // What was made is read as the operator's file will be: a fault in it is the importer's.
-        const operators::Reading read_back =
+        // The result is read back as an operator's file; a fault in it is a bug of the importer.
+        const operators::ReadResult read_back =
             operators::read_text(text, output_.empty() ? "(result)" : output_);
         if (!read_back.faults.empty()) {
             print_faults(read_back.faults, err);
-            return kUnusable;
+            return kInvalidInput;
         }
         if (!write_result(text, out, err)) {
-            return kUnusable;
+            return kInvalidInput;
         }
         write_report(import, out, err);
-        return strict_ && has_findings(import) ? kFindings : kDone;
+        return strict_ && has_findings(import) ? kFindings : kSuccess;
     }
 
  private:
@@ -82,7 +83,7 @@
 
     bool write_result(const std::string& text, std::ostream& out, std::ostream& err) const {
         if (output_.empty()) {
-            // With a report, standard output is the report's.
+            // With --report, standard output is reserved for the report.
             if (report_.empty()) {
                 out << text;
             }
@@ -96,7 +97,7 @@
         return true;
     }
 
-    // To `err` where standard output is the result's.
+    // Writes the report to `err` if standard output holds the result.
     void write_report(const haproxy::Import& import, std::ostream& out, std::ostream& err) const {
         const bool result_on_out = report_.empty() && output_.empty();
         std::ostream& report = result_on_out ? err : out;
@@ -119,12 +120,12 @@
 
 std::unique_ptr<Subcommand> add_import(CLI::App& program) {
     CLI::App* const import = program.add_subcommand(
-        "import", "Make an operator's file of another program's configuration.");
+        "import", "Translate another program's configuration to an operator's file.");
     import->require_subcommand(1);
     return std::make_unique<ImportHaproxy>(
         import->add_subcommand("haproxy",
-                               "Of HAProxy's (2.8). Each line of it is translated, changed, "
-                               "refused or without effect, and named."));
+                               "Translate an HAProxy 2.8 configuration. Each line is reported as "
+                               "translated, changed, refused or without effect."));
 }
 
 }  // namespace micaroad::command
--- a/src/command/serve.cpp
+++ b/src/command/serve.cpp
@@ -1,5 +1,5 @@
-// `micaroad serve --operators`: the daemon from an operator's file. SIGHUP reads the file again;
-// SIGTERM and SIGINT end it.
+// `micaroad serve --operators`: runs the daemon with an operator's file. SIGHUP reloads the file;
+// SIGTERM and SIGINT stop the daemon.
 #include <fmt/format.h>
 #include <pthread.h>
 #include <signal.h>
@@ -16,7 +16,7 @@
 namespace micaroad::command {
 namespace {
 
-// Blocks the signals in this thread and those that it starts, so that the signal thread alone
+// Blocks the signals in this thread and the threads that it starts, so that only the signal thread
 // receives them.
 sigset_t block_signals() {
     signal(SIGPIPE, SIG_IGN);
@@ -30,13 +30,13 @@
 }
 
 void reload(const std::string& file, PlannerService& service, Log& log) {
-    const operators::Reading reading = operators::read_file(file);
-    for (const operators::Fault& fault : reading.faults) {
+    const operators::ReadResult result = operators::read_file(file);
+    for (const operators::Fault& fault : result.faults) {
         log.error("configuration: fault in file text=\"{}\"", fault.text());
     }
-    if (!reading.faults.empty()) {
+    if (!result.faults.empty()) {
         log.error("configuration: reload rejected file={} reason=\"faults in the file\"", file);
-    } else if (!service.replace(reading.plan)) {
+    } else if (!service.replace(result.plan)) {
         log.error(
             "configuration: reload rejected file={} reason=\"its pools differ, which needs a "
             "restart\"",
@@ -51,31 +51,31 @@
     explicit Serve(CLI::App* parser) : Subcommand(parser) {
         app()
             .add_option("--operators", file_,
-                        "Serve an operator's file instead: its pools as methods, its servers by "
-                        "its health rules")
+                        "Serve an operator's file instead of a start file: its pools are the "
+                        "methods, and its health rules apply to its servers")
             ->required();
         app().footer("Example: micaroad serve --operators deploy/operator.txtpb");
     }
 
     int run(std::ostream&, std::ostream& err) override {
         const sigset_t signals = block_signals();
-        const operators::Reading reading = operators::read_file(file_);
-        for (const operators::Fault& fault : reading.faults) {
+        const operators::ReadResult result = operators::read_file(file_);
+        for (const operators::Fault& fault : result.faults) {
             err << fault.text() << "\n";
         }
-        if (!reading.faults.empty()) {
-            return kUnusable;
+        if (!result.faults.empty()) {
+            return kInvalidInput;
         }
         Log log(STDERR_FILENO);
-        for (const std::string& notice : reading.notices) {
+        for (const std::string& notice : result.notices) {
             log.warn("configuration: notice file={} text=\"{}\"", file_, notice);
         }
-        PlannerService service(reading.plan, clock_from_now(), log);
+        PlannerService service(result.plan, clock_from_now(), log);
         std::thread signal_thread([&] { handle_signals(signals, service, log); });
         const int code = service.run();
         if (code != 0) {
-            // It ended by itself, so no signal has ended the thread, which waits for one.
-            // NOLINTNEXTLINE(bugprone-bad-signal-to-kill-thread): blocked, and taken by sigwait.
+            // The service failed without a signal, so the signal thread still waits for one.
+            // NOLINTNEXTLINE(bugprone-bad-signal-to-kill-thread): blocked, and received by sigwait.
             pthread_kill(signal_thread.native_handle(), SIGTERM);
         }
         signal_thread.join();
@@ -98,7 +98,7 @@
 
 std::unique_ptr<Subcommand> add_serve(CLI::App& program) {
     return std::make_unique<Serve>(program.add_subcommand(
-        "serve", "The daemon. Without words LB_CONFIG names its start file."));
+        "serve", "Run the daemon. Without options, LB_CONFIG names its start file."));
 }
 
 }  // namespace micaroad::command
--- a/src/operators/match_reader.cpp
+++ b/src/operators/match_reader.cpp
@@ -1,5 +1,4 @@
-// What an RPC has to be like for a route. The parser bounds how deep matches may stand in one
-// another.
+// Readers of a route's conditions. They recurse into nested matches, whose depth the parser bounds.
 #include <fmt/format.h>
 
 #include <optional>
@@ -11,25 +10,25 @@
 namespace micaroad::operators {
 namespace {
 
-constexpr std::uint32_t kMostServers = 1'000'000;
+constexpr std::uint32_t kMaxServers = 1'000'000;
 
 enum class Presence { not_allowed, allowed };
 
-// The values of a text, all of one kind.
+// Collects the values of a text match and counts their kinds, of which exactly one is allowed.
 class TextReader {
  public:
     template <class Values>
-    void add(routing::TextWay kind, const Values& values) {
+    void add(routing::TextMatchKind kind, const Values& values) {
         if (values.empty()) {
             return;
         }
         ++kinds_;
-        match_.way = kind;
+        match_.kind = kind;
         match_.values.assign(values.begin(), values.end());
     }
     void add_presence() {
         ++kinds_;
-        match_.way = routing::TextWay::present;
+        match_.kind = routing::TextMatchKind::present;
         match_.values.clear();
     }
     [[nodiscard]] int kinds() const { return kinds_; }
@@ -43,22 +42,22 @@
 routing::TextMatch read_text_match(const Text& message, const LocatedMessage& location,
                                    Presence presence) {
     TextReader reader;
-    reader.add(routing::TextWay::exact, message.exact());
-    reader.add(routing::TextWay::prefix, message.prefix());
-    reader.add(routing::TextWay::suffix, message.suffix());
-    reader.add(routing::TextWay::contains, message.contains());
+    reader.add(routing::TextMatchKind::exact, message.exact());
+    reader.add(routing::TextMatchKind::prefix, message.prefix());
+    reader.add(routing::TextMatchKind::suffix, message.suffix());
+    reader.add(routing::TextMatchKind::contains, message.contains());
     if (message.present()) {
         reader.add_presence();
     }
     if (message.present() && presence == Presence::not_allowed) {
-        location.add_fault("present", "true", "for headers alone");
+        location.add_fault("present", "true", "allowed only for headers");
     }
     if (reader.kinds() != 1) {
         location.add_fault("exact", "", fmt::format("{} kinds of value are set", reader.kinds()),
                            "exactly one of exact, prefix, suffix, contains, present");
     }
     routing::TextMatch match = reader.match();
-    match.any_case = message.any_case();
+    match.ignore_case = message.any_case();
     return match;
 }
 
@@ -75,15 +74,15 @@
 routing::Match read_host(const Text& message, const LocatedMessage& location) {
     routing::TextMatch host = read_text_match(message, location, Presence::not_allowed);
     for (std::string& value : host.values) {
-        value = routing::lower(value);
+        value = routing::to_lower(value);
     }
-    host.any_case = false;  // hosts are compared in lower case anyway
+    host.ignore_case = false;  // hosts are always compared in lower case
     return {routing::HostIs{std::move(host)}};
 }
 
 routing::Match read_method(const Words& message, const LocatedMessage& parent) {
     if (message.value_size() == 0) {
-        parent.add_fault("method", "", "no method is named");
+        parent.add_fault("method", "", "no method is given");
     }
     return {routing::MethodIs{{message.value().begin(), message.value().end()}}};
 }
@@ -101,16 +100,16 @@
     const LocatedMessage location = parent.nested("source", message);
     routing::SourceIn source;
     for (int i = 0; i < message.value_size(); ++i) {
-        const std::optional<routing::Network> network = routing::network_of(message.value(i));
+        const std::optional<routing::Network> network = routing::parse_network(message.value(i));
         if (network) {
             source.networks.push_back(*network);
         } else {
-            location.add_fault("value", message.value(i), "no network",
+            location.add_fault("value", message.value(i), "invalid network",
                                "10.0.0.0/8, 10.1.2.3, 2001:db8::/32", i);
         }
     }
     if (message.value_size() == 0) {
-        parent.add_fault("source", "", "no network is named");
+        parent.add_fault("source", "", "no network is given");
     }
     return {std::move(source)};
 }
@@ -122,11 +121,11 @@
     }
     routing::UsableServers usable;
     usable.pool = check_pool_name(location, "pool", message.pool(), state);
-    usable.least = location.read_number("least", message.least(), 0, kMostServers);
-    usable.most = location.read_number("most", message.most(), 0, kMostServers);
-    if (usable.least > usable.most) {
-        location.add_fault("least", std::to_string(usable.least), "more than 'most'",
-                           fmt::format("0 to {}", usable.most));
+    usable.min_count = location.read_number("least", message.least(), 0, kMaxServers);
+    usable.max_count = location.read_number("most", message.most(), 0, kMaxServers);
+    if (usable.min_count > usable.max_count) {
+        location.add_fault("least", std::to_string(usable.min_count), "greater than 'most'",
+                           fmt::format("0 to {}", usable.max_count));
     }
     return {std::move(usable)};
 }
@@ -134,7 +133,7 @@
 routing::Match read_negation(const Match& message, const LocatedMessage& location,
                              const FileState& state) {
     routing::Not negation;
-    negation.of.push_back(read_match(message, location, state));
+    negation.conditions.push_back(read_match(message, location, state));
     return {std::move(negation)};
 }
 
@@ -169,7 +168,7 @@
             return read_usable_servers(message.usable_servers(),
                                        nested("usable_servers", message.usable_servers()), state);
         case Match::IS_NOT_SET:
-            location.add_fault("all_of", "", "a match that says nothing", "one of its fields");
+            location.add_fault("all_of", "", "empty match", "one of its fields");
     }
     return {};
 }
--- a/src/routing/route_index.cpp
+++ b/src/routing/route_index.cpp
@@ -10,28 +10,28 @@
 namespace micaroad::routing {
 namespace {
 
-// A condition on a path or host that an RPC must meet.
+// A necessary condition of a route: the RPC's path or host equals the key or begins with it.
 struct Anchor {
     enum class Field { path, host };
 
     Field field;
-    std::string key;  // in lower case; a host's reversed
+    std::string key;  // in lower case; a host is reversed
     Trie::KeyMatch match = Trie::KeyMatch::prefix;
 };
 
-// One of them has to hold.
+// At least one of them must hold for the condition to match.
 using Anchors = std::vector<Anchor>;
 
-// An anchor that is whole excludes more than one that is a prefix, and a longer one more than a
-// shorter.
+// Selectivity estimates how many RPCs an anchor excludes: a whole key excludes more than a prefix,
+// and a longer key more than a shorter one.
 constexpr std::size_t kWholeSelectivity = 1'000;
-constexpr std::size_t kNeverMatches = 1'000'000;  // selectivity of no anchors
+constexpr std::size_t kNeverMatches = 1'000'000;  // selectivity of an empty list
 
 std::size_t selectivity(const Anchor& anchor) {
     return anchor.key.size() + (anchor.match == Trie::KeyMatch::whole ? kWholeSelectivity : 0);
 }
 
-// That of the least selective.
+// The selectivity of the least selective anchor.
 std::size_t selectivity(const Anchors& anchors) {
     if (anchors.empty()) {
         return kNeverMatches;
@@ -51,15 +51,15 @@
 
 std::optional<Anchors> text_anchors(Anchor::Field field, const TextMatch& text) {
     const bool is_host = field == Anchor::Field::host;
-    const TextWay partial = is_host ? TextWay::suffix : TextWay::prefix;
-    if (text.way != TextWay::exact && text.way != partial) {
+    const TextMatchKind partial = is_host ? TextMatchKind::suffix : TextMatchKind::prefix;
+    if (text.kind != TextMatchKind::exact && text.kind != partial) {
         return std::nullopt;
     }
     const Trie::KeyMatch match =
-        text.way == TextWay::exact ? Trie::KeyMatch::whole : Trie::KeyMatch::prefix;
+        text.kind == TextMatchKind::exact ? Trie::KeyMatch::whole : Trie::KeyMatch::prefix;
     Anchors anchors;
     for (const std::string& value : text.values) {
-        std::string key = lower(value);
+        std::string key = to_lower(value);
         if (is_host) {
             key = reversed(key);
         }
@@ -68,13 +68,13 @@
     return anchors;
 }
 
-// The anchors of a condition; absent: it has none, and may match any path and host.
+// Finds the anchors of a condition. Absent: there are none, as it may match any path and host.
 struct AnchorFinder {
-    // The most selective of its conditions will do, as all have to hold.
+    // All conditions must match, so the anchors of the most selective one suffice.
     std::optional<Anchors> operator()(const AllOf& all) const {
         std::optional<Anchors> best;
         std::size_t best_selectivity = 0;
-        for (const Match& match : all.of) {
+        for (const Match& match : all.conditions) {
             std::optional<Anchors> found = find_anchors(match);
             if (!found) {
                 continue;
@@ -88,10 +88,10 @@
         return best;
     }
 
-    // Each of its conditions needs anchors, as any may hold.
+    // Any condition may match, so each one needs anchors.
     std::optional<Anchors> operator()(const AnyOf& any) const {
         Anchors anchors;
-        for (const Match& match : any.of) {
+        for (const Match& match : any.conditions) {
             const std::optional<Anchors> found = find_anchors(match);
             if (!found) {
                 return std::nullopt;
@@ -109,15 +109,15 @@
         return text_anchors(Anchor::Field::path, path.text);
     }
 
-    // A whole host as the client names it: its plain form is then known too.
+    // An exact Host header also determines the normalized host.
     std::optional<Anchors> operator()(const HeaderIs& header) const {
-        if (lower(header.name) != "host" || header.text.way != TextWay::exact) {
+        if (to_lower(header.name) != "host" || header.text.kind != TextMatchKind::exact) {
             return std::nullopt;
         }
         Anchors anchors;
         for (const std::string& value : header.text.values) {
             anchors.push_back({.field = Anchor::Field::host,
-                               .key = reversed(plain_host(value)),
+                               .key = reversed(normalized_host(value)),
                                .match = Trie::KeyMatch::whole});
         }
         return anchors;
@@ -133,29 +133,29 @@
     return std::visit(AnchorFinder{}, match.is);
 }
 
-// What is left of a list of route numbers in rising order; never empty.
+// The remaining part of a list of route numbers in ascending order; never empty.
 struct RemainingNumbers {
     const Trie::Number* next;
     const Trie::Number* end;
 };
 
-// For a heap whose top has the lowest next number.
+// Orders a heap whose top is the list with the lowest next number.
 struct HasLaterNext {
     bool operator()(const RemainingNumbers& left, const RemainingNumbers& right) const {
         return *left.next > *right.next;
     }
 };
 
-constexpr std::size_t kUsualLists = 16;
+constexpr std::size_t kInitialListCapacity = 16;
 
 }  // namespace
 
 RouteIndex::RouteIndex(const std::vector<Route>& routes) : routes_(routes) {
     for (std::size_t i = 0; i < routes.size(); ++i) {
         const auto number = static_cast<Trie::Number>(i);
-        const std::optional<Anchors> anchors = find_anchors(routes[i].when);
+        const std::optional<Anchors> anchors = find_anchors(routes[i].match);
         if (!anchors) {
-            unfiled_.push_back(number);
+            unanchored_.push_back(number);
             continue;
         }
         for (const Anchor& anchor : *anchors) {
@@ -165,10 +165,10 @@
     }
 }
 
-std::optional<std::size_t> RouteIndex::first(const Rpc& rpc, const UsableCount& usable_count,
-                                             std::size_t* tried_count) const {
+std::optional<std::size_t> RouteIndex::find_first(const Rpc& rpc, const UsableCount& usable_count,
+                                                  std::size_t* tried_count) const {
     std::vector<RemainingNumbers> storage;
-    storage.reserve(kUsualLists);
+    storage.reserve(kInitialListCapacity);
     std::priority_queue<RemainingNumbers, std::vector<RemainingNumbers>, HasLaterNext> lists(
         HasLaterNext{}, std::move(storage));
     const auto add_list = [&lists](const Trie::Numbers& numbers) {
@@ -176,12 +176,12 @@
             lists.push({numbers.data(), numbers.data() + numbers.size()});
         }
     };
-    add_list(unfiled_);
-    paths_.look_up(lower(rpc.path), add_list);
+    add_list(unanchored_);
+    paths_.look_up(to_lower(rpc.path), add_list);
     if (!rpc.host.empty()) {
-        hosts_.look_up(reversed(plain_host(rpc.host)), add_list);
+        hosts_.look_up(reversed(normalized_host(rpc.host)), add_list);
     }
-    std::optional<Trie::Number> last_tried;  // a route may be in several lists
+    std::optional<Trie::Number> last_tried;  // a route may occur in several lists
     while (!lists.empty()) {
         RemainingNumbers list = lists.top();
         lists.pop();
@@ -191,7 +191,7 @@
             if (tried_count != nullptr) {
                 ++*tried_count;
             }
-            if (fits(routes_[number].when, rpc, usable_count)) {
+            if (matches(routes_[number].match, rpc, usable_count)) {
                 return number;
             }
         }
@@ -203,10 +203,10 @@
     return std::nullopt;
 }
 
-std::optional<std::size_t> first_by_list(const std::vector<Route>& routes, const Rpc& rpc,
-                                         const UsableCount& usable_count) {
+std::optional<std::size_t> find_first_by_scan(const std::vector<Route>& routes, const Rpc& rpc,
+                                              const UsableCount& usable_count) {
     for (std::size_t i = 0; i < routes.size(); ++i) {
-        if (fits(routes[i].when, rpc, usable_count)) {
+        if (matches(routes[i].match, rpc, usable_count)) {
             return i;
         }
     }
--- a/src/routing/router.cpp
+++ b/src/routing/router.cpp
@@ -11,38 +11,38 @@
 
 constexpr int kServiceUnavailable = 503;
 
-// Notes the route in the decision. The pool that it leads to; absent: the decision is made.
+// Records the route in the decision. Returns the pool to use; absent if the decision is complete.
 std::optional<std::string> follow_route(const Listener& listener, const Route& route,
                                         Decision& decision) {
     decision.route = route.name;
-    decision.explanation.push_back(
-        fmt::format("route {} is the first of {} that fits", route.name, listener.routes.size()));
-    if (const auto* rejection = std::get_if<TurnAway>(&route.then)) {
+    decision.explanation.push_back(fmt::format("route {} is the first of {} that matches",
+                                               route.name, listener.routes.size()));
+    if (const auto* rejection = std::get_if<Reject>(&route.action)) {
         decision.kind = Decision::Kind::rejected;
         decision.status = rejection->status;
         decision.explanation.push_back(
-            fmt::format("it turns RPCs away with {}", rejection->status));
+            fmt::format("it rejects RPCs with status {}", rejection->status));
         return std::nullopt;
     }
-    if (const auto* redirect = std::get_if<Redirect>(&route.then)) {
+    if (const auto* redirect = std::get_if<Redirect>(&route.action)) {
         decision.kind = Decision::Kind::redirected;
         decision.status = redirect->status;
         decision.location = redirect->location;
         decision.explanation.push_back(fmt::format("it redirects to {}", redirect->location));
         return std::nullopt;
     }
-    return std::get<ToPool>(route.then).pool;
+    return std::get<ToPool>(route.action).pool;
 }
 
-// As follow_route(), where none matches.
+// As follow_route(), for an RPC that matches no route.
 std::optional<std::string> follow_default(const Listener& listener, Decision& decision) {
     if (listener.default_pool.empty()) {
         decision.explanation.push_back(fmt::format(
-            "none of {} routes fits and there is no default pool", listener.routes.size()));
+            "none of {} routes matches and there is no default pool", listener.routes.size()));
         return std::nullopt;
     }
     decision.explanation.push_back(
-        fmt::format("none of {} routes fits: the default pool", listener.routes.size()));
+        fmt::format("none of {} routes matches: the default pool applies", listener.routes.size()));
     return listener.default_pool;
 }
 
@@ -65,7 +65,7 @@
     };
     Decision decision;
     decision.listener = listener;
-    const auto number = indexed.index.first(rpc, usable_count);
+    const auto number = indexed.index.find_first(rpc, usable_count);
     const std::optional<std::string> pool =
         number ? follow_route(*indexed.listener, indexed.listener->routes[*number], decision)
                : follow_default(*indexed.listener, decision);
@@ -82,8 +82,8 @@
     return decision;
 }
 
-// A sticky RPC waits only where all servers in use are full, as any other: stickiness is a
-// preference, and its own server's limit binds all the same.
+// A sticky RPC, like any other, waits only if all servers in use are full. Stickiness is a
+// preference, and the limit of its own server still applies.
 void Router::decide_in_pool(const Pool& pool, const Rpc& rpc, const View& view,
                             Decision& decision) const {
     decision.pool = pool.name;
@@ -92,9 +92,9 @@
     decision.sticky_server = selector_.sticky_server(pool, rpc, view, decision.split);
     if (!decision.sticky_server.empty()) {
         const bool by_cookie = pool.stickiness.by == Stickiness::By::cookie;
-        decision.explanation.push_back(fmt::format("it stays with {}, by its {}",
+        decision.explanation.push_back(fmt::format("it is sticky to {} by its {}",
                                                    decision.sticky_server,
-                                                   by_cookie ? "cookie" : "key's hash"));
+                                                   by_cookie ? "cookie" : "hashed key"));
     }
     const bool no_shares = decision.split.shares.empty();
     if (no_shares && decision.sticky_server.empty()) {
@@ -103,16 +103,17 @@
         return;
     }
     const bool pool_full =
-        pool.connections_most > 0 && view.pool(pool.name).running >= pool.connections_most;
+        pool.max_connections > 0 && view.pool(pool.name).running >= pool.max_connections;
     if (!pool_full && (!decision.split.all_full || no_shares)) {
         decision.kind = Decision::Kind::send;
         return;
     }
     decision.kind = Decision::Kind::wait;
-    decision.queue_timeout = pool.queue_patience;
+    decision.queue_timeout = pool.queue_timeout;
     decision.explanation.push_back(
-        pool_full ? fmt::format("the pool runs the {} it may: it waits", pool.connections_most)
-                  : "it waits for a server");
+        pool_full ? fmt::format("the pool has reached its limit of {} running RPCs: it waits",
+                                pool.max_connections)
+                  : "it waits for a server with free capacity");
 }
 
 }  // namespace micaroad::routing
