--- a/src/decision/decision_context.hpp
+++ b/src/decision/decision_context.hpp
@@ -26,12 +26,12 @@
 /// references to it. Not thread-safe.
 struct DecisionContext {
     DecisionContext(DeploymentSettings settings, std::minstd_rand::result_type seed)
-        : settings(std::move(settings)), chance(seed) {}
+        : settings(std::move(settings)), random_engine(seed) {}
 
     const DeploymentSettings settings;
 
     /// The one source of chance: equal seeds and equal events make equal orders.
-    std::minstd_rand chance;
+    std::minstd_rand random_engine;
 
     /// Time between two optimizer steps: a whole number of report intervals. A step that cut
     /// through them would see now more, now fewer reports.
@@ -48,9 +48,9 @@
 /// Time until discovery is asked again, where it could not be asked: 0.2 s to 1 s, by chance, so
 /// that planners that failed together do not retry together.
 inline Duration random_backoff(DecisionContext& context) {
-    constexpr Duration kLeast = std::chrono::milliseconds(200);
-    constexpr Duration kSpread = std::chrono::milliseconds(800);
-    return kLeast + Duration{context.chance() % kSpread.count()};
+    constexpr Duration kMinBackoff = std::chrono::milliseconds(200);
+    constexpr Duration kBackoffRange = std::chrono::milliseconds(800);
+    return kMinBackoff + Duration{context.random_engine() % kBackoffRange.count()};
 }
 
 }  // namespace micaroad::decision
--- a/src/decision/messages.hpp
+++ b/src/decision/messages.hpp
@@ -99,7 +99,7 @@
 
 /// The fraction of its RPCs that each method is to admit.
 struct AdmissionFractions {
-    RealVector amounts;  ///< by method, 0 to 1
+    RealVector by_method;  ///< by method, 0 to 1
 };
 
 }  // namespace micaroad::decision
--- a/src/decision/slice_assigner.cpp
+++ b/src/decision/slice_assigner.cpp
@@ -60,7 +60,7 @@
 
 void SliceAssigner::assign_owner(TableId slice_id, Slice& slice,
                                  const std::vector<ServerId>& candidates) {
-    const ServerId& owner = candidates[context_.chance() % candidates.size()];
+    const ServerId& owner = candidates[context_.random_engine() % candidates.size()];
     slice.owners.insert(owner);
     scheduler_.mailbox.post(OwnershipTransfer{slice_id, owner, 1});
 }
--- a/src/decision/update_scheduler.cpp
+++ b/src/decision/update_scheduler.cpp
@@ -32,7 +32,7 @@
 }
 
 void UpdateScheduler::on(const AdmissionFractions& fractions) {
-    admission_.set_wanted(fractions.amounts);
+    admission_.set_wanted(fractions.by_method);
 }
 
 void UpdateScheduler::on(const DesiredWeights& desired) {
