--- a/include/micaroad/event.hpp
+++ b/include/micaroad/event.hpp
@@ -1,5 +1,5 @@
-/// Events: everything a planner is told. Reports are counted over a window that ends when they are
-/// received.
+/// The events that a planner receives. The counts of a report cover a time window that ends when
+/// the planner receives the report.
 #pragma once
 
 #include <optional>
@@ -14,7 +14,7 @@
 /// State of a server as discovery lists it.
 enum class EndpointPhase {
     ready,
-    draining,  ///< it finishes what it has; nothing new may be sent after the drain grace
+    draining,  ///< finishes its RPCs in progress; must get no new ones after the drain grace
     gone,
 };
 
@@ -26,17 +26,17 @@
     CellId cell;
     EndpointPhase phase = EndpointPhase::ready;
     double size = 1;                      ///< capacity relative to other servers
-    std::optional<TimePoint> last_start;  ///< absent: so long ago that the server is warm
+    std::optional<TimePoint> last_start;  ///< absent if it started so long ago that it is warm
 };
 
 namespace event {
 
-/// A list of endpoints, or a change of the list.
+/// A list of endpoints from discovery, or a change to the last list.
 struct EndpointListUpdate {
     enum class Form {
-        incremental,  ///< servers that are not named stay as they are
-        complete,     ///< servers that are not named are no longer listed
-        restored,     ///< complete, and known to be what another planner left
+        incremental,  ///< servers that it does not name keep their state
+        complete,     ///< servers that it does not name are no longer listed
+        restored,     ///< complete, and known to be the list that another planner left
         unavailable,  ///< the list could not be fetched
     } form = Form::incremental;
     std::vector<ListedEndpoint> servers;
@@ -51,8 +51,8 @@
 struct ProxyJoined {
     ProxyId proxy;
     ZoneId zone;
-    double rpcs_per_second = 0;       ///< as the proxy estimates its traffic
-    bool initial_table_only = false;  ///< it holds no table that a planner sent
+    double rpcs_per_second = 0;       ///< traffic that the proxy expects, by its own estimate
+    bool initial_table_only = false;  ///< holds no table from a planner
 };
 
 struct ProxyLeft {
@@ -65,14 +65,14 @@
     Nonce nonce;
 };
 
-/// What the joined proxies of one zone observed at one server.
+/// Attempts that the joined proxies of one zone sent to one server, and their outcomes.
 struct EndpointLoadReport {
     ServerId server;
     ZoneId proxy_zone;
     double attempts = 0;
-    double failures = 0;      ///< of the attempts: aborted, rejected or timed out
+    double failures = 0;      ///< attempts that were aborted, rejected or timed out
     Duration mean_latency{};  ///< of the successful attempts; zero if there were none
-    Duration window{};        ///< the time in which they were counted
+    Duration window{};        ///< time over which the attempts were counted
 };
 
 /// RPCs of a method that clients sent to a proxy.
@@ -80,11 +80,11 @@
     ProxyId proxy;
     MethodId method;
     double requests = 0;
-    double unanswered = 0;  ///< of the requests
-    Duration window{};      ///< the time in which they were counted
+    double unanswered = 0;  ///< requests that got no answer
+    Duration window{};      ///< time over which the requests were counted
 };
 
-/// As DemandReport, by slice.
+/// RPCs of a method for the keys of one slice. Fields as in DemandReport.
 struct SliceDemandReport {
     TableId slice;
     MethodId method;
@@ -93,13 +93,13 @@
     Duration window{};
 };
 
-/// A slice is this planner's to assign from now on, or no longer.
+/// Tells the planner that it assigns the owner of a slice from now on, or no longer does.
 struct SliceAssigned {
     TableId slice;
     bool ours = false;
 };
 
-/// A server owns a slice already.
+/// Reports that a server already owns a slice.
 struct SliceOwnerReported {
     TableId slice;
     ServerId server;
--- a/include/micaroad/order.hpp
+++ b/include/micaroad/order.hpp
@@ -1,4 +1,4 @@
-/// Orders: everything a planner decides. A host translates them to its wire.
+/// The orders that a planner issues. The host process translates them to its wire protocol.
 #pragma once
 
 #include <optional>
@@ -23,32 +23,33 @@
     TableId table;
 };
 
-/// A proxy uses a table for some methods from now on.
+/// Makes a proxy use a table for some methods from now on.
 struct BindProxy {
     TableId table;
     std::vector<MethodId> methods;
     ProxyId proxy;
 };
 
-/// Sets how many RPCs the proxies of a table admit, and when they retry.
+/// Sets how many RPCs the proxies of a table admit, and when they retry failed attempts.
 struct SetAdmission {
-    std::optional<TableId> table;   ///< absent: every joined proxy, whatever its table
-    std::vector<MethodId> methods;  ///< empty: all
-    double amount = 1;              ///< in the deployment's AdmissionKind
+    std::optional<TableId> table;   ///< absent: all joined proxies, whatever their tables
+    std::vector<MethodId> methods;  ///< empty: all methods
+    double amount = 1;              ///< in the unit of the deployment's AdmissionKind
     RetryPolicy retry_policy = RetryPolicy::never;
 };
 
-/// Withdraws a server from every table at once, or reinstates it. Weights stay as they were
-/// ordered.
+/// Withdraws a server from all tables at once, or reinstates it. The weights in the tables do not
+/// change.
 struct SetWithdrawn {
     ServerId server;
     bool withdrawn = true;
 };
 
-/// Asks the proxies that get anything in this decision, or all, to acknowledge it.
+/// Asks the proxies that this decision sends any change to, or all joined proxies, for an
+/// acknowledgement.
 struct SendNonce {
     Nonce nonce;
-    bool to_all = false;
+    bool to_all = false;  ///< ask all joined proxies
 };
 
 struct StartTimer {
@@ -60,7 +61,7 @@
     ServerId server;
 };
 
-/// Asks for endpoint lists, or for no more of them.
+/// Subscribes to endpoint lists, or ends the subscription.
 struct Subscribe {
     bool on = true;
 };
--- a/include/micaroad/planner.hpp
+++ b/include/micaroad/planner.hpp
@@ -15,29 +15,30 @@
 /// admit.
 ///
 ///     Planner planner(settings, seed);
-///     planner.handle(event);                // for every event that has come in
-///     orders = planner.decide(now);         // once for all of them; its orders are sent together
+///     planner.handle(event);                // for each event since the last decision
+///     orders = planner.decide(now);         // once for all of them; send its orders together
 ///
-/// The first decide() after construction asks for the planner's timer. Instances share nothing,
-/// read no clock and do no I/O: the same seed and events give the same orders. Not thread-safe; one
-/// thread calls it.
+/// The first decide() orders the planner's first timer. Instances share no state, read no clock and
+/// do no I/O: the same seed, events and times give the same orders. Not thread-safe: all calls come
+/// from one thread.
 class Planner {
  public:
-    /// `seed` is that of all random choices.
+    /// `seed` initializes the random engine for all random choices.
     Planner(DeploymentSettings settings, std::uint64_t seed);
     Planner(Planner&&) noexcept = default;
     Planner& operator=(Planner&&) noexcept = default;
 
-    /// Keeps an event for the next decide(). An event that makes no sense (a count that is no
-    /// finite number, say) is ignored there.
+    /// Queues an event for the next decide(), which ignores invalid events (a count that is not
+    /// finite, for example).
     void handle(Event event);
 
-    /// Handles all events since the last call. `now` must not go back between calls.
+    /// Handles all queued events and returns the resulting orders. `now` must not decrease between
+    /// calls.
     std::vector<Order> decide(TimePoint now);
 
  private:
     class Impl;
-    std::shared_ptr<Impl> impl_;  // never shared: a planner can be moved, not copied
+    std::shared_ptr<Impl> impl_;  // has one owner: a planner can be moved, not copied
 };
 
 }  // namespace micaroad
