--- a/src/settings/deployment_settings.cpp
+++ b/src/settings/deployment_settings.cpp
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-/// The value of a key, or the fallback if it is absent or null.
+/// The value of a key, or `fallback` if it is absent or null.
 template <class Value>
 Value value_or(const json& object, const char* key, Value fallback) {
     const auto found = object.find(key);
@@ -64,7 +64,7 @@
     return kind == "rate" ? AdmissionKind::rate : AdmissionKind::none;
 }
 
-/// The control channel from planners to proxies.
+/// Parses the settings of the control channel from planners to proxies.
 void parse_channel(const json& family, DeploymentSettings& settings) {
     settings.channel_lines_per_second = value_or(family, "channel_rate", 1.0);
     settings.overhead_lines_per_message = value_or(family, "head", 0.0);
@@ -75,7 +75,7 @@
     settings.max_message_delay = duration_or_zero(family, "transit_max_us");
 }
 
-/// What holds of servers as they start, drain and are overloaded.
+/// Parses the rules for servers that start, drain or are overloaded.
 void parse_server_rules(const json& rules, DeploymentSettings& settings) {
     settings.drain_grace = duration_or_zero(rules, "stop_sending_within_us");
     settings.warm_up_duration = duration_or_zero(rules, "warm_after_us");
--- a/src/settings/deployment_settings.hpp
+++ b/src/settings/deployment_settings.hpp
@@ -1,5 +1,5 @@
-/// Parses the settings object that a deployment passes at the start, for every program that hosts
-/// the planner. Here its keys are translated to the planner's terms; nothing else knows them.
+/// Parses the settings object that a deployment passes at the start, for all programs that host the
+/// planner. Only this parser knows the keys; it translates them to the planner's terms.
 #pragma once
 
 #include <cstdint>
@@ -15,18 +15,19 @@
 /// counts tenths of a millisecond.
 inline constexpr std::int64_t kMicrosPerUnit = 100;
 
-/// Rounds towards zero.
+/// Converts microseconds to a Duration, rounding towards zero.
 [[nodiscard]] inline Duration duration_of_micros(std::int64_t micros) {
     return Duration{micros / kMicrosPerUnit};
 }
 
-/// Keys that are absent or null take the default. Keys that end in `_us` are microseconds.
+/// Parses the settings object. Absent or null keys take the default. Values of keys that end in
+/// `_us` are in microseconds.
 ///
 ///   key                          field of DeploymentSettings, default
 ///   classes[]                    methods, by MethodId:
 ///     aim_us                       soft_deadline, 0
 ///     credit                       criticality, 1
-///     only_kinds[], only_zones[]   the same; empty: any
+///     only_kinds[], only_zones[]   fields of the same names; empty: any
 ///   zones[]                      zone_count
 ///   instances                    planner_count, 1; at least 1
 ///   registry_mode                subscription_required, if "subscribe"
@@ -38,7 +39,7 @@
 ///     queue_cap                    max_pending_lines, 0
 ///     pushes_allowed               max_messages_per_proxy, 0: no limit
 ///     messages_over_us             message_limit_window, 0
-///     report_every_us              report_interval; at least one unit
+///     report_every_us              report_interval; at least one unit of Duration
 ///     transit_max_us               max_message_delay, 0
 ///     admission                    admission_kind: "share" (fraction), "rate", others: none
 ///     base_mode                    default_retry_policy, 0; clamped to 0 ... 3
@@ -54,12 +55,11 @@
 ///     fall_us                      overload_window, 0
 ///     dropped_stay_open            unlisted_may_serve, false
 ///
-/// Throws nlohmann::json::exception if a value has another type than its key demands; its text
-/// names the types, not the key. Values are not checked for sense; keys that are not known are
-/// ignored.
+/// Throws nlohmann::json::exception if a value has the wrong type; the exception's text names the
+/// types, not the key. The values themselves are not validated. Unknown keys are ignored.
 [[nodiscard]] DeploymentSettings parse_deployment_settings(const nlohmann::json& profile);
 
-/// The names behind the numbers of MethodId, ZoneId and KindId, for protocols that carry names.
+/// The names for the numbers of MethodId, ZoneId and KindId, used by protocols that transmit names.
 struct SymbolTable {
     std::vector<std::string> methods;
     std::vector<std::string> zones;
--- a/src/updates/proxy_update.hpp
+++ b/src/updates/proxy_update.hpp
@@ -1,4 +1,5 @@
-/// What one decision changes at one proxy, independent of any protocol: src/protocol/ formats it.
+/// The changes of one decision for one proxy, independent of any protocol; src/protocol/ encodes
+/// them.
 #pragma once
 
 #include <map>
@@ -10,19 +11,21 @@
 
 namespace micaroad {
 
-/// The changes of one decide() for one proxy, to be sent as one message and applied at once.
+/// The changes of one decide() for one proxy, sent as one message and applied atomically.
 ///
-/// Tables come first: a full one makes the proxy forget the admissions of its methods. A method
-/// stands in one table of an update at most.
+/// The proxy applies tables first: a full table clears the admissions of its methods. A method is
+/// in at most one table of an update.
 struct ProxyUpdate {
-    /// The servers that the proxy may send some methods to.
+    /// The servers to which the proxy may send some methods.
     struct Table {
         std::set<MethodId> methods;
-        bool full = false;  ///< replaces what the proxy holds for the methods, admissions too;
-                            ///< otherwise only the entries named here change
-        std::map<ServerId, double> lines;  ///< entries: weight relative to the others; 0 removes it
+        /// True: replaces the proxy's entries and admissions for the methods; false: changes only
+        /// the entries in `lines`.
+        bool full = false;
+        /// The table entries: weight relative to the others; 0 removes the entry.
+        std::map<ServerId, double> lines;
     };
-    /// Admission and retries of one method.
+    /// Admission and retry policy of one method.
     struct Admission {
         double amount = 1;  ///< in the deployment's AdmissionKind: a fraction, or RPCs per second
         RetryPolicy retry_policy = RetryPolicy::never;
@@ -32,13 +35,13 @@
     ProxyId proxy;
     std::vector<Table> tables;
     std::map<MethodId, Admission> admissions;
-    /// True: withdrawn, whatever the tables say; false: reinstated. A proxy keeps this across
-    /// streams and planners.
+    /// True: withdrawn, regardless of the tables; false: reinstated. A proxy keeps this state
+    /// across streams and planners.
     std::map<ServerId, bool> withdrawn;
-    std::optional<Nonce> nonce;  ///< present: the proxy is to acknowledge the update
+    std::optional<Nonce> nonce;  ///< if present, the proxy must acknowledge the update
 
-    /// The update's load on the control channel, in the lines of DeploymentSettings, without the
-    /// overhead of a message.
+    /// The update's load on the control channel in lines (see DeploymentSettings), without the
+    /// overhead of the message.
     [[nodiscard]] std::size_t channel_lines() const {
         std::size_t sum = admissions.size() + withdrawn.size() + (nonce ? 1 : 0);
         for (const Table& table : tables) {
--- a/src/updates/update_builder.cpp
+++ b/src/updates/update_builder.cpp
@@ -28,8 +28,8 @@
     state.unacknowledged.clear();
     partly_bound_.erase(proxy);
     for (auto& [server, notice] : state.notices) {
-        // The proxy may not have got the last notice, and then holds the one before. A server that
-        // may be withdrawn there counts as withdrawn, so that its next entry reinstates it.
+        // If the proxy did not get the last notice, the previous one still applies there. A server
+        // that may be withdrawn counts as withdrawn, so that its next entry reinstates it.
         notice.withdrawn |= !notice.acknowledged;
         notice.on_this_stream = false;
     }
@@ -47,7 +47,7 @@
     if (acknowledged == unacknowledged.end()) {
         return false;
     }
-    // A proxy applies updates in order: it acknowledges all before this one, too.
+    // A proxy applies updates in order, so this also acknowledges all earlier ones.
     const std::size_t count = std::distance(unacknowledged.begin(), acknowledged) + 1;
     for (std::size_t i = 0; i < count; ++i) {
         const SentUpdate update = std::move(unacknowledged.front());
@@ -117,10 +117,10 @@
     for (const ProxyId number : proxies_bound_to_[order.table]) {
         Proxy& proxy = proxies_.at(number);
         ProxyUpdate::Table& table =
-            table_in(update_for(number), proxy.methods_by_table.at(order.table));
+            find_or_add_table(update_for(number), proxy.methods_by_table.at(order.table));
         if (!removes) {
             table.lines[order.server] = order.weight;
-            reinstate_unless_open(number, proxy, order.server);
+            ensure_reinstated(number, proxy, order.server);
         } else if (table.full) {
             table.lines.erase(order.server);
         } else {
@@ -137,8 +137,8 @@
     for (const ProxyId number : proxies_bound_to_[order.table]) {
         const std::set<MethodId>& methods = proxies_.at(number).methods_by_table.at(order.table);
         ProxyUpdate& update = update_for(number);
-        table_in(update, methods) = {methods, true, {}};
-        restart_admissions(update, tables_[order.table], methods);
+        find_or_add_table(update, methods) = {methods, true, {}};
+        resend_admissions(update, tables_[order.table], methods);
     }
 }
 
@@ -159,12 +159,12 @@
     for (const MethodId method : methods) {
         bind_method(order.proxy, proxy, method, order.table);
     }
-    restart_admissions(update, table, methods);
+    resend_admissions(update, table, methods);
     for (const auto& [server, weight] : table.entries) {
         if (withdrawn_.contains(server)) {
-            notify(order.proxy, proxy, server, true);
+            add_notice(order.proxy, proxy, server, true);
         } else {
-            reinstate_unless_open(order.proxy, proxy, server);
+            ensure_reinstated(order.proxy, proxy, server);
         }
     }
 }
@@ -181,7 +181,7 @@
                 continue;
             }
             for (const MethodId method : methods) {
-                set_admission(number, proxy, method);
+                update_admission(number, proxy, method);
             }
         }
         return;
@@ -190,7 +190,7 @@
         const Proxy& proxy = proxies_.at(number);
         for (const MethodId method : proxy.methods_by_table.at(*order.table)) {
             if (methods.contains(method)) {
-                set_admission(number, proxy, method);
+                update_admission(number, proxy, method);
             }
         }
     }
@@ -213,7 +213,7 @@
         }
     }
     for (const ProxyId number : holders) {
-        notify(number, proxies_.at(number), order.server, order.withdrawn);
+        add_notice(number, proxies_.at(number), order.server, order.withdrawn);
     }
 }
 
@@ -238,9 +238,10 @@
     return update;
 }
 
-/// The first of the update's tables whose methods are all among these; a new one if there is none.
-ProxyUpdate::Table& UpdateBuilder::table_in(ProxyUpdate& update,
-                                            const std::set<MethodId>& methods) {
+/// Returns the first table of the update whose methods are all contained in `methods`, or adds a
+/// new table for `methods` if there is none.
+ProxyUpdate::Table& UpdateBuilder::find_or_add_table(ProxyUpdate& update,
+                                                     const std::set<MethodId>& methods) {
     for (ProxyUpdate::Table& table : update.tables) {
         if (std::includes(methods.begin(), methods.end(), table.methods.begin(),
                           table.methods.end())) {
@@ -250,7 +251,7 @@
     return update.tables.emplace_back(ProxyUpdate::Table{methods, false, {}});
 }
 
-/// Drops what the update has for these methods so far: a new binding replaces it.
+/// Removes the methods from the update's tables, as a new binding replaces these tables for them.
 void UpdateBuilder::remove_methods(ProxyUpdate& update, const std::set<MethodId>& methods) {
     for (ProxyUpdate::Table& table : update.tables) {
         for (const MethodId method : methods) {
@@ -261,9 +262,9 @@
                   [](const ProxyUpdate::Table& table) { return table.methods.empty(); });
 }
 
-/// A full table makes the proxy forget the admissions of its methods: sends them again.
-void UpdateBuilder::restart_admissions(ProxyUpdate& update, const Table& table,
-                                       const std::set<MethodId>& methods) const {
+/// Adds the admissions of the methods again, as a full table clears them at the proxy.
+void UpdateBuilder::resend_admissions(ProxyUpdate& update, const Table& table,
+                                      const std::set<MethodId>& methods) const {
     for (const MethodId method : methods) {
         update.admissions.erase(method);
         if (const auto admission = admission_of(table, method)) {
@@ -272,7 +273,7 @@
     }
 }
 
-void UpdateBuilder::set_admission(ProxyId number, const Proxy& proxy, MethodId method) {
+void UpdateBuilder::update_admission(ProxyId number, const Proxy& proxy, MethodId method) {
     static const Table kNoTable;
     const auto found = proxy.tables.find(method);
     const Table& table = found == proxy.tables.end() ? kNoTable : tables_[found->second];
@@ -281,9 +282,10 @@
     }
 }
 
-/// Withdraws or reinstates a server at a proxy, unless the same was sent on its stream: a stream
-/// loses nothing, and the line would be one too many.
-void UpdateBuilder::notify(ProxyId number, Proxy& proxy, const ServerId& server, bool withdrawn) {
+/// Withdraws or reinstates a server at a proxy, unless the same notice was already sent on the
+/// proxy's stream: a stream loses no messages, so a repeated line would only add load.
+void UpdateBuilder::add_notice(ProxyId number, Proxy& proxy, const ServerId& server,
+                               bool withdrawn) {
     const auto found = proxy.notices.find(server);
     const bool is_known = found != proxy.notices.end() && found->second.on_this_stream &&
                           found->second.withdrawn == withdrawn;
@@ -295,13 +297,14 @@
     proxies_with_notice_[server].insert(number);
 }
 
-/// An entry whose server the proxy may hold as withdrawn would have no effect.
-void UpdateBuilder::reinstate_unless_open(ProxyId number, Proxy& proxy, const ServerId& server) {
+/// Reinstates a server at a proxy where it may be withdrawn, as its entry would have no effect
+/// there otherwise. Does nothing if an order withdraws the server.
+void UpdateBuilder::ensure_reinstated(ProxyId number, Proxy& proxy, const ServerId& server) {
     const auto found = proxy.notices.find(server);
-    const bool is_open =
+    const bool is_known_usable =
         found != proxy.notices.end() ? !found->second.withdrawn : listed_servers_.is_steady(server);
-    if (!is_open && !withdrawn_.contains(server)) {
-        notify(number, proxy, server, false);
+    if (!is_known_usable && !withdrawn_.contains(server)) {
+        add_notice(number, proxy, server, false);
     }
 }
 
@@ -312,7 +315,7 @@
     }
     std::deque<SentUpdate>& unacknowledged = proxies_.at(update.proxy).unacknowledged;
     unacknowledged.push_back(std::move(sent));
-    if (unacknowledged.size() > kMostUnacknowledged) {
+    if (unacknowledged.size() > kMaxUnacknowledged) {
         unacknowledged.pop_front();
     }
 }
@@ -364,8 +367,8 @@
     return chosen;
 }
 
-/// Where both an admission of the table and one for all are set, the lower amount holds, and the
-/// table's retry policy.
+/// The admission of a method in a table. If both an admission of the table and one for all tables
+/// are set, the lower amount and the table's retry policy apply.
 std::optional<ProxyUpdate::Admission> UpdateBuilder::admission_of(const Table& table,
                                                                   MethodId method) const {
     const auto own = table.admissions.find(method);
--- a/src/updates/update_builder.hpp
+++ b/src/updates/update_builder.hpp
@@ -1,4 +1,4 @@
-/// Turns the orders of one decision into one update for each proxy that they concern.
+/// Translates the orders of one decision to one update for each affected proxy.
 #pragma once
 
 #include <cstddef>
@@ -15,55 +15,54 @@
 
 namespace micaroad {
 
-/// Remembers what was ordered and what each proxy holds of it, and decides nothing.
+/// Stores the ordered state and what each proxy has of it. Makes no decisions of its own.
 ///
 /// Invariants:
-///   - An update leaves a proxy with the tables and admissions that were ordered for the methods it
-///     is bound with.
-///   - A server that is in a proxy's table by an order, and that no order withdraws, is not
-///   withdrawn
-///     at that proxy. Withdrawals outlive streams and planners at a proxy, so a withdrawal that it
-///     may still hold is lifted along with the server's entry.
-///   - No update sends RPCs to a server that is off the list and withdrawn or forgotten.
+///   - After an update, a proxy has the ordered tables and admissions for all methods for which it
+///     is bound to a table.
+///   - A server that orders put into a proxy's table, and that no order withdraws, is not withdrawn
+///     at that proxy. A proxy keeps withdrawals across streams and planners, so an update
+///     reinstates a server that may still be withdrawn there together with sending its entry.
+///   - No update directs RPCs to a server that is not listed and is withdrawn or forgotten.
 ///
 /// Not thread-safe.
 class UpdateBuilder {
  public:
-    /// `method_count`: methods of the deployment, numbered from 0.
+    /// `method_count`: number of methods of the deployment, which are numbered from 0.
     explicit UpdateBuilder(std::size_t method_count) : method_count_(method_count) {}
 
-    /// Takes any form of list but `unavailable`.
+    /// Applies a list of any form except `unavailable`.
     void on_endpoint_list(const event::EndpointListUpdate& list) { listed_servers_.update(list); }
 
-    /// A proxy has a new stream. Comes after on_proxy_left(), where it had one.
+    /// A proxy has opened a stream. If it had one before, on_proxy_left() must be called first.
     void on_proxy_joined(ProxyId proxy);
 
     void on_proxy_left(ProxyId proxy);
 
-    /// Returns false if no update with this nonce awaits its acknowledgement on the proxy's stream.
+    /// Returns false if no update with this nonce awaits acknowledgement on the proxy's stream.
     bool on_acknowledgement(ProxyId proxy, Nonce nonce);
 
-    /// Forgets a server that is gone for good. Its entries leave the tables together with its
-    /// withdrawal: a table that still had one would reinstate it at the next binding. Returns false
-    /// and forgets nothing while the server is in a table and not withdrawn.
+    /// Forgets a server that is permanently gone. Removes its table entries together with its
+    /// withdrawal, as a remaining entry would reinstate it at the next binding. Returns false and
+    /// changes nothing if the server is in a table and not withdrawn.
     bool forget(const ServerId& server);
 
-    /// Returns how many orders were suppressed since the last call, as they would have sent RPCs to
-    /// a server that is off the list and withdrawn or forgotten. The planner gives no such order;
-    /// the builder does not depend on that.
+    /// Returns the number of orders suppressed since the last call because they would have directed
+    /// RPCs to a server that is not listed and is withdrawn or forgotten. The planner issues no
+    /// such orders, but the builder does not rely on that.
     std::size_t take_suppressed_orders() { return std::exchange(suppressed_orders_, 0); }
 
-    /// Applies the orders of one decide(), in their order, and returns the updates by proxy number.
-    /// Orders that concern no proxy are passed over.
+    /// Applies the orders of one decide() in sequence and returns the updates, sorted by proxy
+    /// number. Orders that concern no proxy are ignored.
     std::vector<ProxyUpdate> build_updates(const std::vector<Order>& orders);
 
-    /// False for orders between planners: no protocol can send them yet.
+    /// False for messages between planners, which no protocol can send yet.
     static bool is_supported(const Order& order);
 
  private:
     using Admissions = std::map<MethodId, ProxyUpdate::Admission>;
 
-    /// A table as ordered.
+    /// The ordered state of a table.
     struct Table {
         std::map<ServerId, double> entries;
         Admissions admissions;
@@ -73,27 +72,29 @@
     struct Notice {
         bool withdrawn = false;
         bool acknowledged = false;
-        bool on_this_stream = true;  ///< sent on the stream that the proxy has now
+        bool on_this_stream = true;  ///< sent on the proxy's current stream
     };
 
-    /// An update that awaits its acknowledgement.
+    /// An update that awaits acknowledgement.
     struct SentUpdate {
         Nonce nonce;
-        std::set<ServerId> servers;  ///< that it withdraws or reinstates
+        std::set<ServerId> servers;  ///< the servers that it withdraws or reinstates
     };
 
     struct Proxy {
         bool joined = false;
-        std::map<MethodId, TableId> tables;                      ///< that methods are bound to
+        std::map<MethodId, TableId> tables;                      ///< the table of each bound method
         std::map<TableId, std::set<MethodId>> methods_by_table;  ///< the same, by table
-        /// Kept while the proxy is away. What it holds of a server without a notice is not known,
-        /// but for steady servers: nobody has had a reason to withdraw these.
+        /// Kept while the proxy has no stream. It is unknown whether a server without a notice is
+        /// withdrawn at the proxy, except for steady servers, which no planner had a reason to
+        /// withdraw.
         std::map<ServerId, Notice> notices;
-        std::deque<SentUpdate> unacknowledged;  ///< in the order of sending
+        std::deque<SentUpdate> unacknowledged;  ///< in the order in which they were sent
     };
 
-    /// For one proxy. A notice in an older update than these is never taken for acknowledged.
-    static constexpr std::size_t kMostUnacknowledged = 256;
+    /// Maximum number of stored unacknowledged updates per proxy. Notices in older updates never
+    /// count as acknowledged.
+    static constexpr std::size_t kMaxUnacknowledged = 256;
 
     void apply(const order::SetTableEntry& order);
     void apply(const order::ClearTable& order);
@@ -104,18 +105,19 @@
     template <class Other>
     void apply(const Other&) {}
 
-    // The update under construction.
+    // Changes to the updates under construction.
     ProxyUpdate& update_for(ProxyId proxy);
-    static ProxyUpdate::Table& table_in(ProxyUpdate& update, const std::set<MethodId>& methods);
+    static ProxyUpdate::Table& find_or_add_table(ProxyUpdate& update,
+                                                 const std::set<MethodId>& methods);
     static void remove_methods(ProxyUpdate& update, const std::set<MethodId>& methods);
-    void restart_admissions(ProxyUpdate& update, const Table& table,
-                            const std::set<MethodId>& methods) const;
-    void set_admission(ProxyId number, const Proxy& proxy, MethodId method);
-    void notify(ProxyId number, Proxy& proxy, const ServerId& server, bool withdrawn);
-    void reinstate_unless_open(ProxyId number, Proxy& proxy, const ServerId& server);
+    void resend_admissions(ProxyUpdate& update, const Table& table,
+                           const std::set<MethodId>& methods) const;
+    void update_admission(ProxyId number, const Proxy& proxy, MethodId method);
+    void add_notice(ProxyId number, Proxy& proxy, const ServerId& server, bool withdrawn);
+    void ensure_reinstated(ProxyId number, Proxy& proxy, const ServerId& server);
     void await_acknowledgement(const ProxyUpdate& update, Nonce nonce);
 
-    // The state as ordered.
+    // The ordered state.
     void bind_method(ProxyId number, Proxy& proxy, MethodId method, TableId table);
     void set_entry(TableId table, const ServerId& server, double weight);
     void remove_entry(TableId table, const ServerId& server);
@@ -126,7 +128,7 @@
     [[nodiscard]] bool in_any_table(const ServerId& server) const {
         return tables_with_.contains(server);
     }
-    /// Off the list, and withdrawn or forgotten: nothing may be sent there again.
+    /// Whether the server is not listed and is withdrawn or forgotten: it must get no more RPCs.
     [[nodiscard]] bool is_retired(const ServerId& server) const {
         return !listed_servers_.may_be_listed(server) &&
                (withdrawn_.contains(server) || !in_any_table(server));
@@ -137,19 +139,19 @@
 
     ListedServers listed_servers_;
     std::map<TableId, Table> tables_;
-    Admissions admissions_for_all_;  // whatever the table
+    Admissions admissions_for_all_;  // set for all tables
     std::set<ServerId> withdrawn_;
-    std::map<ProxyId, Proxy> proxies_;  // all that ever joined
-
-    // Tables, servers and proxies are many: with these, one change walks none of them whole.
-    std::map<ServerId, std::set<TableId>> tables_with_;          // that have an entry of a server
-    std::map<TableId, std::set<ProxyId>> proxies_bound_to_;      // with any method
-    std::map<ServerId, std::set<ProxyId>> proxies_with_notice_;  // of a server
-    // Joined, and not bound with every method: for the others these use tables that they started
-    // with or that other planners sent, which may hold any server.
+    std::map<ProxyId, Proxy> proxies_;  // all proxies that ever joined
+
+    // Indexes, so that a change does not iterate over all tables, servers or proxies.
+    std::map<ServerId, std::set<TableId>> tables_with_;      // tables with an entry for a server
+    std::map<TableId, std::set<ProxyId>> proxies_bound_to_;  // bound with any method
+    std::map<ServerId, std::set<ProxyId>> proxies_with_notice_;  // that got one for a server
+    // Joined proxies that are not bound for all methods. For the other methods they use their
+    // initial tables or tables from other planners, which may contain any server.
     std::set<ProxyId> partly_bound_;
 
-    std::map<ProxyId, ProxyUpdate> drafts_;  // of the present build_updates()
+    std::map<ProxyId, ProxyUpdate> drafts_;  // of the current build_updates()
 };
 
 }  // namespace micaroad
