--- a/src/decision/admission_controller.cpp
+++ b/src/decision/admission_controller.cpp
@@ -9,54 +9,58 @@
 namespace micaroad::decision {
 namespace {
 
-// The original design leaves admission open; all values here are this planner's own.
-
-/// Time between two looks at the latencies, or the report interval where that is longer. An
-/// overloaded fleet jams within a few seconds.
-constexpr Duration kLookInterval = std::chrono::seconds(1);
-/// Attempts that a median needs.
-constexpr double kLeastAttempts = 20;
-/// Seconds. Stands for the latency of an attempt that failed: later than any answer.
+// The original design leaves admission open; all values here are specific to this planner.
+
+/// Time between two evaluations of the latencies, unless the report interval is longer. The queues
+/// of an overloaded fleet grow too long within a few seconds.
+constexpr Duration kEvaluationInterval = std::chrono::seconds(1);
+/// Minimum number of attempts for an evaluation, so that the median is meaningful.
+constexpr double kMinAttempts = 20;
+/// Latency that a failed attempt counts as, in seconds: longer than that of any answer.
 constexpr double kFailureLatency = 3600;
-/// Failures between two zones without one success that are taken for a partition. Where half of all
-/// attempts fail, so many come alone by chance at one look in 256.
+/// Minimum number of failures between two zones, without any success, that counts as a network
+/// partition. If half of all attempts fail, that many in a row occur by chance in one evaluation of
+/// 256.
 constexpr double kPartitionFailures = 8;
 
-/// The latency objective as a part of the shortest soft deadline. With exponentially distributed
-/// latencies, a mean at 0.7 of a deadline puts a quarter of them past it.
-constexpr double kObjective = 0.7;
-/// A look at a latency under this part of the objective raises the admitted fraction.
-constexpr double kLowLatency = 0.75;
-/// A latency is extrapolated to this multiple at most: what a look sees is about two looks old.
-constexpr double kMostExtrapolation = 1.5;
-
-/// What a cut leaves of the sustainable fraction.
-constexpr double kCutFactor = 0.85;
-/// What a cut leaves at least of the sustainable fraction in the admitted one: less admitted than
-/// sustainable drains the queues.
-constexpr double kDeepestDrain = 0.5;
-/// The least admitted fraction: load may not be the reason of the latency.
-constexpr double kLeastAdmitted = 0.15;
-/// The least sustainable fraction: the deepest drain leaves kLeastAdmitted of it.
-constexpr double kLeastSustainable = 2 * kLeastAdmitted;
-/// Growth of the sustainable fraction a second, at a latency of 0; proportionally less towards the
-/// objective.
+/// The latency objective as a fraction of the shortest soft deadline. If latencies are
+/// exponentially distributed with a mean of 0.7 times the deadline, a quarter of them exceed the
+/// deadline.
+constexpr double kObjectivePerDeadline = 0.7;
+/// A latency below this fraction of the objective raises the admitted fraction.
+constexpr double kLowLatencyFraction = 0.75;
+/// Maximum ratio of the extrapolated latency to the measured one, whose samples are about two
+/// evaluations old.
+constexpr double kMaxExtrapolationFactor = 1.5;
+
+/// Factor by which a reduction lowers the sustainable fraction.
+constexpr double kReductionFactor = 0.85;
+/// Minimum ratio of the admitted to the sustainable fraction after a reduction. Queues drain while
+/// less is admitted than is sustainable.
+constexpr double kMinDrainFactor = 0.5;
+/// Minimum admitted fraction, as high latencies may have another cause than load.
+constexpr double kMinAdmittedFraction = 0.15;
+/// Minimum sustainable fraction: multiplied by kMinDrainFactor, it gives kMinAdmittedFraction.
+constexpr double kMinSustainableFraction = 2 * kMinAdmittedFraction;
+/// Relative growth of the sustainable fraction per second at a latency of 0. It falls linearly to 0
+/// at the latency objective.
 constexpr double kGrowthPerSecond = 0.2;
-/// Most growth of the admitted fraction from one look to the next.
-constexpr double kMostGrowth = 1.5;
-/// RPCs that were admitted before a cut may report up to so many objectives after it.
+/// Maximum factor by which the admitted fraction grows from one evaluation to the next.
+constexpr double kMaxGrowthFactor = 1.5;
+/// Time for which RPCs admitted before a reduction may still be reported after it, in latency
+/// objectives.
 constexpr double kObjectivesInFlight = 3;
 
-/// RPCs per second. What a proxy counts as if it announced less.
-constexpr double kLeastAnnounced = 1e-3;
-/// The announced rate that the evidence stands for is its average over the windows, but at least
-/// the present one over this factor: to scale evidence up by more would be guessing.
-constexpr double kMostScaling = 4;
-/// Windows after which the demand ratio can be trusted: until then fewer reports have arrived than
-/// RPCs came in.
-constexpr int kFirstWindows = 2;
-/// Keeps divisions finite.
-constexpr double kTiny = 1e-9;
+/// Minimum announced rate that a proxy counts with, RPCs per second.
+constexpr double kMinAnnouncedRate = 1e-3;
+/// Maximum ratio of the current announced rate to its average over the evidence windows: evidence
+/// is not scaled up by more, as that would be unreliable.
+constexpr double kMaxEvidenceScale = 4;
+/// Number of closed windows after which the demand ratio is reliable. Before that, reports do not
+/// yet cover all RPCs that proxies received.
+constexpr int kMinDemandWindows = 2;
+/// Minimum divisor; prevents divisions by zero.
+constexpr double kMinDivisor = 1e-9;
 
 }  // namespace
 
@@ -65,14 +69,14 @@
     : context_(context),
       optimizer_(optimizer),
       scheduler_(scheduler),
-      latency_objective_(kObjective * shortest_soft_deadline(context.settings)),
+      latency_objective_(kObjectivePerDeadline * shortest_soft_deadline(context.settings)),
       requests_(context.settings.methods.size()),
       admitted_by_method_(1.0, context.settings.methods.size()),
       last_latency_(kFailureLatency) {}
 
 void AdmissionController::on(const event::ProxyJoined& message) {
     on(event::ProxyLeft{message.proxy});
-    const double rate = std::max(message.rpcs_per_second, kLeastAnnounced);
+    const double rate = std::max(message.rpcs_per_second, kMinAnnouncedRate);
     announced_rates_[message.proxy] = rate;
     announced_rate_ += rate;
 }
@@ -106,16 +110,17 @@
     ++windows_closed_;
     window_seconds_ += seconds(context_.step);
 
-    // Proxies of other planners, or of none, are taken to announce as much as those here.
+    // Assumes that proxies of other planners, or without a planner, announce as much on average as
+    // those that have joined here.
     const double joined = std::max(1.0, static_cast<double>(announced_rates_.size()));
     const double all_announced =
         announced_rate_ * std::max(1.0, context_.settings.proxy_count / joined);
     const double average_announced =
-        std::max(announced_requests_ / window_seconds_, announced_rate_ / kMostScaling);
+        std::max(announced_requests_ / window_seconds_, announced_rate_ / kMaxEvidenceScale);
     optimizer_.mailbox.post(DemandEstimate{requests_ * admitted_by_method_,
                                            std::max(1.0, all_announced / average_announced),
                                            all_announced});
-    // Behind the evidence of this window, which the trackers have posted by now.
+    // The trackers have already posted the evidence of this window to the optimizer.
     optimizer_.mailbox.post(OptimizerStep{});
 
     announced_requests_ *= kEvidenceRetention;
@@ -124,45 +129,46 @@
 }
 
 void AdmissionController::on(const Tick&) {
-    if (!is_look_due()) {
+    if (!is_evaluation_due()) {
         return;
     }
     sample_failures();
     const double latency = take_median_latency();
     const double expected_latency = extrapolate(latency);
     if (all_admitted_) {
-        const double least = windows_closed_ < kFirstWindows ? 1.0 : 0.0;
-        requests_per_announced_ = std::max(demand_ratio(), least);
+        const double min_ratio = windows_closed_ < kMinDemandWindows ? 1.0 : 0.0;
+        requests_per_announced_ = std::max(demand_ratio(), min_ratio);
     }
-    if (expected_latency > latency_objective_ && context_.now >= next_cut_) {
-        cut(expected_latency);
-    } else if (latency < kLowLatency * latency_objective_) {
-        grow(latency);
+    if (expected_latency > latency_objective_ && context_.now >= next_reduction_) {
+        reduce_admission(expected_latency);
+    } else if (latency < kLowLatencyFraction * latency_objective_) {
+        raise_admission(latency);
     }
-    last_look_ = context_.now;
-    share_out();
+    last_evaluation_ = context_.now;
+    distribute_admission();
 }
 
-/// Brings the integral of the announced rate up to now; to be called before that rate changes.
+/// Updates the integral of the announced rate to the current time; must be called before that rate
+/// changes.
 void AdmissionController::update_announced_requests() {
     announced_requests_ += announced_rate_ * seconds(context_.now - announced_until_);
     announced_until_ = context_.now;
 }
 
-/// RPCs that came in for each one that proxies announced in the same time.
+/// Ratio of the RPCs that proxies received to those that they announced for the same time.
 double AdmissionController::demand_ratio() {
     update_announced_requests();
-    return requests_.sum() / std::max(announced_requests_, kTiny);
+    return requests_.sum() / std::max(announced_requests_, kMinDivisor);
 }
 
-bool AdmissionController::is_look_due() const {
-    const Duration interval = std::max(kLookInterval, context_.settings.report_interval);
-    return context_.now >= last_look_ + interval && attempts_ >= kLeastAttempts;
+bool AdmissionController::is_evaluation_due() const {
+    const Duration interval = std::max(kEvaluationInterval, context_.settings.report_interval);
+    return context_.now >= last_evaluation_ + interval && attempts_ >= kMinAttempts;
 }
 
-/// Adds the failures to the samples. Left out are failures between zones that nothing at all came
-/// back from, unless nothing came back from anywhere: that is a partition of the network, which
-/// less load does not mend.
+/// Adds the failures to the samples. Leaves out failures between two zones without any success if
+/// other pairs of zones had successes: they indicate a network partition, which shedding load does
+/// not fix.
 void AdmissionController::sample_failures() {
     const bool any_success = std::any_of(outcomes_.begin(), outcomes_.end(), [](const auto& entry) {
         return entry.second.successes > 0;
@@ -178,7 +184,7 @@
     attempts_ = 0;
 }
 
-/// The median latency by attempts, seconds; the next look starts without samples.
+/// Returns the median latency over attempts, in seconds, and clears the samples.
 double AdmissionController::take_median_latency() {
     std::vector<WeightedValue> weighted;
     weighted.reserve(latency_samples_.size());
@@ -188,42 +194,44 @@
     return weighted_median(std::move(weighted));
 }
 
-/// The latency two looks on, along the trend since the last look: what a look sees is about two
-/// looks old, and queues have grown on meanwhile.
+/// Extrapolates the latency by two evaluation intervals along the trend since the last evaluation:
+/// the samples are about two intervals old, and queues may have grown since.
 double AdmissionController::extrapolate(double latency) {
-    const double before = std::exchange(last_latency_, latency);
-    return std::clamp(3 * latency - 2 * before, latency, kMostExtrapolation * latency);
+    const double previous = std::exchange(last_latency_, latency);
+    return std::clamp(3 * latency - 2 * previous, latency, kMaxExtrapolationFactor * latency);
 }
 
-/// Admits less than is sustainable, the less the later the latency is expected to be.
-void AdmissionController::cut(double expected_latency) {
-    sustainable_fraction_ = std::max(sustainable_fraction_ * kCutFactor, kLeastSustainable);
-    const double drain = std::max(latency_objective_ / expected_latency, kDeepestDrain);
-    admitted_fraction_ = std::max(sustainable_fraction_ * drain, kLeastAdmitted);
+/// Lowers the sustainable fraction, and admits less than that: the higher the expected latency, the
+/// less is admitted.
+void AdmissionController::reduce_admission(double expected_latency) {
+    sustainable_fraction_ =
+        std::max(sustainable_fraction_ * kReductionFactor, kMinSustainableFraction);
+    const double drain = std::max(latency_objective_ / expected_latency, kMinDrainFactor);
+    admitted_fraction_ = std::max(sustainable_fraction_ * drain, kMinAdmittedFraction);
     all_admitted_ = false;
 
-    // The next cut waits until this one can show: two ways of messages and reports, and the RPCs
-    // that are in flight.
+    // The next reduction waits until reports can show the effect of this one: twice the delay of
+    // messages and reports, plus the time of the RPCs in flight.
     const Duration in_flight{static_cast<Duration::rep>(kObjectivesInFlight * latency_objective_ /
                                                         seconds(Duration{1}))};
-    next_cut_ = context_.now +
-                2 * (context_.settings.max_message_delay + context_.settings.report_interval) +
-                in_flight;
+    next_reduction_ =
+        context_.now +
+        2 * (context_.settings.max_message_delay + context_.settings.report_interval) + in_flight;
 }
 
-/// Goes back towards the sustainable fraction, which grows by what the latency leaves under the
-/// objective.
-void AdmissionController::grow(double latency) {
+/// Raises the sustainable fraction in proportion to the margin between the latency and the
+/// objective, and the admitted fraction towards it.
+void AdmissionController::raise_admission(double latency) {
     sustainable_fraction_ *= 1 + kGrowthPerSecond * (1 - latency / latency_objective_) *
-                                     seconds(context_.now - last_look_);
-    admitted_fraction_ = std::min(sustainable_fraction_, admitted_fraction_ * kMostGrowth);
+                                     seconds(context_.now - last_evaluation_);
+    admitted_fraction_ = std::min(sustainable_fraction_, admitted_fraction_ * kMaxGrowthFactor);
 }
 
-/// Sheds the methods of least criticality first, until the admitted fraction is met, and sends the
-/// fractions by method.
-void AdmissionController::share_out() {
+/// Distributes the admitted fraction over the methods, shedding the least critical ones first, and
+/// sends the fractions by method.
+void AdmissionController::distribute_admission() {
     if (context_.settings.admission_kind != AdmissionKind::fraction) {
-        return;  // Rates are not implemented: proxies admit all RPCs.
+        return;  // Admission by rate is not implemented: proxies admit all RPCs.
     }
     all_admitted_ |= admitted_fraction_ * requests_per_announced_ >= demand_ratio();
     if (all_admitted_) {
@@ -232,7 +240,7 @@
         requests_per_announced_ = demand_ratio();
     }
     const double admitted =
-        admitted_fraction_ * requests_per_announced_ / std::max(demand_ratio(), kTiny);
+        admitted_fraction_ * requests_per_announced_ / std::max(demand_ratio(), kMinDivisor);
     double to_shed = (1 - admitted) * requests_.sum();
 
     std::multimap<double, std::size_t> methods_by_criticality;
--- a/src/decision/admission_controller.hpp
+++ b/src/decision/admission_controller.hpp
@@ -1,4 +1,5 @@
-/// Admission control: which fraction of its RPCs each method admits while the fleet is overloaded.
+/// Admission control: computes the fraction of its RPCs that each method admits while the fleet is
+/// overloaded.
 #pragma once
 
 #include <map>
@@ -12,20 +13,21 @@
 
 namespace micaroad::decision {
 
-/// Estimates demand, and sheds load while the fleet as a whole is late.
+/// Estimates demand, and sheds load while the fleet as a whole is overloaded.
 ///
-/// Guards against a fleet that is late as a whole; the original design leaves this open, and
-/// docs/design.md says what was chosen. Once the median latency heads past the latency objective,
-/// it admits less than the fleet sustains, so that queues drain; while latencies are low it admits
-/// more from look to look. The least critical methods are shed first. It could harm where load is
-/// not the reason of the latency; hence a floor under the admitted fraction.
+/// The controller evaluates latencies periodically. If the extrapolated median latency exceeds the
+/// latency objective, it admits fewer RPCs than the fleet sustains, so that queues drain; while
+/// latencies are low, it admits more at each evaluation. The least critical methods are shed first.
+/// Shedding does harm if high latencies have another cause than load; the admitted fraction
+/// therefore has a minimum. The original design leaves admission open; docs/design.md describes the
+/// chosen approach.
 ///
-/// It starts with all RPCs admitted:
+/// Initially all RPCs are admitted:
 ///
 ///                   expected latency > objective
-///   all admitted  -------------------------------->  shedding: each look cuts, grows or keeps
-///                 <--------------------------------            the admitted fraction
-///                  what is admitted meets the demand
+///   all admitted  -------------------------------->  shedding: each evaluation reduces, raises
+///                 <--------------------------------            or keeps the admitted fraction
+///                  admitted RPCs meet the demand
 ///
 /// Not thread-safe.
 class AdmissionController {
@@ -38,9 +40,10 @@
     void on(const event::ProxyLeft& message);
     void on(const event::DemandReport& message);
     void on(const ZonedLoadReport& message);
-    /// Sends the demand estimate to the weight optimizer and has it move by one step.
+    /// Sends the demand estimate to the weight optimizer and requests one optimizer step.
     void on(const EvidenceWindowClosed&);
-    /// Looks at the latencies, if it is time, and sends the admitted fractions to the scheduler.
+    /// Evaluates the latencies if an evaluation is due, and sends the admitted fractions to the
+    /// scheduler.
     void on(const Tick&);
 
     Mailbox<event::ProxyJoined, event::ProxyLeft, event::DemandReport, ZonedLoadReport,
@@ -50,9 +53,9 @@
  private:
     struct LatencySample {
         double seconds = 0;
-        double attempts = 0;  ///< how many attempts it stands for
+        double attempts = 0;  ///< number of attempts with this latency
     };
-    /// Who sent attempts to whom.
+    /// The zone of the proxies that sent attempts, and the zone of the servers that got them.
     struct ZonePair {
         ZoneId proxies;
         ZoneId servers;
@@ -65,13 +68,13 @@
 
     void update_announced_requests();
     [[nodiscard]] double demand_ratio();
-    [[nodiscard]] bool is_look_due() const;
+    [[nodiscard]] bool is_evaluation_due() const;
     void sample_failures();
     [[nodiscard]] double take_median_latency();
     [[nodiscard]] double extrapolate(double latency);
-    void cut(double expected_latency);
-    void grow(double latency);
-    void share_out();
+    void reduce_admission(double expected_latency);
+    void raise_admission(double latency);
+    void distribute_admission();
 
     DecisionContext& context_;
     WeightOptimizer& optimizer_;
@@ -79,30 +82,30 @@
 
     const double latency_objective_;  // seconds
 
-    // Demand. The requests and the two below them fade alike, by kEvidenceRetention a window.
+    // Demand. The first three are multiplied by kEvidenceRetention after each evidence window.
     RealVector requests_;            // by method
     double announced_requests_ = 0;  // integral of announced_rate_ over time
-    double window_seconds_ = 0;      // in which both were counted
+    double window_seconds_ = 0;      // time over which both were counted
     int windows_closed_ = 0;
-    std::map<ProxyId, double> announced_rates_;  // RPCs per second, of proxies that are joined
+    std::map<ProxyId, double> announced_rates_;  // RPCs per second, of the joined proxies
     double announced_rate_ = 0;                  // their sum
-    TimePoint announced_until_;                  // announced_requests_ counts up to here
+    TimePoint announced_until_;                  // announced_requests_ is integrated up to here
 
-    // Admission. Both fractions are parts of the demand as it was while all RPCs were admitted:
-    // rejected RPCs come again, so a part of what comes in would grow with the rejections.
-    RealVector admitted_by_method_;  // fractions of what comes in
+    // Admission. Both fractions refer to the demand at the time when all RPCs were last admitted.
+    // Clients retry rejected RPCs, so a fraction of the current demand would grow with rejections.
+    RealVector admitted_by_method_;  // fractions of the current demand
     double admitted_fraction_ = 1;
-    double sustainable_fraction_ = 1;    // what the fleet bears once its queues are short again
+    double sustainable_fraction_ = 1;    // what the fleet sustains while its queues are short
     double requests_per_announced_ = 1;  // demand_ratio() when all RPCs were last admitted
     bool all_admitted_ = true;
-    TimePoint next_cut_;
+    TimePoint next_reduction_;
 
-    // Latencies since the last look.
+    // Latencies since the last evaluation.
     std::vector<LatencySample> latency_samples_;
     std::map<ZonePair, Outcomes> outcomes_;
     double attempts_ = 0;
-    double last_latency_;  // median at the last look, seconds
-    TimePoint last_look_;
+    double last_latency_;  // median at the last evaluation, seconds
+    TimePoint last_evaluation_;
 };
 
 }  // namespace micaroad::decision
