--- a/src/decision/endpoint_tracker.cpp
+++ b/src/decision/endpoint_tracker.cpp
@@ -27,8 +27,8 @@
     publish_status();
 }
 
-// Guards against a list that drops endpoints which still run, where the settings say that a list
-// may do so: an endpoint that still answers stays. The price is RPCs to one that is truly gone.
+// If the settings say that lists may omit running endpoints, an endpoint that still answers stays
+// open. The cost is RPCs sent to endpoints that are really gone.
 void EndpointTracker::on(const EndpointUnlisted&) {
     const EndpointPhase previous = std::exchange(status_.listed.phase, EndpointPhase::gone);
     if (previous == EndpointPhase::gone) {
@@ -41,7 +41,8 @@
 
 void EndpointTracker::on(const event::EndpointLoadReport& report) {
     admission_.mailbox.post(ZonedLoadReport{report, status_.listed.zone});
-    // Guards against reports on the incarnation before a restart. The price is a little evidence.
+    // Ignores reports that may cover the incarnation before a restart, at the cost of some
+    // evidence.
     const bool before_start =
         status_.listed.last_start && context_.now - report.window < *status_.listed.last_start;
     if (!status_.open || before_start) {
@@ -55,8 +56,8 @@
     if (report.failures < report.attempts) {
         status_.last_success = context_.now;
     }
-    // Until a success has been reported, each report is published at once: the first success ends
-    // an endpoint's probation, the first failure starts it.
+    // Publishes each report at once until a success has been reported, as the first failure starts
+    // the endpoint's probation and the first success ends it.
     if (!answered_before) {
         publish_status();
     }
@@ -72,12 +73,12 @@
         publish_status();
     }
     if (status_.open) {
-        optimizer_.mailbox.post(status_);  // the evidence: of no interest to the slice assigner
+        optimizer_.mailbox.post(status_);  // not to the slice assigner, which uses no evidence
     }
-    fade_evidence();
+    decay_evidence();
 }
 
-void EndpointTracker::fade_evidence() {
+void EndpointTracker::decay_evidence() {
     status_.attempts *= kEvidenceRetention;
     status_.failures *= kEvidenceRetention;
     status_.success_latency_sum *= kEvidenceRetention;
--- a/src/decision/endpoint_tracker.hpp
+++ b/src/decision/endpoint_tracker.hpp
@@ -1,4 +1,4 @@
-/// What is known of one endpoint: its entry in the list, its state and the evidence of recent
+/// Tracks one endpoint: its entry in the endpoint list, its state and the evidence of recent
 /// optimizer steps.
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace micaroad::decision {
 
-/// Follows one endpoint and notifies the other components of changes. Not thread-safe.
+/// Tracks one endpoint and notifies the other components of changes. Not thread-safe.
 ///
 ///              listed as ready
 ///     closed -------------------> open
@@ -20,10 +20,10 @@
 ///       +--------------------------+
 ///          listed as draining, or withdrawn
 ///
-/// A list that names the endpoint as gone, or a complete one that does not name it, withdraws it at
-/// once. Only if the settings let unlisted endpoints serve and it has answered before does it stay
-/// open, until it has been silent for the warm-up duration. An endpoint that is closed and gone is
-/// forgotten (EndpointStatus::gone).
+/// A list that names the endpoint as gone, or a complete list that does not name it, withdraws it
+/// at once, with one exception: if the settings allow unlisted endpoints to serve and the endpoint
+/// has answered before, it stays open until it has not answered for the warm-up duration. The
+/// planner removes the tracker of an endpoint that is closed and gone (EndpointStatus::gone).
 class EndpointTracker {
  public:
     /// All arguments must outlive the tracker.
@@ -34,22 +34,22 @@
           slice_assigner_(slice_assigner),
           admission_(admission) {}
 
-    /// A new start time begins a new incarnation: all evidence of the former one is dropped.
+    /// A new start time means a new incarnation: all evidence on the previous one is dropped.
     void on(const EndpointListed& message);
     void on(const EndpointUnlisted&);
-    /// `report` is valid (validation.hpp).
+    /// `report` must be valid (validation.hpp).
     void on(const event::EndpointLoadReport& report);
-    /// Sends the evidence to the optimizer.
+    /// Sends the evidence to the optimizer and decays it.
     void on(const EvidenceWindowClosed&);
 
     [[nodiscard]] const EndpointStatus& status() const { return status_; }
 
-    // There are many trackers: an empty mailbox keeps no memory.
+    // Keeps no memory while empty, as there are many trackers.
     Mailbox<EndpointListed, EndpointUnlisted, event::EndpointLoadReport, EvidenceWindowClosed>
         mailbox{0};
 
  private:
-    void fade_evidence();
+    void decay_evidence();
     void publish_status();
 
     DecisionContext& context_;
--- a/src/decision/gradient_step.cpp
+++ b/src/decision/gradient_step.cpp
@@ -13,25 +13,28 @@
 
 namespace {
 
-/// The largest 2-norm of the change of all shares in a step; the design's value.
+/// Maximum 2-norm of the change of all shares in a step; value of the original design.
 constexpr double kMaxShareChange = 0.15;
-/// Utilization past which a queue follows its tangent; the design's value, where it is a clamp.
+/// Utilization above which the queue length continues along its tangent. The original design clamps
+/// the utilization at this value.
 constexpr double kUtilizationClamp = 0.95;
-/// The tail penalty is kTailFactor e^(kTailExponent (p95 / limit - 1)); the design's values.
+/// The tail penalty is kTailFactor e^(kTailExponent (p95 / limit - 1)); values of the original
+/// design.
 constexpr double kTailFactor = 5;
 constexpr double kTailExponent = 10;
-/// The tail penalty's exponent stops growing where p95 is at the limit; it has no end in the
-/// design. Past that the model is so stiff that a larger factor allows no step.
+/// Upper bound of p95 / limit in the exponent of the tail penalty, which the original design does
+/// not bound. Above it the model is so stiff that a larger factor allows no step.
 constexpr double kMaxLateness = 1.0;
-/// Step factor on the gradient of the cost's logarithm, times the number of endpoints, so that the
-/// speed of learning depends neither on size nor on traffic. The design's is 0.5 on the gradient.
+/// Step factor on the gradient of the logarithm of the cost, multiplied by the number of endpoints,
+/// so that the learning rate depends neither on the number of endpoints nor on the traffic. The
+/// original design applies 0.5 to the gradient of the cost.
 constexpr double kStepScale = 0.2;
-/// Guards against a division by zero where nothing costs anything.
+/// Prevents a division by zero if the cost is 0.
 constexpr double kMinCost = 1e-9;
-/// Smaller gains, as a fraction of the cost, are skipped. The design's is a tenth; one slow
-/// endpoint of twenty costs less than that.
+/// Minimum gain of a step, as a fraction of the cost. The original design requires a tenth, which
+/// is more than the cost of one slow endpoint among twenty.
 constexpr double kMinGain = 0.01;
-/// A step is not halved any further.
+/// Steps are not halved below this fraction.
 constexpr double kMinFraction = 1e-3;
 
 }  // namespace
@@ -49,7 +52,8 @@
     change.decreases = weight_decreases(current);
     change.fraction = bounded_fraction(change.decreases);
 
-    // A step within the bound can still overshoot the minimum of the prediction along it.
+    // A step within the bound can still overshoot the minimum of the predicted cost in its
+    // direction.
     const auto cost_after = [&](double fraction) {
         return predict(shares_after(fraction, change.decreases), tail).cost;
     };
@@ -95,22 +99,22 @@
     return {factor, input_.latency_limit, kUtilizationClamp};
 }
 
-/// How far a whole step lowers the weights: the gradient of the cost by the weights, through the
-/// derivative of the softmax.
+/// The decrease of each weight in a full step: the scaled gradient of the cost by the weights, from
+/// the gradient by the rates and the derivative of the softmax.
 PoolVectors GradientStep::weight_decreases(const QueuePrediction& current) const {
     const auto endpoint_count = static_cast<double>(input_.rates.size());
     const double scale =
         kStepScale * endpoint_count / std::max(current.cost, kMinCost) * input_.own_rate;
     PoolVectors decreases = current_shares_;
     for (std::size_t k = 0; k < decreases.size(); ++k) {
-        const RealVector gradient = select_figures(current.gradient, input_.pools[k].step_indices);
+        const RealVector gradient = select_values(current.gradient, input_.pools[k].step_indices);
         const double mean_gradient = (current_shares_[k] * gradient).sum();
         decreases[k] *= scale * input_.traffic_fractions[k] * (gradient - mean_gradient);
     }
     return decreases;
 }
 
-/// The largest fraction of a step that keeps the change of all shares within the bound.
+/// The largest fraction of a full step that keeps the change of all shares within the bound.
 double GradientStep::bounded_fraction(const PoolVectors& decreases) const {
     const auto remaining = [&](double fraction) {
         const PoolVectors shares = shares_after(fraction, decreases);
--- a/src/decision/gradient_step.hpp
+++ b/src/decision/gradient_step.hpp
@@ -1,4 +1,4 @@
-/// One bounded gradient step of all weights on a predicted cost.
+/// Gradient descent on the predicted cost: one bounded step for all weights.
 #pragma once
 
 #include <optional>
@@ -9,33 +9,33 @@
 
 namespace micaroad::decision {
 
-/// A vector for each pool, with an element for each of its endpoints.
+/// One vector per pool, with one element per endpoint of the pool.
 using PoolVectors = std::vector<RealVector>;
 
-/// What a step starts from. Endpoints are numbered by their `step_index`.
+/// The input of a step. Endpoints are indexed by their `step_index`.
 struct StepInput {
-    std::vector<PoolSnapshot> pools;        ///< those that have endpoints in the step
-    std::vector<double> traffic_fractions;  ///< of this planner's traffic, by pool
+    std::vector<PoolSnapshot> pools;        ///< the pools that have endpoints in the step
+    std::vector<double> traffic_fractions;  ///< fraction of this planner's traffic, by pool
     RealVector rates;                       ///< attempts per second from all proxies, by endpoint
     RealVector capacities;                  ///< RPCs per second, by endpoint
-    double own_rate = 0;  ///< attempts per second from this planner's proxies, of all endpoints
+    double own_rate = 0;       ///< attempts per second from this planner's proxies to all endpoints
     double latency_limit = 0;  ///< seconds; positive
 };
 
-/// Lowers each weight by `fraction * decreases`.
+/// A change that lowers each weight by `fraction` times its element of `decreases`.
 struct WeightChange {
     double fraction = 0;
     PoolVectors decreases;
 };
 
-/// Computes a step as docs/design.md describes it: the exact gradient of queues and tail over the
-/// weights of all pools at once, a bound on the change of the shares, and halving while half the
-/// step is predicted to cost less.
+/// Computes a step as docs/design.md describes it: from the exact gradient of the queue and tail
+/// costs by the weights of all pools, with a bound on the change of the shares. The step is halved
+/// while the half step has a lower predicted cost.
 class GradientStep {
  public:
     explicit GradientStep(StepInput input);
 
-    /// Returns nothing if the predicted gain is too small to be worth a change.
+    /// Returns nullopt if the predicted gain is too small to justify a change.
     [[nodiscard]] std::optional<WeightChange> compute() const;
 
     /// The pools of the step's input.
--- a/src/decision/mailbox.hpp
+++ b/src/decision/mailbox.hpp
@@ -8,17 +8,17 @@
 
 namespace micaroad::decision {
 
-/// Holds the messages to one component until it is their turn. Messages are delivered in the order
-/// in which they were posted. Not thread-safe: all components of a planner run on one thread.
+/// Holds the messages to one component until they are delivered, in the order in which they were
+/// posted. Not thread-safe: all components of a planner run on one thread.
 template <class... Messages>
 class Mailbox {
  public:
     using Message = std::variant<Messages...>;
 
-    /// Keeps memory for `capacity_kept` messages while the mailbox is empty.
+    /// An empty mailbox keeps allocated memory for up to `capacity_kept` messages.
     explicit Mailbox(std::size_t capacity_kept = kCapacityKept) : capacity_kept_(capacity_kept) {}
 
-    // Constructs the variant in place: GCC 12 takes one that is moved for uninitialized.
+    // Constructs the variant in place: GCC 12 reports a moved variant as uninitialized.
     template <class Posted>
     void post(Posted&& message) {
         waiting_.emplace_back(std::forward<Posted>(message));
@@ -26,8 +26,8 @@
 
     [[nodiscard]] bool empty() const { return waiting_.empty(); }
 
-    /// Calls `handle(message)` for each message, also for those that are posted meanwhile, and
-    /// leaves the mailbox empty. `handle` takes each of `Messages` and may post to this mailbox.
+    /// Calls `handle(message)` for each message, including those posted in the meantime, and leaves
+    /// the mailbox empty. `handle` accepts each type of `Messages` and may post to this mailbox.
     template <class Handle>
     void deliver(Handle handle) {
         std::vector<Message> batch;
--- a/src/decision/messages.hpp
+++ b/src/decision/messages.hpp
@@ -1,5 +1,5 @@
-/// Messages between the components of the decision package. docs/decision-messages.md says who
-/// sends what to whom, and in which order the components run.
+/// The messages between the components of the decision package. docs/decision-messages.md lists the
+/// sender and receiver of each and the order in which the components run.
 #pragma once
 
 #include <cstddef>
@@ -12,94 +12,99 @@
 
 namespace micaroad::decision {
 
-/// A list names the tracker's server.
+/// Tells an endpoint tracker that a list names its server.
 struct EndpointListed {
     ListedEndpoint entry;
-    bool in_first_list = false;  ///< in the first list that the planner got
+    bool in_first_list = false;  ///< the list is the first that the planner got
 };
 
-/// A complete list does not name the tracker's server.
+/// Tells an endpoint tracker that a complete list does not name its server.
 struct EndpointUnlisted {};
 
-/// The evidence for one optimizer step is complete: trackers pass it on and fade what they keep.
+/// The evidence for one optimizer step is complete. Endpoint trackers send theirs to the weight
+/// optimizer and decay what they keep.
 struct EvidenceWindowClosed {};
 
 /// Asks the weight optimizer to move the weights by one step.
 struct OptimizerStep {};
 
-/// Time has passed. Each component but the trackers gets one in each decide(), after the trackers
-/// have run; the update scheduler handles it last of all.
+/// Time has passed. Each decide() posts one to each component except the trackers, after the
+/// trackers have run; the update scheduler handles it last.
 struct Tick {};
 
-/// Discovery is to be asked for lists once more.
+/// Asks the update scheduler to subscribe to endpoint lists again.
 struct RenewSubscription {};
 
-/// What an endpoint tracker knows of its endpoint. The evidence sums keep the part
-/// `kEvidenceRetention` from one optimizer step to the next.
+/// What an endpoint tracker knows about its endpoint. The evidence sums are multiplied by
+/// `kEvidenceRetention` after each optimizer step.
 struct EndpointStatus {
     ListedEndpoint listed;                  ///< the entry of the last list that named the endpoint
-    bool open = false;                      ///< may get traffic
-    std::optional<TimePoint> last_success;  ///< arrival of the last report with a success
+    bool open = false;                      ///< it may get traffic
+    std::optional<TimePoint> last_success;  ///< time when the last report with a success arrived
     double attempts = 0;                    ///< evidence: attempts of this planner's proxies
-    double failures = 0;                    ///< evidence: of these, failed
-    double success_latency_sum = 0;         ///< evidence: latencies of the others, seconds
-    double window_seconds = 0;              ///< evidence: time in which it was collected
-    bool steady = false;  ///< ready since the first list and no start known: nobody had a reason to
-                          ///< withdraw it
+    double failures = 0;                    ///< evidence: attempts that failed
+    double success_latency_sum = 0;         ///< evidence: latencies of the successful ones, seconds
+    double window_seconds = 0;              ///< evidence: time over which it was collected
+    /// Ready since the first list, without a known start time: no planner had a reason to withdraw
+    /// it.
+    bool steady = false;
 
     bool gone() const { return !open && listed.phase == EndpointPhase::gone; }
 };
 
-/// A load report with the zone of the server that it is about.
+/// A load report and the zone of its server.
 struct ZonedLoadReport {
     event::EndpointLoadReport report;
     ZoneId server_zone;
 };
 
-/// What the weight optimizer wants of one server. Sent when its shares or its state may have
-/// changed.
+/// The shares and the state of one server that the weight optimizer publishes. Sent when they may
+/// have changed.
 struct DesiredWeights {
     ServerId server;
     ZoneId zone;
-    std::vector<std::pair<std::size_t, double>>
-        shares;           ///< pool number, part of the pool's traffic; without shares of 0
+    /// Pool index and fraction of the pool's traffic; shares of 0 are left out.
+    std::vector<std::pair<std::size_t, double>> shares;
     bool steady = false;  ///< as EndpointStatus::steady
     bool cold = false;    ///< still warming up
-    bool last = false;    ///< the server is gone; no further message names it
+    bool last = false;    ///< the server is gone; no later message names it
 };
 
-/// Follows the DesiredWeights of all servers that one publication of the weight optimizer changes.
+/// Sent after the DesiredWeights of all servers that the weight optimizer publishes at one time.
 struct WeightsPublished {
     bool any_cold = false;    ///< an open server is still warming up
-    bool any_server = false;  ///< the weight optimizer holds servers
+    bool any_server = false;  ///< the weight optimizer has at least one server
 };
 
-/// A slice's weight at an owner: 0 for the former owner, 1 for the new one.
+/// The weight of an owner of a slice: 0 for the former owner, 1 for the new one.
 struct OwnershipTransfer {
     TableId slice;
     ServerId server;
     double weight = 0;
 };
 
-/// A pool: methods that the same servers execute. Sent once at the start, in the order of the pool
-/// numbers.
+/// A pool of methods that the same servers execute, and its table. Sent once for each pool at the
+/// start, by ascending pool index.
 struct PoolBinding {
-    TableId table;  ///< of the pool
+    TableId table;  ///< the pool's table
     std::vector<MethodId> methods;
     std::optional<ZoneId> zone;  ///< only proxies of this zone use the pool
 };
 
-/// The traffic of all proxies, as far as this planner can tell.
+/// The traffic of all proxies, as estimated by this planner.
 struct DemandEstimate {
-    RealVector rates;          ///< admitted RPCs of this planner's proxies, by method: a faded
-                               ///< count, of which only the proportions matter
-    double all_over_ours = 1;  ///< load of all planners' proxies over that of this planner's
-    double announced = 0;      ///< RPCs per second that all proxies are taken to have announced
+    /// Admitted RPCs of this planner's proxies, by method: a decaying count, of which only the
+    /// proportions matter.
+    RealVector rates;
+    /// Load from the proxies of all planners, divided by that from this planner's proxies.
+    double total_to_own_load = 1;
+    /// RPCs per second that all proxies are assumed to have announced.
+    double announced_rate = 0;
 };
 
-/// The fraction of its RPCs that each method is to admit.
+/// The fraction of its RPCs that each method admits.
 struct AdmissionFractions {
-    RealVector by_method;  ///< by method, 0 to 1
+    RealVector by_method;  ///< 0 to 1
 };
 
 }  // namespace micaroad::decision
--- a/src/decision/method_settings.hpp
+++ b/src/decision/method_settings.hpp
@@ -1,4 +1,4 @@
-/// Queries on the methods of a deployment.
+/// Functions on the methods of a deployment.
 #pragma once
 
 #include <algorithm>
@@ -12,18 +12,18 @@
 
 namespace micaroad::decision {
 
-/// The sum of `figures`, which has an element for each method, over some of the methods.
-[[nodiscard]] inline double sum_over_methods(const RealVector& figures,
+/// The sum over `methods` of `values`, which has an element for each method of the deployment.
+[[nodiscard]] inline double sum_over_methods(const RealVector& values,
                                              const std::vector<MethodId>& methods) {
     double sum = 0;
     for (const MethodId method : methods) {
-        sum += figures[method.value];
+        sum += values[method.value];
     }
     return sum;
 }
 
-/// Whether RPCs of `method` may go to `endpoint`. `home_zone`: the zone of the proxies, if they
-/// send the method within their own zone only.
+/// Whether RPCs of `method` may be sent to `endpoint`. `home_zone`: the zone of the proxies, if
+/// they send the method only within their own zone.
 [[nodiscard]] inline bool may_serve(const ListedEndpoint& endpoint, const Method& method,
                                     std::optional<ZoneId> home_zone) {
     const auto allows = [](const auto& allowed, const auto& id) {
@@ -33,7 +33,7 @@
            (!home_zone || *home_zone == endpoint.zone);
 }
 
-/// Seconds.
+/// The shortest soft deadline of all methods, in seconds.
 [[nodiscard]] inline double shortest_soft_deadline(const DeploymentSettings& settings) {
     Duration shortest = Duration::max();
     for (const Method& method : settings.methods) {
--- a/src/decision/numeric.hpp
+++ b/src/decision/numeric.hpp
@@ -1,4 +1,4 @@
-/// Numeric helpers that know nothing of planning.
+/// General numeric helpers.
 #pragma once
 
 #include <algorithm>
@@ -15,17 +15,17 @@
     return std::chrono::duration<double>(duration).count();
 }
 
-/// Bisects [low, high] for the argument at which the falling function `value` crosses `level`.
-/// Returns the lower end of the last interval.
+/// Finds, by bisection of [low, high], the argument at which the decreasing function `value`
+/// crosses `level`. Returns the lower end of the last interval.
 template <class FallingFunction>
 [[nodiscard]] double bisect_falling(double low, double high, double level, FallingFunction value) {
     constexpr int kIterations = 50;  // the interval shrinks to about 1e-15 of its length
     for (int i = 0; i < kIterations; ++i) {
-        const double half = (low + high) / 2;
-        if (value(half) > level) {
-            low = half;
+        const double middle = (low + high) / 2;
+        if (value(middle) > level) {
+            low = middle;
         } else {
-            high = half;
+            high = middle;
         }
     }
     return low;
@@ -38,8 +38,8 @@
     auto operator<=>(const WeightedValue&) const = default;
 };
 
-/// The first value, in ascending order, at which half of the total weight is reached; 0 if there
-/// are no values.
+/// The lowest value at which the cumulative weight reaches half of the total; 0 if there are no
+/// values.
 [[nodiscard]] inline double weighted_median(std::vector<WeightedValue> values) {
     std::sort(values.begin(), values.end());
     double remaining = 0;
--- a/src/decision/planner.cpp
+++ b/src/decision/planner.cpp
@@ -1,5 +1,5 @@
-/// Hands events to the components of the decision package and collects their orders. It decides
-/// nothing itself; docs/decision-messages.md shows what goes where.
+/// Forwards events to the components of the decision package and collects their orders. The planner
+/// itself makes no decisions; docs/decision-messages.md shows which component gets which message.
 #include "micaroad/planner.hpp"
 
 #include <algorithm>
@@ -44,9 +44,9 @@
  private:
     static constexpr TimerId kTimer{1};
 
-    // Each component handles what the ones before it sent; none sends to one before it. Trackers
-    // run first, in the order in which they got their first message, and the scheduler last: its
-    // tick comes once it has handled all other messages of this decision.
+    // Runs the components in a fixed order, in which no component sends to one that has already
+    // run. Trackers run first, in the order in which they got their first message. The scheduler
+    // runs last; it gets its tick after all its other messages of this decision.
     void deliver_messages() {
         for (EndpointTracker* tracker : std::exchange(trackers_with_messages_, {})) {
             deliver(*tracker);
@@ -74,7 +74,7 @@
         }
     }
 
-    // Makes trackers for servers that are new. Servers that a complete list omits are unlisted.
+    // Creates trackers for new servers. Servers that a complete list omits count as unlisted.
     void dispatch(const event::EndpointListUpdate& list) {
         if (list.form == event::EndpointListUpdate::Form::unavailable) {
             subscriptions_due_.insert(context_.now + random_backoff(context_));
@@ -103,8 +103,8 @@
         }
     }
 
-    // Ticks, and closes the evidence window once an optimizer step is due. Trackers whose server is
-    // gone are dropped first.
+    // Restarts the tick timer, and closes the evidence window if an optimizer step is due. Before
+    // that, the trackers of servers that are gone are removed.
     void dispatch(const event::TimerExpired& expired) {
         if (expired.timer != kTimer) {
             return;
@@ -124,7 +124,7 @@
         }
     }
 
-    // More failures than attempts are taken for as many; reports on unknown servers are dropped.
+    // Limits the failures to the number of attempts, and drops reports on unknown servers.
     void dispatch(event::EndpointLoadReport& report) {
         const auto found = trackers_.find(report.server);
         report.failures = std::min(report.failures, report.attempts);
@@ -173,16 +173,16 @@
     }
 
     DecisionContext context_;
-    TimePoint next_step_;  // the next evidence window closes at the first tick from here on
-    std::multiset<TimePoint> subscriptions_due_;  // one entry for each retry
+    TimePoint next_step_;  // earliest time at which the next evidence window closes
+    std::multiset<TimePoint> subscriptions_due_;  // one entry for each retry of a subscription
     std::vector<Event> events_;                   // since the last decide()
-    bool has_list_ = false;                       // a list has come, complete or not
-    // Components hold references to those that they send to: receivers come before their senders.
+    bool has_list_ = false;                       // an endpoint list has arrived, complete or not
+    // Components hold references to their receivers: receivers are declared before their senders.
     UpdateScheduler scheduler_{context_};
     WeightOptimizer optimizer_{context_, scheduler_};
     AdmissionController admission_{context_, optimizer_, scheduler_};
     SliceAssigner slice_assigner_{context_, scheduler_};
-    std::map<ServerId, EndpointTracker> trackers_;          // of servers that are not gone yet
+    std::map<ServerId, EndpointTracker> trackers_;          // servers that are not yet gone
     std::vector<EndpointTracker*> trackers_with_messages_;  // one entry for each message
 };
 
--- a/src/decision/pool_membership.cpp
+++ b/src/decision/pool_membership.cpp
@@ -22,16 +22,16 @@
     auto operator<=>(const PoolKey&) const = default;
 };
 
-/// Divides by the sum; figures without a positive sum stay as they are.
-void normalize(RealVector& figures) {
-    const double sum = figures.size() > 0 ? figures.sum() : 0;
+/// Divides the values by their sum, unless that is 0.
+void normalize(RealVector& values) {
+    const double sum = values.size() > 0 ? values.sum() : 0;
     if (sum > 0) {
-        figures /= sum;
+        values /= sum;
     }
 }
 
-/// Whether anything differs that is published or that shares depend on.
-bool figures_differ(const EndpointStatus& before, const EndpointStatus& after) {
+/// Whether any field differs that is published or that shares depend on.
+bool published_state_differs(const EndpointStatus& before, const EndpointStatus& after) {
     return before.open != after.open || before.listed.kind != after.listed.kind ||
            before.listed.zone != after.listed.zone || before.steady != after.steady ||
            before.gone() != after.gone() || before.listed.size != after.listed.size ||
@@ -75,7 +75,8 @@
     const bool opens = status.open && !before.open;
     const bool moves =
         status.listed.kind != before.listed.kind || status.listed.zone != before.listed.zone;
-    const bool changed = figures_differ(before, status) || on_probation != member.on_probation;
+    const bool changed =
+        published_state_differs(before, status) || on_probation != member.on_probation;
     if (opens) {
         set_initial_weight(member, initial_weight);
     }
@@ -113,13 +114,13 @@
     return open;
 }
 
-void PoolMemberships::number_endpoints(const std::vector<PoolMember*>& open,
-                                       const std::vector<PoolMember*>& of_step) {
+void PoolMemberships::assign_step_indices(const std::vector<PoolMember*>& open,
+                                          const std::vector<PoolMember*>& step_members) {
     for (PoolMember* const member : open) {
         member->step_index.reset();
     }
-    for (std::size_t i = 0; i < of_step.size(); ++i) {
-        of_step[i]->step_index = i;
+    for (std::size_t i = 0; i < step_members.size(); ++i) {
+        step_members[i]->step_index = i;
     }
 }
 
@@ -139,11 +140,11 @@
         snapshot.step_indices.push_back(place->member->step_index.value_or(0));
     }
     snapshot.weights =
-        collect_figures(snapshot.places, [](const PoolPlace& place) { return place.weight; });
+        collect_values(snapshot.places, [](const PoolPlace& place) { return place.weight; });
     snapshot.published_shares =
-        collect_figures(snapshot.places, [](const PoolPlace& place) { return place.share; });
+        collect_values(snapshot.places, [](const PoolPlace& place) { return place.share; });
     normalize(snapshot.published_shares);
-    snapshot.sizes = collect_figures(snapshot.places, [&pool](const PoolPlace& place) {
+    snapshot.sizes = collect_values(snapshot.places, [&pool](const PoolPlace& place) {
         const ListedEndpoint& endpoint = place.member->status.listed;
         return may_serve(endpoint, pool.method, pool.binding.zone) ? endpoint.size : 0;
     });
@@ -151,7 +152,7 @@
     return snapshot;
 }
 
-void PoolMemberships::lower_weights(const std::vector<PoolMember*>& of_step,
+void PoolMemberships::lower_weights(const std::vector<PoolMember*>& step_members,
                                     const std::vector<PoolSnapshot>& snapshots, double fraction,
                                     const std::vector<RealVector>& decreases, double log_floor) {
     const auto floor_of = [log_floor](const PoolMember& member) {
@@ -164,7 +165,7 @@
                 std::max(place.weight - fraction * decreases[k][i], floor_of(*place.member));
         }
     }
-    for (PoolMember* const member : of_step) {
+    for (PoolMember* const member : step_members) {
         member->initial_weight = std::max(member->initial_weight, floor_of(*member));
     }
     mark_all_pools_stale();
--- a/src/decision/real_vectors.hpp
+++ b/src/decision/real_vectors.hpp
@@ -1,4 +1,4 @@
-/// Builds vectors of figures from containers of objects.
+/// Builds vectors of numbers from containers of objects.
 #pragma once
 
 #include <cstddef>
@@ -8,22 +8,22 @@
 
 namespace micaroad::decision {
 
-/// `figure(*item)` of each item. `items` is a vector of pointers.
-template <class Items, class Figure>
-[[nodiscard]] RealVector collect_figures(const Items& items, Figure figure) {
-    RealVector figures(items.size());
+/// `value_of(*item)` for each item. `items` is a vector of pointers.
+template <class Items, class ValueOf>
+[[nodiscard]] RealVector collect_values(const Items& items, ValueOf value_of) {
+    RealVector values(items.size());
     for (std::size_t i = 0; i < items.size(); ++i) {
-        figures[i] = figure(*items[i]);
+        values[i] = value_of(*items[i]);
     }
-    return figures;
+    return values;
 }
 
-/// The elements of `figures` at `indices`, in the order of `indices`.
-[[nodiscard]] inline RealVector select_figures(const RealVector& figures,
-                                               const std::vector<std::size_t>& indices) {
+/// The elements of `values` at `indices`, in the order of `indices`.
+[[nodiscard]] inline RealVector select_values(const RealVector& values,
+                                              const std::vector<std::size_t>& indices) {
     RealVector selected(indices.size());
     for (std::size_t i = 0; i < indices.size(); ++i) {
-        selected[i] = figures[indices[i]];
+        selected[i] = values[indices[i]];
     }
     return selected;
 }
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -11,23 +11,23 @@
 
 namespace {
 
-/// What recent maxima keep at each optimizer step. They forget by a tenth a step.
+/// Factor by which recent maxima decay at each optimizer step.
 constexpr double kDecayPerStep = 0.9;
-/// Warm-up fraction below which an endpoint gets nothing.
-constexpr double kIdleFraction = 0.25;
-constexpr double kIdleFractionWithoutLoad = 0.5;
-/// Of the listed share, for an endpoint on probation: many of them must not cost much, one must be
-/// tried at all. The design has no probation.
+/// Warm-up fraction below which an endpoint gets no traffic.
+constexpr double kIdleWarmUpFraction = 0.25;
+constexpr double kIdleWarmUpFractionWithoutLoad = 0.5;
+/// Fraction of the listed share for an endpoint on probation: small enough that many such endpoints
+/// cost little, large enough that a single one gets attempts. The original design has no probation.
 constexpr double kProbationFraction = 0.1;
-/// Standard deviations between the expected RPCs of a cold endpoint and its overload limit: more
-/// comes by chance once a day. Not in the design.
-constexpr double kDeviations = 4;
+/// Standard deviations between the expected RPCs of a cold endpoint and its overload limit. Random
+/// variation exceeds this margin about once a day. Not in the original design.
+constexpr double kOverloadMarginDeviations = 4;
 
 }  // namespace
 
-// What a warm endpoint surely does: neither the retries of clients count (hence the smaller of the
-// measured and the announced rate), nor what is sent to the endpoints that are left when others go
-// (hence the largest recent size of the fleet).
+// Estimates the rate that a warm endpoint certainly handles. Client retries must not count, hence
+// the smaller of the measured and the announced rate. Neither must the extra load on the remaining
+// endpoints when others leave, hence the largest recent size of the fleet.
 void SlowStart::update_load(double total_rate, double announced_rate, double open_size) {
     total_rate_ = total_rate;
     recent_max_size_ = std::max(recent_max_size_ * kDecayPerStep, open_size);
@@ -50,7 +50,7 @@
     if (age >= 1) {
         return probation_limit;
     }
-    if (age < (load_known() ? kIdleFraction : kIdleFractionWithoutLoad)) {
+    if (age < (load_known() ? kIdleWarmUpFraction : kIdleWarmUpFractionWithoutLoad)) {
         return 0;
     }
     const double capacity_fraction =
@@ -58,11 +58,12 @@
     if (!load_known()) {
         return std::min(probation_limit, capacity_fraction * listed_share);
     }
-    // RPCs within the window after which an overloaded endpoint fails. The most that may be
-    // expected is x with x + kDeviations sqrt(x) at the limit: sqrt(x) solves a quadratic equation.
+    // All RPC counts are within the window after which an overloaded endpoint fails. The largest
+    // allowed expectation x has x + kOverloadMarginDeviations sqrt(x) at the overload limit, a
+    // quadratic equation for sqrt(x).
     const double overload_window = seconds(settings.overload_window);
     const double warm_rpcs = warm_rate_per_size_ * member.status.listed.size * overload_window;
-    const double half = kDeviations / 2;
+    const double half = kOverloadMarginDeviations / 2;
     const double root =
         std::sqrt(half * half + settings.overload_factor * capacity_fraction * warm_rpcs) - half;
     const double allowed_rpcs = std::min(capacity_fraction * warm_rpcs, root * root);
--- a/src/decision/weight_optimizer.cpp
+++ b/src/decision/weight_optimizer.cpp
@@ -14,10 +14,11 @@
 
 namespace {
 
-/// Remembered attempts of this planner's proxies below which a zone counts as not reached: one.
+/// Attempts in the evidence below which a zone counts as not reached by this planner's proxies.
 constexpr double kMinZoneAttempts = 1;
-/// The least weight, above the logarithm of the endpoint's size: about a twentieth of the listed
-/// share. An endpoint that gets no attempts cannot show that it has recovered. Not in the design.
+/// Minimum weight, relative to the logarithm of the endpoint's size: about a twentieth of the
+/// listed share. Without attempts, an endpoint could not show that it has recovered. Not in the
+/// original design.
 constexpr double kMinLogWeight = -3;
 
 double count_zones(const std::vector<PoolMember*>& members) {
@@ -28,7 +29,7 @@
     return static_cast<double>(zones.size());
 }
 
-/// The members of those zones that this planner's proxies reach.
+/// The members in zones that this planner's proxies reach.
 std::vector<PoolMember*> in_reached_zones(std::vector<PoolMember*> members) {
     std::map<ZoneId, double> attempts;
     for (const PoolMember* const member : members) {
@@ -41,8 +42,8 @@
 }
 
 double sum_of_sizes(const std::vector<PoolMember*>& members) {
-    return collect_figures(members,
-                           [](const PoolMember& member) { return member.status.listed.size; })
+    return collect_values(members,
+                          [](const PoolMember& member) { return member.status.listed.size; })
         .sum();
 }
 
@@ -58,7 +59,8 @@
 void WeightOptimizer::on(const EndpointStatus& status) {
     const auto [member, added] = memberships_.find_or_add(status.listed.server);
     if (added) {
-        // The first endpoints are trusted: a planner that starts over has no others.
+        // Endpoints that appear before any load is measured are trusted: after a restart, a planner
+        // knows no others.
         member.trusted = !slow_start_.load_known();
         memberships_.queue_for_publishing(member);
     }
@@ -66,7 +68,7 @@
     publish_due_ |= added || on_probation != member.on_probation ||
                     status.open != member.status.open ||
                     status.listed.last_start != member.status.listed.last_start;
-    // Steps keep the mean of the weights, so an endpoint may enter at its listed weight.
+    // Steps preserve the mean of the weights, so a new endpoint can start with its listed weight.
     memberships_.update(member, status, on_probation, std::log(status.listed.size));
 }
 
@@ -86,8 +88,8 @@
     }
 }
 
-/// Endpoints of zones that none of this planner's proxies reaches are left out: there is no
-/// evidence of them, and a step would move nothing there.
+/// Runs one optimizer step. Endpoints in zones that none of this planner's proxies reaches are left
+/// out: there is no evidence on them, and a step would move no traffic there.
 void WeightOptimizer::optimize() {
     if (memberships_.pools().empty()) {
         return;
@@ -99,13 +101,13 @@
         return;
     }
     const double own_rate = estimates->attempt_rates.sum();
-    slow_start_.update_load(own_rate * demand_.all_over_ours, demand_.announced,
+    slow_start_.update_load(own_rate * demand_.total_to_own_load, demand_.announced_rate,
                             sum_of_sizes(open));
-    PoolMemberships::number_endpoints(open, reached);
-    // The proxies of other planners are taken to load the endpoints as ours do, equally from all
-    // zones.
+    PoolMemberships::assign_step_indices(open, reached);
+    // Assumes that the proxies of other planners load the endpoints as this planner's do, equally
+    // from all zones.
     const double reached_fraction = count_zones(reached) / count_zones(open);
-    const double load_factor = std::max(1.0, demand_.all_over_ours * reached_fraction);
+    const double load_factor = std::max(1.0, demand_.total_to_own_load * reached_fraction);
     const GradientStep step(collect_input(*estimates, load_factor));
     if (const std::optional<WeightChange> change = step.compute()) {
         memberships_.lower_weights(reached, step.pools(), change->fraction, change->decreases,
@@ -113,7 +115,7 @@
     }
 }
 
-/// `load_factor`: the load of all proxies over that of this planner's.
+/// `load_factor`: the load from all proxies divided by that from this planner's proxies.
 StepInput WeightOptimizer::collect_input(const EndpointEstimates& estimates, double load_factor) {
     StepInput input;
     input.own_rate = estimates.attempt_rates.sum();
@@ -140,8 +142,8 @@
     return snapshot;
 }
 
-/// Posts what has changed since the last time. Shares are computed again for pools that were
-/// changed or that hold an endpoint which still warms up.
+/// Posts what has changed since the last publication. Shares are recomputed for pools that have
+/// changed or that contain an endpoint that is warming up.
 void WeightOptimizer::publish() {
     if (memberships_.pools().empty()) {
         return;
--- a/src/decision/weight_optimizer.hpp
+++ b/src/decision/weight_optimizer.hpp
@@ -1,4 +1,4 @@
-/// Weights of endpoints, learnt from load reports.
+/// Learns the weights of endpoints from load reports.
 #pragma once
 
 #include <cstddef>
@@ -16,20 +16,20 @@
 
 namespace micaroad::decision {
 
-/// Moves the weights of all pools by one bounded gradient step at a time and publishes the shares
-/// that change to the update scheduler. Not thread-safe.
+/// Changes the weights of all pools by one bounded gradient step at a time and publishes changed
+/// shares to the update scheduler. Not thread-safe.
 class WeightOptimizer {
  public:
-    /// Both arguments must outlive the optimizer. Posts the bindings of all pools.
+    /// Posts the bindings of all pools to `scheduler`. Both arguments must outlive the optimizer.
     WeightOptimizer(DecisionContext& context, UpdateScheduler& scheduler);
 
     void on(const EndpointStatus& status);
     void on(const DemandEstimate& demand);
-    /// Moves the weights, if there is any evidence, and publishes. The endpoints have sent their
-    /// evidence before.
+    /// Changes the weights if there is any evidence, and publishes. The trackers must have sent
+    /// their evidence before.
     void on(const OptimizerStep&);
     /// Publishes if an endpoint has appeared, opened, closed, restarted, or started or ended its
-    /// probation.
+    /// probation since the last publication.
     void on(const Tick&);
 
     Mailbox<EndpointStatus, Tick, DemandEstimate, OptimizerStep> mailbox;
@@ -46,7 +46,7 @@
     EvidenceEstimator evidence_{context_.settings};
     SlowStart slow_start_{context_};
     DemandEstimate demand_{};
-    bool publish_due_ = false;  // at the next tick
+    bool publish_due_ = false;  // publish at the next tick
 };
 
 }  // namespace micaroad::decision
