--- a/tests/corpus.cpp
+++ b/tests/corpus.cpp
@@ -11,45 +11,46 @@
 namespace micaroad::test {
 namespace {
 
-Corpus read(const std::filesystem::path& path) {
-    Corpus corpus;
-    corpus.name = path.stem().string();
+CorpusFile read_file(const std::filesystem::path& path) {
+    CorpusFile file;
+    file.name = path.stem().string();
     std::ifstream in(path);
-    int number = 0, begun = 0;
+    int number = 0, first_line = 0;
     for (std::string line; std::getline(in, line);) {
         ++number;
-        corpus.text += line + "\n";
-        if (begun == 0) {
-            begun = number;
+        file.text += line + "\n";
+        if (first_line == 0) {
+            first_line = number;
         }
         if (line.ends_with('\\')) {
-            continue;  // joined to the next: its verdict stands there
+            continue;  // the verdict is at the end of the continuation line
         }
-        const int first = std::exchange(begun, 0);
-        if (const auto at = line.find("#= "); at != std::string::npos) {
-            const std::string said = line.substr(at + 3);
-            const auto colon = said.find(": ");
-            corpus.verdicts[first] = {said.substr(0, colon),
-                                      colon == std::string::npos ? "" : said.substr(colon + 2)};
+        const int finding_line = std::exchange(first_line, 0);
+        if (const auto marker = line.find("#= "); marker != std::string::npos) {
+            const std::string expected = line.substr(marker + 3);
+            const auto colon = expected.find(": ");
+            file.findings[finding_line] = {
+                expected.substr(0, colon),
+                colon == std::string::npos ? "" : expected.substr(colon + 2)};
         }
         if (!line.starts_with("#! ")) {
             continue;
         }
         std::istringstream words(line.substr(3));
-        std::string what, word;
-        words >> what;
-        if (what == "pool") {
+        std::string directive, word;
+        words >> directive;
+        if (directive == "pool") {
             words >> word;
-            auto& shares = corpus.shares[word];
+            auto& shares = file.shares[word];
             while (words >> word) {
                 shares[word.substr(0, word.find('='))] = std::stod(word.substr(word.find('=') + 1));
             }
-        } else if (what == "state") {
+        } else if (directive == "state") {
             std::string server;
-            words >> server >> corpus.states[server];
-        } else if (what == "route") {
-            Corpus::Route route;
-            route.line = line;
+            words >> server >> file.states[server];
+        } else if (directive == "route") {
+            CorpusFile::Route route;
+            route.directive = line;
             words >> route.listener >> route.rpc.method >> route.rpc.host >> route.rpc.path;
             if (route.rpc.host == "-") {
                 route.rpc.host.clear();
@@ -68,37 +69,37 @@
                         routing::to_lower(word.substr(2, word.find('=') - 2)), value);
                 }
             }
-            words >> route.to;
-            corpus.routes.push_back(std::move(route));
+            words >> route.expected;
+            file.routes.push_back(std::move(route));
         } else {
-            FAIL("no such directive: " << line);
+            FAIL("unknown directive: " << line);
         }
     }
-    return corpus;
+    return file;
 }
 
 }  // namespace
 
-haproxy::Import Corpus::import() const {
+haproxy::Import CorpusFile::import() const {
     haproxy::TreeBuilder builder(haproxy::Environment{{"MICAROAD_TEST_WEIGHT", "3"}});
     builder.add(name + ".cfg", text);
     return haproxy::translate(builder.finish());
 }
 
-std::vector<Corpus> Corpus::all() {
-    std::vector<Corpus> all;
+std::vector<CorpusFile> CorpusFile::read_all() {
+    std::vector<CorpusFile> files;
     for (const auto& entry : std::filesystem::directory_iterator(HAPROXY_CORPUS)) {
         if (entry.path().extension() == ".cfg") {
-            all.push_back(read(entry.path()));
+            files.push_back(read_file(entry.path()));
         }
     }
-    std::sort(all.begin(), all.end(),
-              [](const Corpus& a, const Corpus& b) { return a.name < b.name; });
-    return all;
+    std::sort(files.begin(), files.end(),
+              [](const CorpusFile& a, const CorpusFile& b) { return a.name < b.name; });
+    return files;
 }
 
-Corpus Corpus::named(const std::string& name) {
-    return read(std::filesystem::path(HAPROXY_CORPUS) / (name + ".cfg"));
+CorpusFile CorpusFile::read(const std::string& name) {
+    return read_file(std::filesystem::path(HAPROXY_CORPUS) / (name + ".cfg"));
 }
 
 }  // namespace micaroad::test
--- a/tests/counting_servers.cpp
+++ b/tests/counting_servers.cpp
@@ -16,46 +16,46 @@
         address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
         socklen_t size = sizeof address;
         const int listener = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-        auto* const at = reinterpret_cast<sockaddr*>(&address);
-        if (::bind(listener, at, size) != 0 || ::listen(listener, 1) != 0 ||
-            ::getsockname(listener, at, &size) != 0) {
-            throw std::runtime_error("no port on loopback");
+        auto* const socket_address = reinterpret_cast<sockaddr*>(&address);
+        if (::bind(listener, socket_address, size) != 0 || ::listen(listener, 1) != 0 ||
+            ::getsockname(listener, socket_address, &size) != 0) {
+            throw std::runtime_error("can't listen on a loopback port");
         }
-        auto one = std::make_unique<One>();
-        one->thread = std::thread([listener, counted = &one->counted] {
+        auto server = std::make_unique<CountingServer>();
+        server->thread = std::thread([listener, rpcs = &server->rpcs] {
             const int from = ::accept(listener, nullptr, nullptr);
             char bytes[4096];
             for (ssize_t n; (n = ::read(from, bytes, sizeof bytes)) > 0;) {
-                *counted += static_cast<int>(n);
+                *rpcs += static_cast<int>(n);
             }
             ::close(from);
             ::close(listener);
         });
-        one->to = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-        if (::connect(one->to, at, size) != 0) {
-            throw std::runtime_error("no connection on loopback");
+        server->client_fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+        if (::connect(server->client_fd, socket_address, size) != 0) {
+            throw std::runtime_error("can't connect to the server on loopback");
         }
-        servers_[name] = std::move(one);
+        servers_[name] = std::move(server);
     }
 }
 
 void CountingServers::send(const std::string& name) {
     const char rpc = 'r';
-    if (::write(servers_.at(name)->to, &rpc, 1) != 1) {
-        throw std::runtime_error("an RPC was not taken");
+    if (::write(servers_.at(name)->client_fd, &rpc, 1) != 1) {
+        throw std::runtime_error("can't send the RPC to the server");
     }
 }
 
 std::map<std::string, int> CountingServers::counts() {
     std::map<std::string, int> counts;
-    for (auto& [name, one] : servers_) {
-        if (one->to >= 0) {
-            ::close(std::exchange(one->to, -1));
+    for (auto& [name, server] : servers_) {
+        if (server->client_fd >= 0) {
+            ::close(std::exchange(server->client_fd, -1));
         }
-        if (one->thread.joinable()) {
-            one->thread.join();
+        if (server->thread.joinable()) {
+            server->thread.join();
         }
-        counts[name] = one->counted;
+        counts[name] = server->rpcs;
     }
     return counts;
 }
--- a/tests/counting_servers.hpp
+++ b/tests/counting_servers.hpp
@@ -1,5 +1,5 @@
-// Stand-in servers on loopback that count: each listens on a port of its own, takes one connection
-// and counts what comes on it, a byte an RPC.
+// Fake servers on loopback that count RPCs: each listens on a port of its own, accepts one
+// connection and counts the bytes received on it, one byte for each RPC.
 #pragma once
 
 #include <map>
@@ -17,17 +17,19 @@
     CountingServers(const CountingServers&) = delete;
     CountingServers& operator=(const CountingServers&) = delete;
 
-    void send(const std::string& name);  // one RPC
-    // Ends the connections, waits until all has been read, and tells what each server has counted.
+    // Sends one RPC to the server of that name.
+    void send(const std::string& name);
+    // Closes the connections, waits until the servers have read everything, and returns the number
+    // of RPCs of each server. send() must not be called afterwards.
     std::map<std::string, int> counts();
 
  private:
-    struct One {
+    struct CountingServer {
         std::thread thread;
-        int to = -1;
-        int counted = 0;
+        int client_fd = -1;
+        int rpcs = 0;
     };
-    std::map<std::string, std::unique_ptr<One>> servers_;
+    std::map<std::string, std::unique_ptr<CountingServer>> servers_;
 };
 
 }  // namespace micaroad::test
--- a/tests/haproxy_test.cpp
+++ b/tests/haproxy_test.cpp
@@ -1,6 +1,5 @@
-// The importer: every line of the corpus gets the verdict that stands behind it, pools have the
-// shares and routes lead where the file says; then what can't be read at all, at any length it may
-// be cut, and size.
+// The importer: verdicts, shares and routes that the files of the corpus expect (see corpus.hpp),
+// input that can't be read, files cut at any byte, and the time to import a large configuration.
 #include <catch2/catch.hpp>
 #include <chrono>
 #include <cstdlib>
@@ -17,7 +16,7 @@
 #include "routing/router.hpp"
 
 using namespace micaroad;
-using test::Corpus;
+using test::CorpusFile;
 
 namespace {
 
@@ -29,10 +28,10 @@
 
 }  // namespace
 
-TEST_CASE("every line of the corpus gets exactly the verdict that stands behind it") {
-    const auto files = Corpus::all();
+TEST_CASE("every line of the corpus gets exactly one finding, with its expected verdict") {
+    const auto files = CorpusFile::read_all();
     CHECK(files.size() >= 40);
-    for (const Corpus& file : files) {
+    for (const CorpusFile& file : files) {
         DYNAMIC_SECTION(file.name) {
             const haproxy::Import import = file.import();
             for (const auto& trouble : import.troubles) {
@@ -43,12 +42,12 @@
             for (const auto& finding : import.findings) {
                 ++found[finding.line];
                 CAPTURE(finding.line, finding.keyword, finding.says);
-                const auto wanted = file.verdicts.find(finding.line);
-                REQUIRE(wanted != file.verdicts.end());
-                CHECK(wanted->second.verdict == haproxy::name_of(finding.verdict));
-                CHECK_THAT(finding.says, Catch::Contains(wanted->second.says));
+                const auto expected = file.findings.find(finding.line);
+                REQUIRE(expected != file.findings.end());
+                CHECK(expected->second.verdict == haproxy::name_of(finding.verdict));
+                CHECK_THAT(finding.says, Catch::Contains(expected->second.says));
             }
-            CHECK(found.size() == file.verdicts.size());
+            CHECK(found.size() == file.findings.size());
             for (const auto& [line, n] : found) {
                 CHECK(n == 1);
             }
@@ -57,8 +56,9 @@
 }
 
 TEST_CASE(
-    "pools of the corpus have the shares and states that their files say, and routes lead there") {
-    for (const Corpus& file : Corpus::all()) {
+    "pools of the corpus have their expected shares and states, and routes lead to their expected "
+    "pools") {
+    for (const CorpusFile& file : CorpusFile::read_all()) {
         DYNAMIC_SECTION(file.name) {
             const haproxy::Import import = file.import();
             const auto report = nlohmann::json::parse(haproxy::json_report(import, {file.name}));
@@ -71,27 +71,28 @@
                         server["state"];
                 }
             }
-            for (const auto& [pool, wanted] : file.shares) {
+            for (const auto& [pool, expected] : file.shares) {
                 CAPTURE(pool);
-                REQUIRE(shares[pool].size() == wanted.size());
-                for (const auto& [server, share] : wanted) {
+                REQUIRE(shares[pool].size() == expected.size());
+                for (const auto& [server, share] : expected) {
                     CHECK(shares[pool][server] == Approx(share).margin(1e-4));
                 }
             }
             for (const auto& [server, state] : file.states) {
                 CHECK(states[server] == state);
             }
-            CHECK(report["counts"]["lines"] == file.verdicts.size());
+            CHECK(report["counts"]["lines"] == file.findings.size());
 
             const routing::Router router(import.plan);
             for (const auto& route : file.routes) {
-                CAPTURE(route.line);
+                CAPTURE(route.directive);
                 const auto decision = router.decide(route.listener, route.rpc, route.view);
-                const bool sent = decision.kind == routing::Decision::Kind::send ||
-                                  decision.kind == routing::Decision::Kind::wait;
-                CHECK((sent ? decision.pool : std::to_string(decision.status)) == route.to);
+                const bool has_pool = decision.kind == routing::Decision::Kind::send ||
+                                      decision.kind == routing::Decision::Kind::wait;
+                CHECK((has_pool ? decision.pool : std::to_string(decision.status)) ==
+                      route.expected);
             }
-            // What is written reads back as the same plan.
+            // The operator's file that is written from the plan reads back as the same plan.
             const operators::ReadResult back =
                 operators::read_text(operators::write_text(import.plan), "back");
             for (const auto& fault : back.faults) {
@@ -103,7 +104,7 @@
     }
 }
 
-TEST_CASE("what can't be read is named with its place, and nothing is made of it") {
+TEST_CASE("input that can't be read is reported with its place, and no plan is made of it") {
     const auto trouble = [](const std::string& text) {
         const auto import = import_text(text);
         CHECK((import.plan.pools.empty() && import.plan.listeners.empty()));
@@ -131,29 +132,29 @@
         words += " w";
     }
     CHECK(trouble(words + "\n").find("over 64 words") != std::string::npos);
-    // Every trouble at once.
+    // All errors are reported at once.
     CHECK(import_text("backend\nbackend a'b\n id \"x\n").troubles.size() == 3);
 }
 
 TEST_CASE(
     "lines are lexed as the manual says: line ends, quotes, continuations and unusual bytes") {
-    const std::string sound = "backend web\n server a 10.0.0.1:80\n";
+    const std::string valid = "backend web\n server a 10.0.0.1:80\n";
     const auto plan_of = [](const std::string& text) {
         const auto import = import_text(text);
         CHECK(import.troubles.empty());
         return import.plan;
     };
-    const auto plan = plan_of(sound);
+    const auto plan = plan_of(valid);
     REQUIRE(plan.pools.size() == 1);
-    CHECK(plan == plan_of("\xef\xbb\xbf" + sound));
+    CHECK(plan == plan_of("\xef\xbb\xbf" + valid));
     CHECK(plan == plan_of("backend web\r\n server a 10.0.0.1:80\r\n"));
     CHECK(plan == plan_of("backend web\n\n#x \\\n\t server\ta  10.0.0.1:80 # more"));
     CHECK(plan == plan_of("backend web\n server a \\\n10.0.0.1:80\n"));
     CHECK(plan == plan_of("backend web\n 'ser'\"ver\" \\x61 10.0.0.1:80\n"));
     // A line of 64 KiB, fed byte by byte.
-    const std::string wide =
+    const std::string long_line =
         "backend web\n id " + std::string(65'536, 'y') + "\n server a 10.0.0.1:80\n";
-    CHECK(plan == plan_of(wide));
+    CHECK(plan == plan_of(long_line));
     std::vector<haproxy::Line> lines;
     const haproxy::Environment environment{{"MANY", "a b  c"}, {"ONE", "x y"}};
     haproxy::Lexer lexer("f", environment,
@@ -170,13 +171,13 @@
     }
     CHECK(words == std::vector<std::string>{"k", "a", "b", "c", "x y", "$ONE", "$ONE", "d e", "1",
                                             "\xff\xfe"});
-    // Bytes that are no UTF-8 don't spoil a report.
-    const auto odd = import_text("backend web\n \xff\xfe 1\n");
-    CHECK_NOTHROW(nlohmann::json::parse(haproxy::json_report(odd, {"x"})));
+    // The JSON report is valid although the input is not UTF-8.
+    const auto non_utf8 = import_text("backend web\n \xff\xfe 1\n");
+    CHECK_NOTHROW(nlohmann::json::parse(haproxy::json_report(non_utf8, {"x"})));
 }
 
-TEST_CASE("translation of limits, health, further tries and stickiness") {
-    const auto import = Corpus::named("health-rules").import();
+TEST_CASE("limits, health checks, retries and stickiness are translated to the plan's settings") {
+    const auto import = CorpusFile::read("health-rules").import();
     const auto& health = import.plan.pools.at(0).health;
     CHECK((health.kind == routing::HealthRule::Kind::http && health.http_path == "/ping" &&
            health.http_host == "shop.example"));
@@ -187,13 +188,13 @@
     CHECK((health.timeout == Duration{9'000} && health.max_consecutive_errors == 0));
     CHECK(!import.plan.pools[0].servers.at(4).health_checked);
 
-    const auto limits = Corpus::named("limits").import().plan;
+    const auto limits = CorpusFile::read("limits").import().plan;
     CHECK((limits.listeners.at(0).max_connections == 2'000 &&
            limits.pools.at(0).queue_timeout == Duration{15'000}));
     CHECK((limits.pools[0].servers.at(0).max_connections == 100 &&
            limits.pools[0].servers[0].max_queued == 50));
 
-    const auto sticky = Corpus::named("cookie-persist").import().plan.pools.at(0);
+    const auto sticky = CorpusFile::read("cookie-persist").import().plan.pools.at(0);
     using routing::RetryRule;
     CHECK(sticky.retry_rule ==
           RetryRule{5, RetryRule::Condition::any_failure, RetryRule::Target::other_on_last_retry});
@@ -201,48 +202,49 @@
            sticky.stickiness.stay_when_down));
     CHECK((sticky.servers.at(1).cookie_value == "s2" && sticky.servers[1].health_checked));
 
-    const auto slow = Corpus::named("slow-start").import().plan.pools.at(0);
+    const auto slow = CorpusFile::read("slow-start").import().plan.pools.at(0);
     CHECK(slow.servers.at(2).slow_start == Duration{160'000});
-    CHECK(Corpus::named("slow-start-static").import().plan.pools.at(0).servers.at(0).slow_start ==
-          Duration{});
-    const auto from = Corpus::named("defaults-from").import().plan;
+    CHECK(
+        CorpusFile::read("slow-start-static").import().plan.pools.at(0).servers.at(0).slow_start ==
+        Duration{});
+    const auto from = CorpusFile::read("defaults-from").import().plan;
     CHECK((from.pools.at(0).connect_timeout == Duration{10'000} &&
            from.pools[0].response_timeout == Duration{90'000}));
     CHECK((from.pools.at(2).connect_timeout == Duration{30'000} && !from.pools[2].all_backups));
 }
 
-TEST_CASE("several files and directories are read in order, and one that is missing is named") {
+TEST_CASE("files and directories are read in order, and a missing file is reported") {
     namespace fs = std::filesystem;
     const fs::path folder =
         fs::temp_directory_path() / ("micaroad-haproxy-" + std::to_string(::getpid()));
     fs::create_directories(folder / "d");
-    const auto write = [&](const char* name, const char* text) {
+    const auto write_file = [&](const char* name, const char* text) {
         std::ofstream(folder / name) << text;
     };
-    write("one.cfg", "defaults\n timeout connect 1s\n timeout server 1s\n");
-    write("d/20.cfg", " server b 10.0.0.2:80 weight 3\n");
-    write("d/10.cfg", "backend web\n server a 10.0.0.1:80\n");
-    write("d/30.txt", "nonsense");
-    write("d/empty.cfg", "");
-    const auto read = [&](std::vector<std::string> names) {
+    write_file("one.cfg", "defaults\n timeout connect 1s\n timeout server 1s\n");
+    write_file("d/20.cfg", " server b 10.0.0.2:80 weight 3\n");
+    write_file("d/10.cfg", "backend web\n server a 10.0.0.1:80\n");
+    write_file("d/30.txt", "nonsense");
+    write_file("d/empty.cfg", "");
+    const auto import_files = [&](std::vector<std::string> names) {
         for (auto& name : names) {
             name = (folder / name).string();
         }
         return haproxy::translate(haproxy::read_files(names, {}));
     };
-    const auto import = read({"one.cfg", "d"});
+    const auto import = import_files({"one.cfg", "d"});
     CHECK(import.troubles.empty());
     REQUIRE((import.plan.pools.size() == 1 && import.plan.pools[0].servers.size() == 2));
     CHECK(import.plan.pools[0].servers[1].weight == 3);
     CHECK(import.plan.pools[0].connect_timeout == Duration{10'000});
     CHECK(import.findings.back().file.ends_with("20.cfg"));
-    REQUIRE(read({"one.cfg", "none.cfg"}).troubles.size() == 1);
+    REQUIRE(import_files({"one.cfg", "none.cfg"}).troubles.size() == 1);
     fs::remove_all(folder);
 }
 
-TEST_CASE("cut at every byte, a file is read or refused, and no line of it falls through") {
+TEST_CASE("a file cut at any byte is read or refused, and no line is left without a verdict") {
     for (const char* name : {"quoting", "macros", "acl-thrice-is-or", "health-rules"}) {
-        const std::string text = Corpus::named(name).text;
+        const std::string text = CorpusFile::read(name).text;
         for (std::size_t length = 0; length <= text.size(); ++length) {
             const auto import =
                 import_text(text.substr(0, length), {{"MICAROAD_TEST_WEIGHT", "3"}});
@@ -251,17 +253,17 @@
             }
             for (const auto& finding : import.findings) {
                 if (finding.verdict == haproxy::Verdict::refused && finding.says.empty()) {
-                    FAIL(name << " at " << length);
+                    FAIL(name << " cut at byte " << length);
                 }
                 if (finding.says == "nothing here knows this line" && import.troubles.empty()) {
-                    FAIL(name << " at " << length << ", line " << finding.line);
+                    FAIL(name << " cut at byte " << length << ", line " << finding.line);
                 }
             }
         }
     }
 }
 
-TEST_CASE("20,000 servers and 50,000 lines are read within a second") {
+TEST_CASE("a configuration of 20,000 servers and 50,000 lines is imported within a second") {
     std::string text = "defaults\n timeout connect 1s\n timeout server 1s\n";
     int lines = 3;
     for (int pool = 0; pool < 100; ++pool) {
@@ -285,10 +287,10 @@
         text += "# filler\n frobnicate 1\n";
         lines += 1;
     }
-    const auto begun = std::chrono::steady_clock::now();
+    const auto started_at = std::chrono::steady_clock::now();
     const auto import = import_text(text);
-    const double took =
-        std::chrono::duration<double>(std::chrono::steady_clock::now() - begun).count();
+    const double seconds =
+        std::chrono::duration<double>(std::chrono::steady_clock::now() - started_at).count();
     std::size_t servers = 0;
     for (const auto& pool : import.plan.pools) {
         servers += pool.servers.size();
@@ -296,8 +298,8 @@
     CHECK(import.troubles.empty());
     CHECK(servers == 20'000);
     CHECK(import.findings.size() == static_cast<std::size_t>(lines));
-    WARN("50,000 lines, 20,000 servers: " << took << " s");
+    WARN("50,000 lines, 20,000 servers: " << seconds << " s");
 #if !defined(__SANITIZE_ADDRESS__) && !defined(__SANITIZE_THREAD__)
-    CHECK(took < 1.0);
+    CHECK(seconds < 1.0);
 #endif
 }
--- a/tests/haproxy_traffic_model.cpp
+++ b/tests/haproxy_traffic_model.cpp
@@ -32,60 +32,65 @@
 }
 
 void read_words(const std::vector<std::string>& words, std::size_t from,
-                HaproxyTrafficModel::Node& node) {
+                HaproxyTrafficModel::Server& server) {
     for (std::size_t i = from; i < words.size(); ++i) {
         const auto next = [&] { return i + 1 < words.size() ? words[++i] : std::string("0"); };
         if (words[i] == "weight") {
-            node.weight = static_cast<int>(std::strtol(next().c_str(), nullptr, 10));
+            server.weight = static_cast<int>(std::strtol(next().c_str(), nullptr, 10));
         } else if (words[i] == "backup") {
-            node.backup = true;
+            server.backup = true;
         } else if (words[i] == "disabled") {
-            node.disabled = true;
+            server.disabled = true;
         } else if (words[i] == "maxconn") {
-            node.max_conn = static_cast<int>(std::strtol(next().c_str(), nullptr, 10));
+            server.max_conn = static_cast<int>(std::strtol(next().c_str(), nullptr, 10));
         } else if (words[i] == "slowstart") {
-            node.slow_start = seconds_of(next());
+            server.slow_start = seconds_of(next());
         } else if (words[i] == "inter") {
-            node.check_every = seconds_of(next());
+            server.check_interval = seconds_of(next());
         }
     }
 }
 
-// Of a server that has come up: "the weight grows linearly from 1 to 100%", renewed at every check,
-// for kinds that can change weights while they run.
-double weight_now(const HaproxyTrafficModel::Pool& pool, const HaproxyTrafficModel::Node& node) {
-    const bool moves =
+// Returns the weight that a server has at this time of its slow start. By the manual, "the weight
+// grows linearly from 1 to 100%"; it is updated at each health check, for those `balance`
+// algorithms that can change weights at run time.
+double weight_now(const HaproxyTrafficModel::Pool& pool,
+                  const HaproxyTrafficModel::Server& server) {
+    const bool weight_changes_at_run_time =
         pool.balance == "roundrobin" || pool.balance == "leastconn" || pool.balance == "random";
-    if (!moves || node.slow_start <= 0 || node.up_for >= node.slow_start) {
-        return node.weight;
+    if (!weight_changes_at_run_time || server.slow_start <= 0 ||
+        server.seconds_up >= server.slow_start) {
+        return server.weight;
     }
-    const double seen = std::floor(node.up_for / node.check_every) * node.check_every;
-    return node.weight * std::max(0.01, seen / node.slow_start);
+    const double seconds_at_last_check =
+        std::floor(server.seconds_up / server.check_interval) * server.check_interval;
+    return server.weight * std::max(0.01, seconds_at_last_check / server.slow_start);
 }
 
-// Who takes part: active servers that are up and weigh anything; without any, the backups, of which
-// the first alone unless allbackups is set.
-std::vector<HaproxyTrafficModel::Node*> in_use(HaproxyTrafficModel::Pool& pool) {
-    std::vector<HaproxyTrafficModel::Node*> nodes;
+// Returns the servers that get traffic: the usable active servers (up, enabled, weight above 0); if
+// there are none, the first usable backup, or all of them if `option allbackups` is set.
+std::vector<HaproxyTrafficModel::Server*> servers_with_traffic(HaproxyTrafficModel::Pool& pool) {
+    std::vector<HaproxyTrafficModel::Server*> servers;
     for (const bool backup : {false, true}) {
-        for (auto& node : pool.nodes) {
-            if (node.backup != backup || node.down || node.disabled || pool.disabled ||
-                node.weight == 0) {
+        for (auto& server : pool.servers) {
+            if (server.backup != backup || server.down || server.disabled || pool.disabled ||
+                server.weight == 0) {
                 continue;
             }
-            nodes.push_back(&node);
+            servers.push_back(&server);
             if (backup && !pool.all_backups) {
                 break;
             }
         }
-        if (!nodes.empty()) {
+        if (!servers.empty()) {
             break;
         }
     }
-    return nodes;
+    return servers;
 }
 
-// FNV-1a, then each server as often in a row as it weighs: "map-based" hashing by the manual.
+// FNV-1a with a final bit mixer. The manual's "map-based" hashing repeats each server by its
+// weight; spread() selects by weight from the hash, which gives the same split.
 std::uint64_t hash_of(const std::string& text) {
     std::uint64_t hash = 14'695'981'039'346'656'037ULL;
     for (const unsigned char c : text) {
@@ -103,10 +108,10 @@
     const std::string& text) {
     std::map<std::string, Pool> pools;
     Pool* pool = nullptr;
-    std::map<std::string, std::pair<bool, Node>>
-        defaults;  // option allbackups and default-server by section's name
-    std::string section, last;
-    Node standard;
+    std::map<std::string, std::pair<bool, Server>>
+        defaults;  // (option allbackups, default-server) by the name of the defaults section
+    std::string section, last_defaults;
+    Server default_server;
     bool all_backups = false;
     std::istringstream in(text);
     for (std::string line; std::getline(in, line);) {
@@ -117,16 +122,17 @@
         const auto from = std::find(words.begin(), words.end(), "from");
         if (words[0] == "defaults") {
             section = words.size() > 1 && words[1] != "from" ? words[1] : "";
-            standard = {};
+            default_server = {};
             all_backups = false;
             pool = nullptr;
             if (from != words.end()) {
-                std::tie(all_backups, standard) = defaults[*(from + 1)];
+                std::tie(all_backups, default_server) = defaults[*(from + 1)];
             }
-            last = section;
-            defaults[last] = {all_backups, standard};
+            last_defaults = section;
+            defaults[last_defaults] = {all_backups, default_server};
         } else if (words[0] == "backend" || words[0] == "listen") {
-            std::tie(all_backups, standard) = defaults[from != words.end() ? *(from + 1) : last];
+            std::tie(all_backups, default_server) =
+                defaults[from != words.end() ? *(from + 1) : last_defaults];
             pool = &pools[words[1]];
             pool->name = words[1];
             pool->all_backups = all_backups;
@@ -134,12 +140,12 @@
                    words[0] == "resolvers") {
             pool = nullptr;
         } else if (words[0] == "default-server") {
-            read_words(words, 1, standard);
+            read_words(words, 1, default_server);
             if (pool == nullptr) {
-                defaults[last].second = standard;
+                defaults[last_defaults].second = default_server;
             }
         } else if (words[0] == "option" && words.size() > 1 && words[1] == "allbackups") {
-            pool ? (void)(pool->all_backups = true) : (void)(defaults[last].first = true);
+            pool ? (void)(pool->all_backups = true) : (void)(defaults[last_defaults].first = true);
         } else if (pool != nullptr && words[0] == "balance") {
             pool->balance = words[1].substr(0, words[1].find('('));
             if (words[1] == "hash") {
@@ -148,10 +154,10 @@
         } else if (pool != nullptr && words[0] == "disabled") {
             pool->disabled = true;
         } else if (pool != nullptr && words[0] == "server" && words.size() > 2) {
-            Node node = standard;
-            node.name = words[1];
-            read_words(words, 3, node);
-            pool->nodes.push_back(node);
+            Server server = default_server;
+            server.name = words[1];
+            read_words(words, 3, server);
+            pool->servers.push_back(server);
         }
     }
     return pools;
@@ -159,49 +165,50 @@
 
 std::map<std::string, int> HaproxyTrafficModel::spread(Pool pool,
                                                        const std::vector<Client>& clients,
-                                                       std::mt19937_64& chance) {
+                                                       std::mt19937_64& rng) {
     std::map<std::string, int> counts;
-    const std::vector<Node*> nodes = in_use(pool);
-    if (nodes.empty()) {
+    const std::vector<Server*> servers = servers_with_traffic(pool);
+    if (servers.empty()) {
         counts[""] = static_cast<int>(clients.size());
         return counts;
     }
     std::vector<double> weights;
     double sum = 0;
-    for (const Node* node : nodes) {
-        weights.push_back(weight_now(pool, *node)), sum += weights.back();
+    for (const Server* server : servers) {
+        weights.push_back(weight_now(pool, *server)), sum += weights.back();
     }
-    const auto by_weight = [&](double at) {  // at: within 0..1
-        at *= sum;
-        for (std::size_t i = 0; i + 1 < nodes.size(); ++i) {
-            if ((at -= weights[i]) < 0) {
-                return nodes[i];
+    const auto select_by_weight = [&](double position) {  // position: 0 to 1
+        position *= sum;
+        for (std::size_t i = 0; i + 1 < servers.size(); ++i) {
+            if ((position -= weights[i]) < 0) {
+                return servers[i];
             }
         }
-        return nodes.back();
+        return servers.back();
     };
-    const auto round = [&] {  // the one furthest behind its part goes next
-        for (std::size_t i = 0; i < nodes.size(); ++i) {
-            nodes[i]->turn += weights[i];
+    const auto select_round_robin = [&] {  // selects the server with the most credit
+        for (std::size_t i = 0; i < servers.size(); ++i) {
+            servers[i]->round_robin_credit += weights[i];
         }
-        Node* next =
-            *std::max_element(nodes.begin(), nodes.end(),
-                              [](const Node* a, const Node* b) { return a->turn < b->turn; });
-        next->turn -= sum;
+        Server* next =
+            *std::max_element(servers.begin(), servers.end(), [](const Server* a, const Server* b) {
+                return a->round_robin_credit < b->round_robin_credit;
+            });
+        next->round_robin_credit -= sum;
         return next;
     };
     std::uniform_real_distribution<> unit(0, 1);
-    std::exponential_distribution<> stays(1.0 / 12);
-    using End = std::pair<double, Node*>;
-    std::priority_queue<End, std::vector<End>, std::greater<>> ends;
+    std::exponential_distribution<> duration(1.0 / 12);
+    using Completion = std::pair<double, Server*>;
+    std::priority_queue<Completion, std::vector<Completion>, std::greater<>> completions;
     double now = 0;
     for (const Client& client : clients) {
         now += 1;
-        while (!ends.empty() && ends.top().first <= now) {
-            --ends.top().second->running;
-            ends.pop();
+        while (!completions.empty() && completions.top().first <= now) {
+            --completions.top().second->running;
+            completions.pop();
         }
-        Node* node = nullptr;
+        Server* server = nullptr;
         std::string key;
         if (pool.balance == "source") {
             key = client.source;
@@ -216,34 +223,35 @@
             key = client.header;
         }
         if (!key.empty()) {
-            node = by_weight(static_cast<double>(hash_of(key) >> 11) / 9007199254740992.0);
+            server = select_by_weight(static_cast<double>(hash_of(key) >> 11) / 9007199254740992.0);
         } else if (pool.balance == "random") {
-            node = by_weight(unit(chance));
+            server = select_by_weight(unit(rng));
         } else if (pool.balance == "leastconn") {
-            const auto load = [&](std::size_t i) { return (nodes[i]->running + 1) / weights[i]; };
-            std::size_t best = chance() % nodes.size();
-            for (std::size_t i = 0; i < nodes.size(); ++i) {
+            const auto load = [&](std::size_t i) { return (servers[i]->running + 1) / weights[i]; };
+            std::size_t best = rng() % servers.size();
+            for (std::size_t i = 0; i < servers.size(); ++i) {
                 if (load(i) < load(best)) {
                     best = i;
                 }
             }
-            node = nodes[best];
+            server = servers[best];
         } else if (pool.balance == "first") {
-            for (Node* at : nodes) {
-                if (node == nullptr && (at->max_conn == 0 || at->running < at->max_conn)) {
-                    node = at;
+            for (Server* candidate : servers) {
+                if (server == nullptr &&
+                    (candidate->max_conn == 0 || candidate->running < candidate->max_conn)) {
+                    server = candidate;
                 }
             }
         } else {
-            node = round();
+            server = select_round_robin();
         }
-        if (node == nullptr) {
+        if (server == nullptr) {
             ++counts[""];
             continue;
         }
-        ++counts[node->name];
-        ++node->running;
-        ends.emplace(now + stays(chance), node);
+        ++counts[server->name];
+        ++server->running;
+        completions.emplace(now + duration(rng), server);
     }
     return counts;
 }
--- a/tests/haproxy_traffic_model.hpp
+++ b/tests/haproxy_traffic_model.hpp
@@ -1,10 +1,10 @@
-/// A reference model of how HAProxy splits traffic over the servers of a pool, written from its
-/// public manual (2.8) and sharing no code with the importer: it reads a configuration by itself,
-/// as far as pools go, and picks servers by the rules of each `balance` kind.
+/// A reference model of how HAProxy splits traffic over the servers of a pool. It is written from
+/// HAProxy's public manual (2.8) and shares no code with the importer: it parses the pools of a
+/// configuration itself and selects servers by the rules of each `balance` algorithm.
 ///
-/// Where the manual leaves the order open the simplest is taken: only the split counts here.
-/// `leastconn` and `first` need a load: RPCs come evenly and each stays for a time drawn from one
-/// exponential distribution.
+/// Where the manual does not define the order of selection, the model uses the simplest one,
+/// because tests compare only the split. `leastconn` and `first` depend on the load: RPCs arrive at
+/// a constant rate, and their durations are drawn from one exponential distribution.
 #pragma once
 
 #include <map>
@@ -16,33 +16,34 @@
 
 class HaproxyTrafficModel {
  public:
-    struct Node {
+    struct Server {
         std::string name;
         int weight = 1;
         bool backup = false, disabled = false;
         int max_conn = 0;
-        double slow_start = 0, check_every = 2;  // seconds
+        double slow_start = 0, check_interval = 2;  // seconds
         bool down = false;
-        double up_for = 1e9;  // seconds since it came up
+        double seconds_up = 1e9;
         int running = 0;
-        double turn = 0;  // of the weighted round
+        double round_robin_credit = 0;
     };
     struct Pool {
         std::string name, balance = "roundrobin";
         bool all_backups = false, disabled = false;
-        std::vector<Node> nodes;
+        std::vector<Server> servers;
     };
     struct Client {
         std::string source, path, query, header;
     };
 
-    // Pools by name. Servers whose line HAProxy itself refuses, or whose address needs a
-    // look-up, are left out by `known`.
+    // Parses the pools of a configuration, by name. They include servers that the importer drops:
+    // those whose line HAProxy itself refuses, and those whose address needs a DNS look-up.
     static std::map<std::string, Pool> read(const std::string& text);
 
-    // The servers' counts after so many RPCs; "" counts those that nobody took.
+    // Returns the number of RPCs by server for one RPC of each client; "" counts the RPCs for which
+    // no server was available.
     static std::map<std::string, int> spread(Pool pool, const std::vector<Client>& clients,
-                                             std::mt19937_64& chance);
+                                             std::mt19937_64& rng);
 };
 
 }  // namespace micaroad::test
--- a/tests/spread_test.cpp
+++ b/tests/spread_test.cpp
@@ -1,7 +1,8 @@
-// Imported pools replayed against stand-in servers spread as the original would: for every file of
-// the corpus, in the normal state, with a server down, with all active ones down, with one
-// draining, and during a slow start. A chi-square test of homogeneity tells the two apart; where
-// the report says that the planner spreads otherwise, its bound is checked instead.
+// Imported pools split traffic over fake servers as the HAProxy model does: for every file of the
+// corpus, in the normal state, with one server down, with all active servers down, with one server
+// draining, and during a slow start. A chi-square test of homogeneity compares the two splits.
+// Where the import report says that the planner splits differently, the bound in the report is
+// checked instead.
 #include <fmt/format.h>
 
 #include <boost/math/distributions/chi_squared.hpp>
@@ -15,27 +16,27 @@
 #include "routing/router.hpp"
 
 using namespace micaroad;
-using test::Corpus;
+using test::CorpusFile;
 using test::HaproxyTrafficModel;
 
 namespace {
 
 constexpr int kRpcs = 6'000;
-// A true difference is far beyond this; with some 500 tests under fixed seeds none of equal spreads
-// comes near.
-constexpr double kLeastChance = 1e-5;
+// Two splits with a smaller p-value differ. A real difference gives a far smaller one; over some
+// 500 comparisons with fixed seeds, no pair of equal splits comes near it.
+constexpr double kMinPValue = 1e-5;
 
 enum class Case { normal, one_down, all_active_down, one_draining, slow_start };
-const std::map<Case, const char*> kCases{{Case::normal, "normal"},
-                                         {Case::one_down, "one down"},
-                                         {Case::all_active_down, "all active down"},
-                                         {Case::one_draining, "one draining"},
-                                         {Case::slow_start, "slow start"}};
+const std::map<Case, const char*> kCaseNames{{Case::normal, "normal"},
+                                             {Case::one_down, "one down"},
+                                             {Case::all_active_down, "all active down"},
+                                             {Case::one_draining, "one draining"},
+                                             {Case::slow_start, "slow start"}};
 
-std::vector<HaproxyTrafficModel::Client> clients(std::mt19937_64& chance) {
+std::vector<HaproxyTrafficModel::Client> clients(std::mt19937_64& rng) {
     std::vector<HaproxyTrafficModel::Client> clients;
     for (int i = 0; i < kRpcs; ++i) {
-        const auto number = chance();
+        const auto number = rng();
         clients.push_back(
             {fmt::format("10.{}.{}.{}", number % 256, number / 256 % 256, number / 65'536 % 256),
              fmt::format("/d{}/e{}/f", number % 100'003, number % 7),
@@ -44,18 +45,19 @@
     return clients;
 }
 
-// What the planner's parts come to, counted by stand-in servers; "" counts what was turned away.
+// Sends one RPC of each client by the planner's shares and returns the number of RPCs by server, as
+// counted by fake servers; "" counts the RPCs for which there was no share.
 std::map<std::string, int> replay(const routing::Plan& plan, const routing::Pool& pool,
                                   const routing::View& view,
                                   const std::vector<HaproxyTrafficModel::Client>& clients,
-                                  std::mt19937_64& chance) {
+                                  std::mt19937_64& rng) {
     const routing::Router router(plan);
     std::vector<std::string> names;
     for (const auto& server : pool.servers) {
         names.push_back(server.name);
     }
     test::CountingServers servers(names);
-    int nobody = 0;
+    int unassigned = 0;
     for (const auto& client : clients) {
         routing::Rpc rpc;
         rpc.source = *routing::parse_address(client.source), rpc.path = client.path,
@@ -66,75 +68,82 @@
         if (!decision.sticky_server.empty()) {
             servers.send(decision.sticky_server);
         } else if (decision.split.shares.empty()) {
-            ++nobody;
+            ++unassigned;
         } else {
-            double at = std::uniform_real_distribution<>(0, 1)(chance);
+            double position = std::uniform_real_distribution<>(0, 1)(rng);
             std::size_t i = 0;
             while (i + 1 < decision.split.shares.size() &&
-                   (at -= decision.split.shares[i].share) >= 0) {
+                   (position -= decision.split.shares[i].share) >= 0) {
                 ++i;
             }
             servers.send(decision.split.shares[i].server);
         }
     }
     auto counts = servers.counts();
-    if (nobody > 0) {
-        counts[""] = nobody;
+    if (unassigned > 0) {
+        counts[""] = unassigned;
     }
-    std::erase_if(counts, [](const auto& at) { return at.second == 0; });
+    std::erase_if(counts, [](const auto& entry) { return entry.second == 0; });
     return counts;
 }
 
-struct Compared {
-    double chance = 1;      // that spreads which differ so much are of one kind
-    double difference = 0;  // the largest, of a server's share
+struct Comparison {
+    double p_value = 1;     // the probability that equal splits differ at least as much
+    double difference = 0;  // the largest difference of a server's share
 };
 
-Compared compare(const std::map<std::string, int>& ours, const std::map<std::string, int>& theirs) {
+Comparison compare(const std::map<std::string, int>& planner_counts,
+                   const std::map<std::string, int>& model_counts) {
     std::map<std::string, std::pair<double, double>> rows;
     double a = 0, b = 0;
-    for (const auto& [name, n] : ours) {
+    for (const auto& [name, n] : planner_counts) {
         rows[name].first = n;
         a += n;
     }
-    for (const auto& [name, n] : theirs) {
+    for (const auto& [name, n] : model_counts) {
         rows[name].second = n;
         b += n;
     }
-    Compared compared;
+    Comparison comparison;
     double sum = 0;
     for (const auto& [name, row] : rows) {
         const double all = row.first + row.second, x = all * a / (a + b), y = all * b / (a + b);
         sum += (row.first - x) * (row.first - x) / x + (row.second - y) * (row.second - y) / y;
-        compared.difference =
-            std::max(compared.difference, std::abs(row.first / a - row.second / b));
+        comparison.difference =
+            std::max(comparison.difference, std::abs(row.first / a - row.second / b));
     }
     if (rows.size() > 1) {
-        compared.chance = boost::math::cdf(boost::math::complement(
+        comparison.p_value = boost::math::cdf(boost::math::complement(
             boost::math::chi_squared(static_cast<double>(rows.size() - 1)), sum));
     }
-    return compared;
+    return comparison;
 }
 
-// Servers that both have, since the original's own refusals are its own matter.
-HaproxyTrafficModel::Pool known(HaproxyTrafficModel::Pool original, const routing::Pool& pool) {
-    std::erase_if(original.nodes, [&pool](const auto& node) {
-        return std::none_of(pool.servers.begin(), pool.servers.end(),
-                            [&node](const auto& server) { return server.name == node.name; });
+// Returns the model's pool without the servers that the imported pool lacks: the importer drops
+// lines that HAProxy itself refuses, which the model does not check.
+HaproxyTrafficModel::Pool without_unknown_servers(HaproxyTrafficModel::Pool model_pool,
+                                                  const routing::Pool& pool) {
+    std::erase_if(model_pool.servers, [&pool](const auto& model_server) {
+        return std::none_of(
+            pool.servers.begin(), pool.servers.end(),
+            [&model_server](const auto& server) { return server.name == model_server.name; });
     });
-    return original;
+    return model_pool;
 }
 
-// Brings a case about on both sides; false: the pool has nothing that it could happen to.
-bool bring_about(Case which, const routing::Pool& pool, HaproxyTrafficModel::Pool& original,
+// Sets up a case in the view of the planner and in the model. Returns false if the case can't occur
+// in the pool.
+bool set_up_case(Case which, const routing::Pool& pool, HaproxyTrafficModel::Pool& model_pool,
                  routing::View& view) {
     view.now = TimePoint{Duration{100'000'000}};
-    const auto touch =
+    const auto change_server =
         [&](const routing::Server& server,
-            const std::function<void(routing::ServerState&, HaproxyTrafficModel::Node&)>& what) {
-            const auto node = std::find_if(original.nodes.begin(), original.nodes.end(),
-                                           [&](const auto& at) { return at.name == server.name; });
-            what(view.servers[pool.name + "/" + server.name], *node);
+            const std::function<void(routing::ServerState&, HaproxyTrafficModel::Server&)>&
+                change) {
+            const auto model_server =
+                std::find_if(model_pool.servers.begin(), model_pool.servers.end(),
+                             [&](const auto& candidate) { return candidate.name == server.name; });
+            change(view.servers[pool.name + "/" + server.name], *model_server);
         };
     const auto first = std::find_if(pool.servers.begin(), pool.servers.end(), [](const auto& s) {
         return s.tier == routing::Tier::active && s.state == routing::State::ready;
@@ -149,28 +158,33 @@
         case Case::normal:
             break;
         case Case::one_down:
-            touch(*first, [](auto& now, auto& node) { now.up = false, node.down = true; });
+            change_server(*first, [](auto& state, auto& model_server) {
+                state.up = false, model_server.down = true;
+            });
             break;
         case Case::all_active_down:
             for (const auto& server : pool.servers) {
                 if (server.tier == routing::Tier::active) {
-                    touch(server, [](auto& now, auto& node) { now.up = false, node.down = true; });
+                    change_server(server, [](auto& state, auto& model_server) {
+                        state.up = false, model_server.down = true;
+                    });
                 }
             }
             break;
         case Case::one_draining:
-            touch(*first, [&](auto& now, auto& node) {
-                now.state_override = routing::State::draining, now.draining_since = view.now,
-                node.weight = 0;
+            change_server(*first, [&](auto& state, auto& model_server) {
+                state.state_override = routing::State::draining, state.draining_since = view.now,
+                model_server.weight = 0;
             });
             break;
         case Case::slow_start:
             if (first->slow_start == Duration{}) {
                 return false;
             }
-            touch(*first, [&](auto& now, auto& node) {
-                now.up_since = view.now - first->slow_start / 4,
-                node.up_for = std::chrono::duration<double>(first->slow_start / 4).count();
+            change_server(*first, [&](auto& state, auto& model_server) {
+                state.up_since = view.now - first->slow_start / 4,
+                model_server.seconds_up =
+                    std::chrono::duration<double>(first->slow_start / 4).count();
             });
     }
     return true;
@@ -178,74 +192,78 @@
 
 }  // namespace
 
-TEST_CASE("imported pools split traffic as the HAProxy model does, in every state") {
-    int compared_pools = 0;
-    double largest = 0, least = 1;
-    for (const Corpus& file : Corpus::all()) {
+TEST_CASE(
+    "imported pools split traffic as the HAProxy model does, in every state of their servers") {
+    int comparisons = 0;
+    double largest_difference = 0, smallest_p_value = 1;
+    for (const CorpusFile& file : CorpusFile::read_all()) {
         const auto import = file.import();
-        const auto originals = HaproxyTrafficModel::read(file.text);
+        const auto model_pools = HaproxyTrafficModel::read(file.text);
         for (const auto& pool : import.plan.pools) {
-            // What the stand-in's plain reading does not know: templates, joined lines, macros, and
-            // who tracks whom.
-            const auto at = originals.find(pool.name);
-            const bool all_known = at != originals.end() &&
-                                   known(at->second, pool).nodes.size() == pool.servers.size() &&
-                                   file.name != "macros" && file.name != "quoting";
-            if (!all_known || pool.servers.empty()) {
+            // Skip pools that the model's simple parser can't read: server templates, continued
+            // lines, macros and tracked health.
+            const auto found = model_pools.find(pool.name);
+            const bool model_reads_all =
+                found != model_pools.end() &&
+                without_unknown_servers(found->second, pool).servers.size() ==
+                    pool.servers.size() &&
+                file.name != "macros" && file.name != "quoting";
+            if (!model_reads_all || pool.servers.empty()) {
                 continue;
             }
-            for (const auto& [which, name] : kCases) {
-                HaproxyTrafficModel::Pool original = known(at->second, pool);
+            for (const auto& [which, name] : kCaseNames) {
+                HaproxyTrafficModel::Pool model_pool = without_unknown_servers(found->second, pool);
                 routing::View view;
-                if (!bring_about(which, pool, original, view)) {
+                if (!set_up_case(which, pool, model_pool, view)) {
                     continue;
                 }
-                std::mt19937_64 chance(std::hash<std::string>{}(file.name + pool.name) % 1'000'000 +
-                                       static_cast<unsigned>(which));
-                const auto asked = clients(chance);
-                const auto ours = replay(import.plan, pool, view, asked, chance);
-                const auto theirs = HaproxyTrafficModel::spread(original, asked, chance);
-                const Compared compared = compare(ours, theirs);
-                CAPTURE(file.name, pool.name, name, compared.chance, compared.difference, ours,
-                        theirs);
-                ++compared_pools;
-                if (original.balance == "first") {
-                    continue;  // "not filled one behind the other": below
+                std::mt19937_64 rng(std::hash<std::string>{}(file.name + pool.name) % 1'000'000 +
+                                    static_cast<unsigned>(which));
+                const auto client_list = clients(rng);
+                const auto planner_counts = replay(import.plan, pool, view, client_list, rng);
+                const auto model_counts = HaproxyTrafficModel::spread(model_pool, client_list, rng);
+                const Comparison comparison = compare(planner_counts, model_counts);
+                CAPTURE(file.name, pool.name, name, comparison.p_value, comparison.difference,
+                        planner_counts, model_counts);
+                ++comparisons;
+                if (model_pool.balance == "first") {
+                    continue;  // the split differs: see the next test case
                 }
-                if (original.balance == "leastconn") {
-                    CHECK(compared.difference < 0.1);  // the report's bound, servers being alike
+                if (model_pool.balance == "leastconn") {
+                    CHECK(comparison.difference < 0.1);  // the report's bound for equal servers
                     continue;
                 }
-                CHECK(compared.chance > kLeastChance);
-                largest = std::max(largest, compared.difference),
-                least = std::min(least, compared.chance);
+                CHECK(comparison.p_value > kMinPValue);
+                largest_difference = std::max(largest_difference, comparison.difference),
+                smallest_p_value = std::min(smallest_p_value, comparison.p_value);
             }
         }
     }
-    CHECK(compared_pools > 100);
-    CHECK(largest < 0.04);
-    WARN(compared_pools << " spreads compared; largest difference of a share " << largest
-                        << ", least chance " << least);
+    CHECK(comparisons > 100);
+    CHECK(largest_difference < 0.04);
+    WARN(comparisons << " splits compared; largest difference of a share " << largest_difference
+                     << ", smallest p-value " << smallest_p_value);
 }
 
-TEST_CASE("`first` is named as changed because it is: the original fills servers in order") {
-    const Corpus file = Corpus::named("first");
+TEST_CASE(
+    "`balance first` is not preserved: HAProxy fills servers in order, the planner splits evenly") {
+    const CorpusFile file = CorpusFile::read("first");
     const auto import = file.import();
-    std::mt19937_64 chance(5);
-    const auto asked = clients(chance);
-    const auto theirs =
-        HaproxyTrafficModel::spread(HaproxyTrafficModel::read(file.text).at("web"), asked, chance);
-    CHECK(compare(replay(import.plan, import.plan.pools.at(0), {}, asked, chance), theirs).chance <
-          kLeastChance);
+    std::mt19937_64 rng(5);
+    const auto client_list = clients(rng);
+    const auto model_counts = HaproxyTrafficModel::spread(
+        HaproxyTrafficModel::read(file.text).at("web"), client_list, rng);
+    CHECK(compare(replay(import.plan, import.plan.pools.at(0), {}, client_list, rng), model_counts)
+              .p_value < kMinPValue);
 }
 
 TEST_CASE("a deliberately wrong translation is detected against the HAProxy model") {
-    struct Wrong {
+    struct WrongTranslation {
         const char *file, *pool;
         Case which;
-        std::function<void(routing::Pool&)> spoil;
+        std::function<void(routing::Pool&)> make_wrong;
     };
-    const std::vector<Wrong> wrongs{
+    const std::vector<WrongTranslation> wrong_translations{
         {"roundrobin-weights", "web", Case::normal,
          [](auto& pool) { std::swap(pool.servers[0].weight, pool.servers[1].weight); }},
         {"one-backup", "web", Case::normal,
@@ -279,22 +297,24 @@
         {"uri-hash-depth", "web", Case::normal,
          [](auto& pool) { pool.stickiness.path_length = 3; }},
     };
-    for (const Wrong& wrong : wrongs) {
-        const Corpus file = Corpus::named(wrong.file);
+    for (const WrongTranslation& wrong : wrong_translations) {
+        const CorpusFile file = CorpusFile::read(wrong.file);
         auto plan = file.import().plan;
-        const auto original_pool = HaproxyTrafficModel::read(file.text).at(wrong.pool);
+        const auto unchanged_model_pool = HaproxyTrafficModel::read(file.text).at(wrong.pool);
         auto& pool = *std::find_if(plan.pools.begin(), plan.pools.end(),
                                    [&](const auto& p) { return p.name == wrong.pool; });
-        HaproxyTrafficModel::Pool original = original_pool;
+        HaproxyTrafficModel::Pool model_pool = unchanged_model_pool;
         routing::View view;
-        REQUIRE(bring_about(wrong.which, pool, original, view));
-        std::mt19937_64 chance(11);
-        const auto asked = clients(chance);
-        const auto theirs = HaproxyTrafficModel::spread(original, asked, chance);
-        CAPTURE(wrong.file, kCases.at(wrong.which));
-        const auto right = compare(replay(plan, pool, view, asked, chance), theirs).chance;
-        wrong.spoil(pool);
-        CHECK(right > kLeastChance);
-        CHECK(compare(replay(plan, pool, view, asked, chance), theirs).chance < kLeastChance);
+        REQUIRE(set_up_case(wrong.which, pool, model_pool, view));
+        std::mt19937_64 rng(11);
+        const auto client_list = clients(rng);
+        const auto model_counts = HaproxyTrafficModel::spread(model_pool, client_list, rng);
+        CAPTURE(wrong.file, kCaseNames.at(wrong.which));
+        const auto p_value_before =
+            compare(replay(plan, pool, view, client_list, rng), model_counts).p_value;
+        wrong.make_wrong(pool);
+        CHECK(p_value_before > kMinPValue);
+        CHECK(compare(replay(plan, pool, view, client_list, rng), model_counts).p_value <
+              kMinPValue);
     }
 }
