--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -1,5 +1,5 @@
-// The operator's file: what is read, and that every fault is named at once with its place, value
-// and what is allowed.
+// The operator's file: its fields are read and written back, and all faults are reported at once,
+// each with its place, its value and what is allowed.
 #include <catch2/catch.hpp>
 #include <random>
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-const std::string kSound = R"(listener {
+const std::string kValidFile = R"(listener {
   name: "shop"
   address: "*:80"
   address: "[::1]:8080"
@@ -49,23 +49,24 @@
     }
     return faults;
 }
-std::string pool_with(const std::string& words) {
-    return "pool { name: \"p\" server { name: \"a\" address: \"10.0.0.1:80\" }\n" + words + "\n}\n";
+std::string pool_with(const std::string& fields) {
+    return "pool { name: \"p\" server { name: \"a\" address: \"10.0.0.1:80\" }\n" + fields +
+           "\n}\n";
 }
-std::string server_with(const std::string& words) {
-    return "pool { name: \"p\"\n server { name: \"a\" address: \"10.0.0.1:80\"\n" + words +
+std::string server_with(const std::string& fields) {
+    return "pool { name: \"p\"\n server { name: \"a\" address: \"10.0.0.1:80\"\n" + fields +
            "\n}\n}\n";
 }
 
 }  // namespace
 
-TEST_CASE("a sound file is read, and written so that it reads back alike") {
-    const ReadResult reading = read_text(kSound, "f");
-    for (const Fault& fault : reading.faults) {
+TEST_CASE("a valid file is read, and what is written from its plan reads back as the same plan") {
+    const ReadResult result = read_text(kValidFile, "f");
+    for (const Fault& fault : result.faults) {
         UNSCOPED_INFO(fault.text());
     }
-    REQUIRE(reading.faults.empty());
-    const routing::Plan& plan = reading.plan;
+    REQUIRE(result.faults.empty());
+    const routing::Plan& plan = result.plan;
     REQUIRE((plan.listeners.size() == 1 && plan.pools.size() == 2));
     CHECK((plan.listeners[0].routes.size() == 4 && plan.listeners[0].max_connections == 2'000));
     const routing::Pool& web = plan.pools[0];
@@ -83,24 +84,24 @@
     CHECK((back.faults.empty() && back.plan == plan));
 }
 
-TEST_CASE("the schema's defaults are those of the plan's types") {
-    const ReadResult reading = read_text(
+TEST_CASE("the schema's defaults equal those of the plan's types") {
+    const ReadResult result = read_text(
         "pool { name: \"p\" health {} server { name: \"a\" address: \"10.0.0.1:80\" } "
         "further_tries { most: "
         "1 } }",
         "f");
-    REQUIRE(reading.faults.empty());
+    REQUIRE(result.faults.empty());
     routing::Pool defaults;
     defaults.name = "p";
     defaults.retry_rule.max_retries = 1;
     defaults.servers.resize(1);
     defaults.servers[0].name = "a";
     defaults.servers[0].address = "10.0.0.1:80";
-    CHECK(reading.plan.pools[0] == defaults);
+    CHECK(result.plan.pools[0] == defaults);
     CHECK(read_text("planner {}", "f").plan.service == routing::Service{});
 }
 
-TEST_CASE("every fault is named at once, with its place, value and what is allowed") {
+TEST_CASE("all faults are reported at once, each with its place, value and what is allowed") {
     const auto faults = faults_of(R"(listener {
   name: "a b"
   address: "nowhere"
@@ -120,9 +121,9 @@
 }
 pool { name: "web" server { name: "z" address: "10.0.0.9:99999" weight: 0 } }
 )");
-    const auto has = [&faults](const std::string& start, const std::string& with) {
-        const bool found = std::any_of(faults.begin(), faults.end(), [&](const auto& f) {
-            return f.starts_with(start) && f.find(with) != std::string::npos;
+    const auto has_fault = [&faults](const std::string& prefix, const std::string& with) {
+        const bool found = std::any_of(faults.begin(), faults.end(), [&](const auto& fault) {
+            return fault.starts_with(prefix) && fault.find(with) != std::string::npos;
         });
         if (!found) {
             for (const auto& fault : faults) {
@@ -131,35 +132,36 @@
         }
         return found;
     };
-    CHECK(has("f:2:3: 'a b': invalid name", "letters, digits"));
-    CHECK(has("f:3:3: 'nowhere': invalid address", "host:port"));
-    CHECK(has(
+    CHECK(has_fault("f:2:3: 'a b': invalid name", "letters, digits"));
+    CHECK(has_fault("f:3:3: 'nowhere': invalid address", "host:port"));
+    CHECK(has_fault(
         "f:4:",
         "'adress': unknown field of Listener (did you mean 'address'?); allowed: name, address"));
-    CHECK(has("f:5:21: 'wev': unknown pool (did you mean 'web'?)", ""));
-    CHECK(has("f:6:11: 'r': duplicate route name", ""));
-    CHECK(has("f:6:11: 'r': the route has no action", "turn_away"));
-    CHECK(has("f:7:3: 'none': unknown pool", ""));
-    CHECK(has("f:11:3: '12': invalid duration", "2147483647ms"));
-    CHECK(has("f:12:3: '99999999999999999999s': invalid duration", ""));
-    CHECK(has("f:13:22: 'web.internal:80': invalid address", "not resolved"));
-    CHECK(has("f:13:49: '300': out of range; allowed: 0 to 256", ""));
-    CHECK(has("f:13:",
-              "'SLEEPY': invalid value of state; allowed: READY, DRAINING, DISABLED, MAINTENANCE"));
-    CHECK(has("f:14:12: 'a': duplicate server name", ""));
-    CHECK(has("f:14:45: 'web/zz': unknown server", "pool/server"));
-    CHECK(has("f:15:3: 'Server': required field 'address' is missing", ""));
-    CHECK(has("f:16:21: '99999999999'", "whole number"));
-    CHECK(has("f:18:8: 'web': duplicate pool name", ""));
-    CHECK(has("f:18:8: 'web': its shares are undefined", "DRAINING"));
-    CHECK(has("f:18:39: '10.0.0.9:99999': invalid address", ""));
+    CHECK(has_fault("f:5:21: 'wev': unknown pool (did you mean 'web'?)", ""));
+    CHECK(has_fault("f:6:11: 'r': duplicate route name", ""));
+    CHECK(has_fault("f:6:11: 'r': the route has no action", "turn_away"));
+    CHECK(has_fault("f:7:3: 'none': unknown pool", ""));
+    CHECK(has_fault("f:11:3: '12': invalid duration", "2147483647ms"));
+    CHECK(has_fault("f:12:3: '99999999999999999999s': invalid duration", ""));
+    CHECK(has_fault("f:13:22: 'web.internal:80': invalid address", "not resolved"));
+    CHECK(has_fault("f:13:49: '300': out of range; allowed: 0 to 256", ""));
+    CHECK(has_fault(
+        "f:13:",
+        "'SLEEPY': invalid value of state; allowed: READY, DRAINING, DISABLED, MAINTENANCE"));
+    CHECK(has_fault("f:14:12: 'a': duplicate server name", ""));
+    CHECK(has_fault("f:14:45: 'web/zz': unknown server", "pool/server"));
+    CHECK(has_fault("f:15:3: 'Server': required field 'address' is missing", ""));
+    CHECK(has_fault("f:16:21: '99999999999'", "whole number"));
+    CHECK(has_fault("f:18:8: 'web': duplicate pool name", ""));
+    CHECK(has_fault("f:18:8: 'web': its shares are undefined", "DRAINING"));
+    CHECK(has_fault("f:18:39: '10.0.0.9:99999': invalid address", ""));
     CHECK(faults.size() == 19);
     CHECK(std::is_sorted(faults.begin(), faults.end(), [](const auto& a, const auto& b) {
         return std::stoi(a.substr(2)) < std::stoi(b.substr(2));
     }));
 }
 
-TEST_CASE("each bound is held to") {
+TEST_CASE("values outside their bounds and incomplete fields are rejected") {
     CHECK(faults_of(pool_with("")).empty());
     const char* const pools[] = {"all_backups: 3",
                                  "connections_most: 0",
@@ -177,28 +179,28 @@
                                  "name: 3",
                                  "server { name: \"b\" address: \":80\" }",
                                  "server { name: \"\" address: \"10.0.0.1:80\" }"};
-    for (const char* words :
+    for (const char* fields :
          {"", "path: \"\"", "path: \"x\" segment_mb: 0", "path: \"x\" all_mb: 15",
           "path: \"x\" keep: \"0s\"", "path: \"x\" processor_percent: 101"}) {
-        CAPTURE(words);
-        CHECK(faults_of(std::string("recording { ") + words + " }").size() == 1);
+        CAPTURE(fields);
+        CHECK(faults_of(std::string("recording { ") + fields + " }").size() == 1);
     }
-    for (const char* words : {"proxies: 0", "listen: \"x\"", "drain_grace: \"100ms\"",
-                              "memory_mb: 1", "name: \"\"", "lines_per_second: 0"}) {
-        CAPTURE(words);
-        CHECK(faults_of(std::string("planner { ") + words + " }").size() == 1);
+    for (const char* fields : {"proxies: 0", "listen: \"x\"", "drain_grace: \"100ms\"",
+                               "memory_mb: 1", "name: \"\"", "lines_per_second: 0"}) {
+        CAPTURE(fields);
+        CHECK(faults_of(std::string("planner { ") + fields + " }").size() == 1);
     }
-    for (const char* words : pools) {
-        CAPTURE(words);
-        CHECK(faults_of(pool_with(words)).size() == 1);
+    for (const char* fields : pools) {
+        CAPTURE(fields);
+        CHECK(faults_of(pool_with(fields)).size() == 1);
     }
     const char* const servers[] = {
         "weight: 257",        "weight: -1",         "connections_most: 0",
         "queue_most: 0",      "slow_start: \"0s\"", "health_of: \"p/a\"",
         "health_of: \"p/b\"", "tier: THIRD",        "state: \"READY\""};
-    for (const char* words : servers) {
-        CAPTURE(words);
-        CHECK(faults_of(server_with(words)).size() == 1);
+    for (const char* fields : servers) {
+        CAPTURE(fields);
+        CHECK(faults_of(server_with(fields)).size() == 1);
     }
     const auto route = [](const std::string& when) {
         return "pool { name: \"p\" server { name: \"a\" address: \"10.0.0.1:80\" } }\nlistener { "
@@ -222,38 +224,38 @@
         CAPTURE(when);
         CHECK(faults_of(route(when)).size() == 1);
     }
-    std::string deep = "path { exact: \"/\" }";
+    std::string deep_match = "path { exact: \"/\" }";
     for (int i = 0; i < 200; ++i) {
-        deep = "not { " + deep + " }";
+        deep_match = "not { " + deep_match + " }";
     }
-    CHECK(!faults_of(route(deep)).empty());
+    CHECK(!faults_of(route(deep_match)).empty());
 }
 
-TEST_CASE("a text cut or corrupted anywhere is read or rejected, and never crashes") {
-    std::mt19937_64 chance(3);
-    for (std::size_t length = 0; length < kSound.size(); length += 3) {
-        const ReadResult reading = read_text(kSound.substr(0, length), "f");
-        for (const Fault& fault : reading.faults) {
+TEST_CASE("a text that is cut or corrupted anywhere is read or rejected without a crash") {
+    std::mt19937_64 rng(3);
+    for (std::size_t length = 0; length < kValidFile.size(); length += 3) {
+        const ReadResult result = read_text(kValidFile.substr(0, length), "f");
+        for (const Fault& fault : result.faults) {
             CHECK(!fault.text().empty());
         }
     }
     for (int i = 0; i < 400; ++i) {
-        std::string text = kSound;
+        std::string text = kValidFile;
         for (int k = 0; k < 4; ++k) {
-            text[chance() % text.size()] = static_cast<char>(chance() % 256);
+            text[rng() % text.size()] = static_cast<char>(rng() % 256);
         }
         static_cast<void>(read_text(text, "f"));
     }
     CHECK(read_file("/nowhere/x").faults.at(0).text() == "/nowhere/x: can't be opened");
 }
 
-TEST_CASE("durations are whole numbers with a unit, and never wrap") {
+TEST_CASE("durations are whole numbers with a unit, and those that would overflow are rejected") {
     CHECK(parse_duration("250us") == Duration{3});  // rounded up to a tenth of a millisecond
     CHECK((parse_duration("0s") == Duration{} && parse_duration("1500ms") == Duration{15'000} &&
            parse_duration("24d") == Duration{20'736'000'000}));
-    for (const char* odd : {"", "s", "1", "1.5s", "-1s", "1 s", "25d", "9223372036854775807s",
-                            "9223372036854775807us", "99999999999999999999us", "1sec"}) {
-        CHECK(!parse_duration(odd));
+    for (const char* invalid : {"", "s", "1", "1.5s", "-1s", "1 s", "25d", "9223372036854775807s",
+                                "9223372036854775807us", "99999999999999999999us", "1sec"}) {
+        CHECK(!parse_duration(invalid));
     }
     for (const std::int64_t tenths :
          {0, 1, 7, 10, 25, 10'000, 600'000, 36'000'000, 864'000'000, 123'457}) {
--- a/tests/routing_main.cpp
+++ b/tests/routing_main.cpp
@@ -1,4 +1,4 @@
-// The tests of routing, the operator's file, the importer and the command line: a program of its
-// own, as they need no daemon.
+// The main function of the test programs that need no daemon: routing (with the operator's file,
+// the importer, the commands and recordings) and the scale tool.
 #define CATCH_CONFIG_MAIN
 #include <catch2/catch.hpp>
