--- a/tests/command_test.cpp
+++ b/tests/command_test.cpp
@@ -1,5 +1,5 @@
-// The command line as a person or a program meets it: what goes where, exit codes, and files that
-// are whole or not there.
+// The commands: what they write to standard output, standard error and files, their exit codes, and
+// that a failed write leaves no partial file.
 #include "command/command.hpp"
 
 #include <sys/stat.h>
@@ -19,16 +19,16 @@
 
 namespace {
 
-struct Folder {
+struct TemporaryFolder {
     fs::path path = fs::temp_directory_path() / ("micaroad-command-" + std::to_string(::getpid()));
-    Folder() { fs::create_directories(path); }
-    ~Folder() { fs::remove_all(path); }
-    std::string file(const char* name, const std::string& text) const {
+    TemporaryFolder() { fs::create_directories(path); }
+    ~TemporaryFolder() { fs::remove_all(path); }
+    std::string write(const char* name, const std::string& text) const {
         std::ofstream(path / name) << text;
         return (path / name).string();
     }
-    std::string at(const char* name) const { return (path / name).string(); }
-    std::size_t files() const {
+    std::string path_of(const char* name) const { return (path / name).string(); }
+    std::size_t entry_count() const {
         return static_cast<std::size_t>(std::distance(fs::directory_iterator(path), {}));
     }
 };
@@ -38,17 +38,17 @@
     return text.str();
 }
 
-struct Ran {
+struct CommandResult {
     int code;
     std::string out, err;
 };
-Ran run(std::vector<std::string> words) {
+CommandResult run(std::vector<std::string> arguments) {
     std::ostringstream out, err;
-    const int code = command::run(words, out, err);
+    const int code = command::run(arguments, out, err);
     return {code, out.str(), err.str()};
 }
 
-const std::string kShop = R"(defaults
+const std::string kShopConfiguration = R"(defaults
   timeout connect 1s
   timeout server 1s
 frontend shop
@@ -66,18 +66,20 @@
 
 }  // namespace
 
-TEST_CASE("import writes the operator's file, tells its findings, and ends by its codes") {
-    const Folder folder;
-    const std::string cfg = folder.file("shop.cfg", kShop), out = folder.at("operator.txtpb");
-    const Ran plain = run({"import", "haproxy", cfg});
-    CHECK((plain.code == command::kSuccess && plain.out.find("pool {") != std::string::npos));
-    CHECK((plain.out.starts_with("# Made by") &&
-           plain.err.find("changed: balance") != std::string::npos));
-    const Ran kept = run({"import", "haproxy", cfg, "--out", out});
-    CHECK((kept.code == command::kSuccess &&
-           kept.out.ends_with("14 lines: 11 translated, 2 changed, 1 refused, 0 no_effect\n")));
-    CHECK(read(out) == plain.out);
-    const Ran strict =
+TEST_CASE("import writes the operator's file, reports its findings and returns its exit codes") {
+    const TemporaryFolder folder;
+    const std::string cfg = folder.write("shop.cfg", kShopConfiguration),
+                      out = folder.path_of("operator.txtpb");
+    const CommandResult to_stdout = run({"import", "haproxy", cfg});
+    CHECK(
+        (to_stdout.code == command::kSuccess && to_stdout.out.find("pool {") != std::string::npos));
+    CHECK((to_stdout.out.starts_with("# Made by") &&
+           to_stdout.err.find("changed: balance") != std::string::npos));
+    const CommandResult to_file = run({"import", "haproxy", cfg, "--out", out});
+    CHECK((to_file.code == command::kSuccess &&
+           to_file.out.ends_with("14 lines: 11 translated, 2 changed, 1 refused, 0 no_effect\n")));
+    CHECK(read(out) == to_stdout.out);
+    const CommandResult strict =
         run({"import", "haproxy", cfg, "--out", out, "--report", "json", "--strict"});
     CHECK(strict.code == command::kFindings);
     const auto report = nlohmann::json::parse(strict.out);
@@ -85,57 +87,57 @@
            report["pools"][0]["servers"][1]["share"] == 0.75));
     CHECK(report["findings"][10]["verdict"] == "refused");
     CHECK(report["pools"][0]["servers"][2]["tier"] == "backup");
-    const std::string plain_cfg = folder.file(
+    const std::string plain_cfg = folder.write(
         "plain.cfg", "defaults\n timeout connect 1s\nbackend web\n server a 10.0.0.1:80\n");
     CHECK(run({"import", "haproxy", plain_cfg, "--report", "text", "--strict"}).code ==
           command::kFindings);  // no timeout server
 }
 
-TEST_CASE("what can't be used leaves the result as it was, and no part of another") {
-    const Folder folder;
-    const std::string out = folder.file("operator.txtpb", "old");
-    const std::string bad = folder.file("bad.cfg", "backend web\n server a \"10.0.0.1\n");
-    const Ran ran = run({"import", "haproxy", bad, "--out", out});
-    CHECK((ran.code == command::kInvalidInput && ran.out.empty() &&
-           ran.err == bad + ":2:11: a quote without its end\n"));
+TEST_CASE("a failed import or write leaves the old file unchanged and no partial file") {
+    const TemporaryFolder folder;
+    const std::string out = folder.write("operator.txtpb", "old");
+    const std::string bad = folder.write("bad.cfg", "backend web\n server a \"10.0.0.1\n");
+    const CommandResult result = run({"import", "haproxy", bad, "--out", out});
+    CHECK((result.code == command::kInvalidInput && result.out.empty() &&
+           result.err == bad + ":2:11: a quote without its end\n"));
     CHECK(read(out) == "old");
-    CHECK(run({"import", "haproxy", folder.at("none.cfg"), "--out", out}).code ==
+    CHECK(run({"import", "haproxy", folder.path_of("none.cfg"), "--out", out}).code ==
           command::kInvalidInput);
-    const std::string cfg = folder.file("shop.cfg", kShop);
-    const auto before = folder.files();
-    CHECK(run({"import", "haproxy", cfg, "--out", folder.at("no/where.txtpb")}).code ==
+    const std::string cfg = folder.write("shop.cfg", kShopConfiguration);
+    const auto before = folder.entry_count();
+    CHECK(run({"import", "haproxy", cfg, "--out", folder.path_of("no/where.txtpb")}).code ==
           command::kInvalidInput);
-    CHECK(folder.files() == before);
-    // Where the rename fails, nothing of it is left beside.
+    CHECK(folder.entry_count() == before);
+    // If the rename fails, no temporary file remains.
     fs::create_directory(folder.path / "dir");
-    const auto failed = command::write_atomically(folder.at("dir"), "text");
+    const auto failed = command::write_atomically(folder.path_of("dir"), "text");
     REQUIRE(!failed);
     CHECK(failed.error().step == command::WriteError::Step::rename);
     CHECK(command::describe(failed.error()).find("can't be renamed") != std::string::npos);
     ::chmod(out.c_str(), 0600);
     CHECK(command::write_atomically(out, "new"));
     CHECK(read(out) == "new");
-    struct stat now{};
-    ::stat(out.c_str(), &now);
-    CHECK((now.st_mode & 0777) == 0600);
-    CHECK(folder.files() == before + 1);  // with the folder
+    struct stat status{};
+    ::stat(out.c_str(), &status);
+    CHECK((status.st_mode & 0777) == 0600);
+    CHECK(folder.entry_count() == before + 1);  // the folder "dir"
 }
 
-TEST_CASE("check names every fault; explain tells route, pool, tier, parts and why") {
-    const Folder folder;
-    const std::string out = folder.at("o.txtpb");
-    run({"import", "haproxy", folder.file("shop.cfg", kShop), "--out", out});
+TEST_CASE("check reports every fault, and explain reports the pool, tier and shares of an RPC") {
+    const TemporaryFolder folder;
+    const std::string out = folder.path_of("o.txtpb");
+    run({"import", "haproxy", folder.write("shop.cfg", kShopConfiguration), "--out", out});
     CHECK(run({"check", out}).out == out + ": valid: 1 listeners, 1 routes, 2 pools, 4 servers\n");
-    const Ran bad =
-        run({"check", folder.file("bad.txtpb", "pool { nane: 1 }\npool { name: \"\" }")});
+    const CommandResult bad =
+        run({"check", folder.write("bad.txtpb", "pool { nane: 1 }\npool { name: \"\" }")});
     CHECK((bad.code == command::kInvalidInput && bad.out.empty() &&
            std::count(bad.err.begin(), bad.err.end(), '\n') >= 3));
 
-    const auto explain = [&](std::vector<std::string> words) {
-        words.insert(words.begin(), {"explain", out});
-        return run(words);
+    const auto explain = [&](std::vector<std::string> arguments) {
+        arguments.insert(arguments.begin(), {"explain", out});
+        return run(arguments);
     };
-    const Ran image = explain({"--path", "/img/x"});
+    const CommandResult image = explain({"--path", "/img/x"});
     CHECK((image.code == command::kSuccess && image.out.find("static") != std::string::npos &&
            image.out.find("a 1.0000") != std::string::npos));
     const auto web =
@@ -153,18 +155,18 @@
     CHECK(explain({"--header", "x"}).code == command::kUsageError);
 }
 
-TEST_CASE("wrong usage ends with 64, help and version with 0") {
+TEST_CASE("wrong usage exits with 64, help and version with 0") {
     CHECK(run({"frob"}).code == command::kUsageError);
     CHECK(run({"import"}).code == command::kUsageError);
     CHECK(run({"import", "haproxy"}).code == command::kUsageError);
     CHECK(run({"import", "haproxy", "x", "--report", "xml"}).code == command::kUsageError);
     CHECK(run({"check", "a", "b"}).code == command::kUsageError);
     CHECK(run({"--version"}).out == std::string("micaroad ") + kVersion + "\n");
-    for (const std::vector<std::string>& words : {std::vector<std::string>{"--help"},
-                                                  {"import", "haproxy", "--help"},
-                                                  {"check", "--help"},
-                                                  {"explain", "--help"}}) {
-        const Ran help = run(words);
+    for (const std::vector<std::string>& arguments : {std::vector<std::string>{"--help"},
+                                                      {"import", "haproxy", "--help"},
+                                                      {"check", "--help"},
+                                                      {"explain", "--help"}}) {
+        const CommandResult help = run(arguments);
         CHECK((help.code == 0 && help.out.find("Example: micaroad") != std::string::npos));
     }
 }
--- a/tests/golden_command_test.py
+++ b/tests/golden_command_test.py
@@ -1,19 +1,19 @@
 #!/usr/bin/env python3
-"""The command line of today, compared byte for byte: exit code, standard output and standard error of each call.
+"""Compares exit code, standard output and standard error of the commands with a golden transcript, byte for byte.
 
 usage: golden_command_test.py PROGRAM [--write]
 
-Pinned, in tests/data/golden/command.txt: the help of the program and of each command; `import haproxy` over the
-corpus tests/haproxy, with the operator's file, the text report and the JSON report; `check` and `explain` on stored
-operator's files; `replay` on stored recordings; calls that are wrong. A command that would serve is not
-called. Calls run with the repository's root as working directory and an environment of their own, so that nothing
-of the machine is in the transcript. The only value that is masked is the version of src/command/version.hpp (mask()).
+The transcript tests/data/golden/command.txt has the help of the program and of each command; `import haproxy` for each
+file of the corpus tests/haproxy, with the operator's file, the text report and the JSON report; `check` and `explain`
+for stored operator's files; `replay` for stored recordings; and calls with wrong usage. No call starts a planner.
+Calls run in the root of the repository with an environment of their own, so that nothing of the machine gets into
+the transcript. Only the version from src/command/version.hpp is masked, by mask().
 
-The layout of help is that of the CLI11 library (2.1 or newer, as CMakeLists.txt asks); another version of it may
-lay it out otherwise, and would need the goldens renewed.
+The layout of help is that of the CLI11 library (2.1 or newer, as CMakeLists.txt requires). Another version may lay it
+out differently; the golden must then be renewed.
 
---write makes the golden anew and ends with 1, so that no run passes by writing. Renew it only with a change of
-behaviour that is intended, and that the commit states.
+--write renews the golden and exits with 1, so that no run passes by writing. Renew it only with an intended change of
+behaviour that the commit states.
 """
 
 import difflib
@@ -27,10 +27,10 @@
 GOLDEN = ROOT / "tests" / "data" / "golden" / "command.txt"
 CORPUS = sorted(path.relative_to(ROOT).as_posix() for path in (ROOT / "tests" / "haproxy").glob("*.cfg"))
 OPERATOR = "tests/data/operator.txtpb"
-EXAMPLE = "deploy/operator.txtpb"
+EXAMPLE_OPERATOR = "deploy/operator.txtpb"
 RECORDING = "tests/data/recording"
-SPOILT = "tests/data/recording-spoilt"
-SECONDS_MOST = 60
+DAMAGED_RECORDING = "tests/data/recording-spoilt"
+TIMEOUT_SECONDS = 60
 
 HELP = [
     "--help",
@@ -59,7 +59,7 @@
 
 CHECK = [
     f"check {OPERATOR}",
-    f"check {EXAMPLE}",
+    f"check {EXAMPLE_OPERATOR}",
     "check tests/data/golden/operator.txtpb",
     "check tests/data/operator-with-faults.txtpb",
     "check tests/data/absent.txtpb",
@@ -67,16 +67,16 @@
 ]
 
 EXPLAIN = [
-    f"explain {EXAMPLE}",
-    f"explain {EXAMPLE} --json",
-    f"explain {EXAMPLE} --path /img/a.png",
-    f"explain {EXAMPLE} --header 'User-Agent: a Bot' --source 192.0.2.1",
-    f"explain {EXAMPLE} --header 'User-Agent: a Bot' --source 10.1.2.3",
-    f"explain {EXAMPLE} --down ledger/a",
-    f"explain {EXAMPLE} --down ledger/a --down b",
-    f"explain {EXAMPLE} --down ledger/a --down b --down spare",
-    f"explain {EXAMPLE} --down ledger/a --down b --json",
-    f"explain {EXAMPLE} --draining b",
+    f"explain {EXAMPLE_OPERATOR}",
+    f"explain {EXAMPLE_OPERATOR} --json",
+    f"explain {EXAMPLE_OPERATOR} --path /img/a.png",
+    f"explain {EXAMPLE_OPERATOR} --header 'User-Agent: a Bot' --source 192.0.2.1",
+    f"explain {EXAMPLE_OPERATOR} --header 'User-Agent: a Bot' --source 10.1.2.3",
+    f"explain {EXAMPLE_OPERATOR} --down ledger/a",
+    f"explain {EXAMPLE_OPERATOR} --down ledger/a --down b",
+    f"explain {EXAMPLE_OPERATOR} --down ledger/a --down b --down spare",
+    f"explain {EXAMPLE_OPERATOR} --down ledger/a --down b --json",
+    f"explain {EXAMPLE_OPERATOR} --draining b",
     f"explain {OPERATOR} --listener shop",
     f"explain {OPERATOR} --listener shop --json",
     f"explain {OPERATOR} --listener shop --host old.example",
@@ -96,15 +96,15 @@
     f"replay {RECORDING} --json",
     f"replay {RECORDING} --verify",
     f"replay {RECORDING} --verify --json",
-    f"replay {SPOILT}",
-    f"replay {SPOILT} --json",
-    f"replay {SPOILT} --verify",
-    f"replay {SPOILT} --verify --json",
+    f"replay {DAMAGED_RECORDING}",
+    f"replay {DAMAGED_RECORDING} --json",
+    f"replay {DAMAGED_RECORDING} --verify",
+    f"replay {DAMAGED_RECORDING} --verify --json",
     "replay tests/data/absent --verify",
     "replay tests/haproxy",
 ]
 
-WRONG = [
+WRONG_USAGE = [
     "",
     "serve",
     "serve --operators",
@@ -131,64 +131,64 @@
     f"explain {OPERATOR} --listener shop --cookie =value",
     f"explain {OPERATOR} --listener shop --down absent",
     f"explain {OPERATOR} --listener shop --down a",
-    f"explain {EXAMPLE} --unknown",
+    f"explain {EXAMPLE_OPERATOR} --unknown",
     "replay --verify",
     f"replay {RECORDING} --unknown",
 ]
 
 
 def mask(text):
-    """The version changes with each release."""
+    """Replaces the version, which changes with each release."""
     version = re.search(r'kVersion = "([^"]+)"', (ROOT / "src/command/version.hpp").read_text()).group(1)
     return text.replace(f"micaroad {version}\n", "micaroad VERSION\n")
 
 
 def prefixed(prefix, text):
-    """Each line with the prefix; a last line without an end is told."""
+    """Returns the text with the prefix before each line, and marks a last line without an end of line."""
     lines = text.split("\n")
     last = lines.pop()
-    told = [f"{prefix} {line}\n" if line else f"{prefix}\n" for line in lines]
+    prefixed_lines = [f"{prefix} {line}\n" if line else f"{prefix}\n" for line in lines]
     if last:
-        told.append(f"{prefix} {last}\n{prefix}(no end of line)\n")
-    return "".join(told)
+        prefixed_lines.append(f"{prefix} {last}\n{prefix}(no end of line)\n")
+    return "".join(prefixed_lines)
 
 
 def transcript_of(program, call):
-    ran = subprocess.run(
+    result = subprocess.run(
         [program, *shlex.split(call)],
         cwd=ROOT,
         env={"LC_ALL": "C"},
         stdin=subprocess.DEVNULL,
         capture_output=True,
-        timeout=SECONDS_MOST,
+        timeout=TIMEOUT_SECONDS,
         check=False,
     )
-    out = mask(ran.stdout.decode("utf-8", "backslashreplace"))
-    err = mask(ran.stderr.decode("utf-8", "backslashreplace"))
-    header = f"$ {' '.join(['micaroad', call]).rstrip()}\ncode {ran.returncode}\n"
+    out = mask(result.stdout.decode("utf-8", "backslashreplace"))
+    err = mask(result.stderr.decode("utf-8", "backslashreplace"))
+    header = f"$ {' '.join(['micaroad', call]).rstrip()}\ncode {result.returncode}\n"
     return header + prefixed("out", out) + prefixed("err", err)
 
 
-def main(words):
-    if len(words) not in (1, 2) or words[1:] not in ([], ["--write"]):
+def main(arguments):
+    if len(arguments) not in (1, 2) or arguments[1:] not in ([], ["--write"]):
         print(__doc__, file=sys.stderr)
         return 64
-    program = str(pathlib.Path(words[0]).resolve())
-    calls = HELP + IMPORT + CHECK + EXPLAIN + REPLAY + WRONG
+    program = str(pathlib.Path(arguments[0]).resolve())
+    calls = HELP + IMPORT + CHECK + EXPLAIN + REPLAY + WRONG_USAGE
     transcript = "\n".join(transcript_of(program, call) for call in calls)
-    if words[1:]:
+    if arguments[1:]:
         GOLDEN.write_bytes(transcript.encode())
         print(f"{GOLDEN.relative_to(ROOT)} written, not compared")
         return 1
     if not GOLDEN.is_file():
-        print(f"{GOLDEN.relative_to(ROOT)} is not there")
+        print(f"{GOLDEN.relative_to(ROOT)} does not exist")
         return 1
     golden = GOLDEN.read_bytes()
     if golden == transcript.encode():
-        print(f"{len(calls)} calls as in {GOLDEN.relative_to(ROOT)}")
+        print(f"{len(calls)} calls match {GOLDEN.relative_to(ROOT)}")
         return 0
-    before = golden.decode("utf-8", "backslashreplace").split("\n")
-    difference = difflib.unified_diff(before, transcript.split("\n"), "golden", "now", lineterm="", n=8)
+    golden_lines = golden.decode("utf-8", "backslashreplace").split("\n")
+    difference = difflib.unified_diff(golden_lines, transcript.split("\n"), "golden", "now", lineterm="", n=8)
     print("\n".join(difference))
     return 1
 
