--- a/tests/golden_stored_test.cpp
+++ b/tests/golden_stored_test.cpp
@@ -1,20 +1,22 @@
-// Stored data of today: a recording, an operator's file and a start file that the program wrote or
-// read before a large renaming. Each is read with the program's code and compared with a golden, or
-// with figures written here.
+// Stored data: a recording, an operator's file and a start file that an earlier version of the
+// program wrote or read, and that must stay readable. Each is read and compared with a golden file
+// or with values in this file.
 //
-//   tests/data/recording/           two lives; it must replay to the same orders, and be recorded
-//   again alike tests/data/recording-spoilt/    the first life with one order another, and a
-//   segment that was cut: both are told tests/data/operator.txtpb       read, and written to the
-//   bytes of tests/data/golden/operator.txtpb tests/data/start.json           read; its values are
-//   written here
+// In tests/data/:
+//   recording/         two runs of a planner. It must replay to the same orders, and recording the
+//                      same runs again must give the same records.
+//   recording-spoilt/  the first run with one order changed, and a segment that is cut. The replay
+//                      must report both.
+//   operator.txtpb     is read, and written back to the bytes of golden/operator.txtpb.
+//   start.json         is read; the expected values are in this file.
 //
-// MICAROAD_WRITE_GOLDENS=1 writes the recording and the golden anew, and the test then fails, so
-// that no run passes by writing. Renew them only with a change of behaviour that is intended and
-// that its commit states: a recording or a file in use must stay readable. What a renewed recording
-// replaces must be read by a test of its own from then on.
+// With MICAROAD_WRITE_GOLDENS=1 the test writes the recordings and the golden file anew and then
+// fails, so that no run passes by writing. Renew them only with an intended change of behaviour
+// that the commit states: a recording or a file in use must stay readable. A replaced recording
+// must be read by a test of its own from then on.
 //
-// The packed bytes of a recording are not compared with new ones: they depend on the version of
-// zstd. The records in them are, byte for byte.
+// The compressed bytes of a recording are not compared, because they depend on the version of zstd.
+// The records in them are compared byte for byte.
 #include <unistd.h>
 
 #include <algorithm>
@@ -43,7 +45,7 @@
 
 const fs::path kData = TEST_DATA;
 
-bool writing() {
+bool write_goldens() {
     return std::getenv("MICAROAD_WRITE_GOLDENS") != nullptr;
 }
 
@@ -55,19 +57,19 @@
     return text.str();
 }
 
-// One life of a planner that is recorded: it is fed events of every kind on a clock moved by hand,
-// and its timers and marks come back to it.
-class Life {
+// One recorded run of a planner on a manual clock: it receives events of every kind, its timers
+// expire, and its nonces are acknowledged.
+class RecordedPlanner {
  public:
-    Life(record::Directory& disk, const DeploymentSettings& settings, std::uint64_t seed,
-         std::int64_t begins_after)
-        : recorder_(disk, {},
+    RecordedPlanner(record::Directory& directory, const DeploymentSettings& settings,
+                    std::uint64_t seed, std::int64_t start_offset)
+        : recorder_(directory, {},
                     record::make_header(settings, test::names(), seed, "planner-0", "golden",
-                                        begin(begins_after)),
+                                        start_time(start_offset)),
                     nullptr),
           planner_(settings, seed),
-          chance_(seed) {
-        clock_.tenths += begins_after;
+          rng_(seed) {
+        clock_.tenths += start_offset;
     }
 
     void run(int tenths_of_seconds) {
@@ -101,15 +103,15 @@
             if (step == 150) {
                 handle(event::PeerMessage{{1}, "a word of a peer"});
             }
-            hear_due_timers();
+            expire_due_timers();
             decide();
         }
         recorder_.close();
     }
 
  private:
-    static TimePoint begin(std::int64_t begins_after) {
-        return test::HandClock().now() + Duration{begins_after};
+    static TimePoint start_time(std::int64_t start_offset) {
+        return test::ManualClock().now() + Duration{start_offset};
     }
 
     static ListedEndpoint server(int number, EndpointPhase phase) {
@@ -122,7 +124,7 @@
                 std::nullopt};
     }
 
-    // All five servers; the last one has that phase.
+    // A list of all five servers; the last one has the given phase.
     static event::EndpointListUpdate list(event::EndpointListUpdate::Form form,
                                           EndpointPhase last) {
         event::EndpointListUpdate list{form, {}};
@@ -132,27 +134,27 @@
         return list;
     }
 
-    double random_below(std::uint64_t bound) { return static_cast<double>(chance_() % bound); }
+    double random_below(std::uint64_t bound) { return static_cast<double>(rng_() % bound); }
 
     void report() {
         for (int number = 1; number <= 5; ++number) {
             const ServerId server{"s-" + std::to_string(number)};
-            const double tries = 20.0 + random_below(9);
-            const double bad = random_below(3);
-            const Duration mean{500 + static_cast<Duration::rep>(chance_() % 20'000)};
-            handle(
-                event::EndpointLoadReport{server, {number % 2}, tries, bad, mean, Duration{5'000}});
+            const double attempts = 20.0 + random_below(9);
+            const double failures = random_below(3);
+            const Duration mean{500 + static_cast<Duration::rep>(rng_() % 20'000)};
+            handle(event::EndpointLoadReport{
+                server, {number % 2}, attempts, failures, mean, Duration{5'000}});
         }
-        const int method = static_cast<int>(chance_() % 2);
+        const int method = static_cast<int>(rng_() % 2);
         handle(event::DemandReport{
-            {static_cast<int>(chance_() % 4)}, {method}, 10.5, random_below(2), Duration{5'000}});
+            {static_cast<int>(rng_() % 4)}, {method}, 10.5, random_below(2), Duration{5'000}});
         handle(event::SliceDemandReport{{3}, {method}, 4, 1, Duration{5'000}});
         handle(event::SliceAssigned{{3}, true});
         handle(event::SliceOwnerReported{{3}, {"s-2"}, 0.1 + 0.2});
-        handle(event::HealthCheckResult{{"s-4"}, chance_() % 4 != 0, Duration{30}});
+        handle(event::HealthCheckResult{{"s-4"}, rng_() % 4 != 0, Duration{30}});
     }
 
-    void hear_due_timers() {
+    void expire_due_timers() {
         while (!timers_.empty() && timers_.begin()->first <= clock_.now()) {
             const TimerId timer = timers_.begin()->second;
             timers_.erase(timers_.begin());
@@ -172,9 +174,9 @@
             if (const auto* timer = std::get_if<order::StartTimer>(&order)) {
                 timers_.emplace(clock_.now() + timer->after, timer->timer);
             }
-            if (const auto* mark = std::get_if<order::SendNonce>(&order)) {
+            if (const auto* send_nonce = std::get_if<order::SendNonce>(&order)) {
                 for (int proxy = 0; proxy < 4; ++proxy) {
-                    handle(event::Acknowledgement{{proxy}, mark->nonce});
+                    handle(event::Acknowledgement{{proxy}, send_nonce->nonce});
                 }
             }
         }
@@ -182,45 +184,47 @@
         }
     }
 
-    test::HandClock clock_;
+    test::ManualClock clock_;
     record::Recorder recorder_;
     Planner planner_;
-    std::mt19937_64 chance_;
+    std::mt19937_64 rng_;
     std::multimap<TimePoint, TimerId> timers_;
 };
 
-// A life with a shared table and one with slices and a rate, in segments of their own.
-void record_two_lives(const fs::path& folder) {
-    const auto disk = record::open_directory(folder.string());
-    Life(*disk, test::terms(), 5, 0).run(200);
-    DeploymentSettings other = test::terms();
-    other.admission_kind = AdmissionKind::rate;
-    other.slice_count = 8;
-    other.subscription_required = true;
-    other.methods[1].own_zone_only = true;
-    Life(*disk, other, 0x8c1f30d27a5be964, 1'000'000).run(200);
+// Records a run with a shared table and one with slices and admission by rate, in separate
+// segments.
+void record_two_runs(const fs::path& folder) {
+    const auto directory = record::open_directory(folder.string());
+    RecordedPlanner(*directory, test::terms(), 5, 0).run(200);
+    DeploymentSettings slice_settings = test::terms();
+    slice_settings.admission_kind = AdmissionKind::rate;
+    slice_settings.slice_count = 8;
+    slice_settings.subscription_required = true;
+    slice_settings.methods[1].own_zone_only = true;
+    RecordedPlanner(*directory, slice_settings, 0x8c1f30d27a5be964, 1'000'000).run(200);
 }
 
 std::vector<std::string> records_of(const fs::path& folder) {
     std::vector<std::string> records;
-    const auto disk = record::open_directory(folder.string());
-    record::read_recording(*disk, [&records](const records::Record& record) {
+    const auto directory = record::open_directory(folder.string());
+    record::read_recording(*directory, [&records](const records::Record& record) {
         records.push_back(record.SerializeAsString());
     });
     return records;
 }
 
-// The first life of a recording with one weight another, then the first half of its second segment.
-void spoil(const fs::path& recording, const fs::path& spoilt) {
-    fs::remove_all(spoilt);
-    fs::create_directories(spoilt);
+// Writes a damaged copy of a recording: its first run with one weight changed, and the first half
+// of its second segment.
+void write_damaged_copy(const fs::path& recording, const fs::path& damaged) {
+    fs::remove_all(damaged);
+    fs::create_directories(damaged);
     std::vector<std::string> records;
     bool changed = false;
-    int heads = 0;
-    const auto disk = record::open_directory(recording.string());
-    record::read_recording(*disk, [&](const records::Record& record) {
-        heads += record.has_head() ? 1 : 0;
-        if (heads > 1) {
+    int headers = 0;
+    const auto directory = record::open_directory(recording.string());
+    record::read_recording(*directory, [&](const records::Record& record) {
+        headers += record.has_head() ? 1 : 0;
+        if (headers > 1) {
             return;
         }
         records::Record copy = record;
@@ -234,26 +238,28 @@
         records.push_back(copy.SerializeAsString());
     });
     REQUIRE(changed);
-    std::ofstream(spoilt / record::segment_name(0), std::ios::binary)
+    std::ofstream(damaged / record::segment_name(0), std::ios::binary)
         << record::encode_block(records, 0);
-    const std::string second = disk->list().at(1).name;
+    const std::string second = directory->list().at(1).name;
     const std::string bytes = bytes_of(recording / second);
-    std::ofstream(spoilt / second, std::ios::binary) << bytes.substr(0, bytes.size() / 2);
+    std::ofstream(damaged / second, std::ios::binary) << bytes.substr(0, bytes.size() / 2);
 }
 
 }  // namespace
 
-TEST_CASE("golden: the stored recording replays to the same orders, and is recorded again alike") {
+TEST_CASE(
+    "golden: the stored recording replays to the same orders, and the same runs give the same "
+    "records") {
     const fs::path stored = kData / "recording";
-    if (writing()) {
+    if (write_goldens()) {
         fs::remove_all(stored);
-        record_two_lives(stored);
-        spoil(stored, kData / "recording-spoilt");
+        record_two_runs(stored);
+        write_damaged_copy(stored, kData / "recording-spoilt");
         FAIL("written, not compared: " << stored);
     }
     REQUIRE(fs::is_directory(stored));
-    const auto disk = record::open_directory(stored.string());
-    const record::ReplayResult result = record::replay(*disk);
+    const auto directory = record::open_directory(stored.string());
+    const record::ReplayResult result = record::replay(*directory);
     INFO((result.fault ? record::describe(*result.fault) : ""));
     CHECK(result.matches());
     CHECK(result.skipped_turns == 0);
@@ -263,10 +269,10 @@
     CHECK(result.summary.missing_turns == 0);
     CHECK(result.summary.faults.empty());
 
-    // Every kind of event is in it, and these kinds of orders.
+    // The recording contains every kind of event and these kinds of orders.
     std::set<int> events;
     std::set<int> orders;
-    record::read_recording(*disk, [&events, &orders](const records::Record& record) {
+    record::read_recording(*directory, [&events, &orders](const records::Record& record) {
         for (const auto& event : record.turn().event()) {
             events.insert(event.kind());
         }
@@ -280,22 +286,23 @@
                                   records::Order::MARK, records::Order::START_TIMER,
                                   records::Order::SUBSCRIBE});
 
-    const fs::path again =
+    const fs::path new_recording =
         fs::temp_directory_path() / ("micaroad-golden-" + std::to_string(::getpid()));
-    record_two_lives(again);
-    const std::vector<std::string> records = records_of(again);
+    record_two_runs(new_recording);
+    const std::vector<std::string> records = records_of(new_recording);
     const std::vector<std::string> expected = records_of(stored);
-    fs::remove_all(again);
+    fs::remove_all(new_recording);
     REQUIRE(records.size() == expected.size());
-    const auto differs = std::mismatch(records.begin(), records.end(), expected.begin()).first;
-    INFO("the first record that differs: " << differs - records.begin());
-    CHECK(differs == records.end());
+    const auto first_difference =
+        std::mismatch(records.begin(), records.end(), expected.begin()).first;
+    INFO("index of the first record that differs: " << first_difference - records.begin());
+    CHECK(first_difference == records.end());
 }
 
 TEST_CASE(
-    "golden: the stored recording that is spoilt tells its first order that differs, and its cut") {
-    const auto disk = record::open_directory((kData / "recording-spoilt").string());
-    const record::ReplayResult result = record::replay(*disk);
+    "golden: the damaged recording reports its first order that differs and its truncated block") {
+    const auto directory = record::open_directory((kData / "recording-spoilt").string());
+    const record::ReplayResult result = record::replay(*directory);
     CHECK(!result.matches());
     CHECK(result.replayed_turns == 82);
     REQUIRE(result.fault);
@@ -306,28 +313,28 @@
 }
 
 TEST_CASE("golden: the stored operator's file is written back to the same bytes") {
-    const operators::ReadResult reading = operators::read_file((kData / "operator.txtpb").string());
-    for (const auto& fault : reading.faults) {
+    const operators::ReadResult result = operators::read_file((kData / "operator.txtpb").string());
+    for (const auto& fault : result.faults) {
         UNSCOPED_INFO(fault.text());
     }
-    REQUIRE(reading.faults.empty());
+    REQUIRE(result.faults.empty());
     const std::string text =
-        operators::write_text(reading.plan, "Written back by tests/golden_stored_test.cpp.");
+        operators::write_text(result.plan, "Written back by tests/golden_stored_test.cpp.");
     const fs::path golden = kData / "golden" / "operator.txtpb";
-    if (writing()) {
+    if (write_goldens()) {
         std::ofstream(golden, std::ios::binary) << text;
         FAIL("written, not compared: " << golden);
     }
     CHECK(text == bytes_of(golden));
     const operators::ReadResult back = operators::read_file(golden.string());
     CHECK(back.faults.empty());
-    CHECK(back.plan == reading.plan);
+    CHECK(back.plan == result.plan);
 }
 
-TEST_CASE("golden: the stored start file is read") {
-    const auto no_variable = [](const char*) -> const char* { return nullptr; };
+TEST_CASE("golden: the stored start file is read with all its values") {
+    const auto no_environment = [](const char*) -> const char* { return nullptr; };
     const StartConfiguration start =
-        parse_start_configuration(bytes_of(kData / "start.json"), no_variable);
+        parse_start_configuration(bytes_of(kData / "start.json"), no_environment);
     CHECK(start.name == "planner-3");
     CHECK(start.listen == "127.0.0.1:3003");
     CHECK(start.discovery == "127.0.0.1:8503");
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -1,6 +1,6 @@
-// Recordings: every kind of event and order there and back, blocks under cuts, flips and doubles, a
-// recorder over a directory whose calls fail, gaps, ages and sizes, and replays that report the
-// first decision that differs. Then whose turn background work has.
+// Recordings: conversion of every kind of event and order, blocks that are cut, corrupted or
+// repeated, a recorder whose directory calls fail, gaps, retention by age and size, and replays
+// that report the first decision that differs. Also the scheduler of background jobs.
 #include <unistd.h>
 
 #include <catch2/catch.hpp>
@@ -28,35 +28,37 @@
     return Duration{static_cast<Duration::rep>(seconds * 10'000)};
 }
 
-// A folder in memory, each of whose calls can be made to fail: the one with that number, and all
-// behind it if `stays`.
-struct Memory : Directory {
+// A directory in memory that can simulate failures: call number `fails_at` fails, and all later
+// calls too if `keeps_failing` is set. With `writes_half`, a failed append writes half of its
+// bytes.
+struct MemoryDirectory : Directory {
     std::map<std::string, std::string> files;
     int calls = 0, fails_at = -1;
-    bool stays = false, half = false;  // half: a failed append leaves half of its bytes
+    bool keeps_failing = false, writes_half = false;
     bool fails() {
         const int call = calls++;
-        return fails_at >= 0 && (call == fails_at || (stays && call > fails_at));
+        return fails_at >= 0 && (call == fails_at || (keeps_failing && call > fails_at));
     }
-    struct Open : File {
-        Memory& disk;
+    struct MemoryFile : File {
+        MemoryDirectory& directory;
         const std::string name;
-        Open(Memory& disk, std::string name) : disk(disk), name(std::move(name)) {}
+        MemoryFile(MemoryDirectory& directory, std::string name)
+            : directory(directory), name(std::move(name)) {}
         bool append(std::string_view bytes) override {
-            const bool failed = disk.fails();
-            if (!failed || disk.half) {
-                disk.files[name] += failed ? bytes.substr(0, bytes.size() / 2) : bytes;
+            const bool failed = directory.fails();
+            if (!failed || directory.writes_half) {
+                directory.files[name] += failed ? bytes.substr(0, bytes.size() / 2) : bytes;
             }
             return !failed;
         }
-        bool sync() override { return !disk.fails(); }
+        bool sync() override { return !directory.fails(); }
     };
     std::unique_ptr<File> create(const std::string& name) override {
         if (fails() || files.contains(name)) {
             return nullptr;
         }
         files[name];
-        return std::make_unique<Open>(*this, name);
+        return std::make_unique<MemoryFile>(*this, name);
     }
     bool remove(const std::string& name) override { return !fails() && files.erase(name) > 0; }
     std::vector<Entry> list() override {
@@ -67,42 +69,42 @@
         return entries;
     }
     std::optional<std::string> read(const std::string& name, std::uint64_t from,
-                                    std::size_t most) override {
-        const auto at = files.find(name);
-        if (at == files.end()) {
+                                    std::size_t max_bytes) override {
+        const auto found = files.find(name);
+        if (found == files.end()) {
             return std::nullopt;
         }
-        return at->second.substr(std::min<std::size_t>(from, at->second.size()), most);
+        return found->second.substr(std::min<std::size_t>(from, found->second.size()), max_bytes);
     }
 };
 
-// A core on a clock moved by hand, recorded: proxies, reports that make weights move, drains and
-// stream breaks.
-struct Day : Transport {
-    test::DiscardingLog quiet;
+// A recorded core on a manual clock. Its input contains proxies that join, reports that change the
+// weights, a drain, and a stream that breaks.
+struct RecordedCore : Transport {
+    test::DiscardingLog discarding_log;
     test::ManualClock clock;
     Recorder recorder;
     Core core;
     std::uint64_t streams = 0;
-    std::mt19937_64 chance;
+    std::mt19937_64 rng;
     void write(StreamId, std::string_view) override {}
     void close(StreamId) override {}
     void check_health(const ServerId&, const std::string&) override {}
     void fetch_list() override {}
     void follow(const std::string&) override {}
 
-    Day(Directory& disk, std::uint64_t seed, RetentionPolicy retention = {})
-        : recorder(disk, retention,
+    RecordedCore(Directory& directory, std::uint64_t seed, RetentionPolicy retention = {})
+        : recorder(directory, retention,
                    make_header(test::terms(), test::names(), seed, "n0", "test", clock.now()),
                    nullptr),
-          core(test::terms(), test::names(), seed, *this, quiet.log, &recorder),
-          chance(seed) {
-        turn({told("up", 41, true)});
+          core(test::terms(), test::names(), seed, *this, discarding_log.log, &recorder),
+          rng(seed) {
+        turn({endpoint_list("up", 41, true)});
         for (int p = 0; p < 6; ++p) {
             turn({core_event::StreamOpened{{++streams}, {{p}, {p % 2}, 5, p % 3 == 0}}});
         }
     }
-    static CoreEvent told(const char* state, int version, bool full) {
+    static CoreEvent endpoint_list(const char* state, int version, bool full) {
         std::string text = R"({"version":)" + std::to_string(version) + R"(,"full":)" +
                            (full ? "true" : "false") + R"(,"servers":[)";
         for (int i = 1; i <= (full ? 5 : 1); ++i) {
@@ -113,45 +115,45 @@
         return core_event::EndpointListReceived{
             protocol::EndpointListReader(test::names()).read(text + "]}").value()};
     }
-    void turn(std::vector<CoreEvent> arrivals) {
+    void turn(std::vector<CoreEvent> inputs) {
         std::vector<Inbox::Item> items;
-        for (auto& arrival : arrivals) {
-            items.push_back({clock.now(), std::move(arrival)});
+        for (auto& input : inputs) {
+            items.push_back({clock.now(), std::move(input)});
         }
         core.process(items, clock.now());
     }
-    void run(int seconds, bool work = true) {
+    void run(int seconds, bool run_worker = true) {
         for (int i = 0; i < seconds * 10; ++i) {
             clock.tenths += 1'000;
-            std::vector<CoreEvent> arrivals;
+            std::vector<CoreEvent> inputs;
             if (i % 5 == 0) {
                 for (int k = 1; k <= 5; ++k) {
-                    arrivals.push_back(core_event::ReportReceived{event::EndpointLoadReport{
-                        {"s-" + std::to_string(k)},
-                        {k % 2},
-                        20.0 + static_cast<double>(chance() % 9),
-                        static_cast<double>(chance() % 3),
-                        s(0.05 + 0.1 * static_cast<double>(chance() % 20)),
-                        s(0.5)}});
+                    inputs.push_back(core_event::ReportReceived{
+                        event::EndpointLoadReport{{"s-" + std::to_string(k)},
+                                                  {k % 2},
+                                                  20.0 + static_cast<double>(rng() % 9),
+                                                  static_cast<double>(rng() % 3),
+                                                  s(0.05 + 0.1 * static_cast<double>(rng() % 20)),
+                                                  s(0.5)}});
                 }
-                arrivals.push_back(
-                    core_event::ReportReceived{event::DemandReport{{static_cast<int>(chance() % 6)},
-                                                                   {static_cast<int>(chance() % 2)},
+                inputs.push_back(
+                    core_event::ReportReceived{event::DemandReport{{static_cast<int>(rng() % 6)},
+                                                                   {static_cast<int>(rng() % 2)},
                                                                    10.5,
                                                                    1,
                                                                    s(0.5)}});
             }
             if (i == 50) {
-                arrivals.push_back(told("draining", 42, false));
+                inputs.push_back(endpoint_list("draining", 42, false));
             }
             if (i == 90) {
-                arrivals.push_back(core_event::StreamClosed{{3}, "reset"});
+                inputs.push_back(core_event::StreamClosed{{3}, "reset"});
             }
             if (i == 95) {
-                arrivals.push_back(core_event::StreamOpened{{++streams}, {{2}, {0}, 7, false}});
+                inputs.push_back(core_event::StreamOpened{{++streams}, {{2}, {0}, 7, false}});
             }
-            turn(std::move(arrivals));
-            if (work) {
+            turn(std::move(inputs));
+            if (run_worker) {
                 while (recorder.work().has_more_work) {
                 }
             }
@@ -159,8 +161,8 @@
     }
 };
 
-std::uint64_t turns_in(Memory& disk, ReadSummary* summary = nullptr) {
-    const ReadSummary all = read_recording(disk, [](const records::Record&) {});
+std::uint64_t count_turns(MemoryDirectory& directory, ReadSummary* summary = nullptr) {
+    const ReadSummary all = read_recording(directory, [](const records::Record&) {});
     if (summary != nullptr) {
         *summary = all;
     }
@@ -174,21 +176,21 @@
 }  // namespace
 
 TEST_CASE("every kind of event and order is recorded without loss") {
-    const double odd = 0.1 + 0.2;
+    const double inexact = 0.1 + 0.2;
     const std::vector<Event> events{
         event::EndpointListUpdate{
             event::EndpointListUpdate::Form::restored,
-            {{{"a"}, {1}, {2}, {3}, EndpointPhase::draining, odd, TimePoint{Duration{-7}}},
+            {{{"a"}, {1}, {2}, {3}, EndpointPhase::draining, inexact, TimePoint{Duration{-7}}},
              {{"b"}, {0}, {0}, {0}, EndpointPhase::gone, 1, std::nullopt}}},
         event::TimerExpired{{1LL << 40}},
-        event::ProxyJoined{{3}, {1}, odd, true},
+        event::ProxyJoined{{3}, {1}, inexact, true},
         event::ProxyLeft{{3}},
         event::Acknowledgement{{3}, {65'535}},
         event::EndpointLoadReport{{"a"}, {1}, 12, 3.5, s(1), s(2)},
-        event::DemandReport{{1}, {1}, 4, odd, s(1)},
+        event::DemandReport{{1}, {1}, 4, inexact, s(1)},
         event::SliceDemandReport{{117}, {1}, 4, 1, s(1)},
         event::SliceAssigned{{117}, true},
-        event::SliceOwnerReported{{117}, {"a"}, odd},
+        event::SliceOwnerReported{{117}, {"a"}, inexact},
         event::HealthCheckResult{{"a"}, true, s(3)},
         event::PeerMessage{{2}, std::string("\0\xff", 2)}};
     CHECK(events.size() == std::variant_size_v<Event>);
@@ -196,23 +198,23 @@
         const records::Event record = to_record(event);
         records::Event read;
         REQUIRE(read.ParseFromString(record.SerializeAsString()));
-        const auto back = event_from_record(read);
-        REQUIRE(back);
-        CHECK(back->index() == event.index());
-        CHECK(to_record(*back).SerializeAsString() == record.SerializeAsString());
+        const auto converted = event_from_record(read);
+        REQUIRE(converted);
+        CHECK(converted->index() == event.index());
+        CHECK(to_record(*converted).SerializeAsString() == record.SerializeAsString());
     }
     CHECK(std::get<event::EndpointLoadReport>(*event_from_record(to_record(events[5]))).failures ==
           3.5);
     CHECK(std::get<event::ProxyJoined>(*event_from_record(to_record(events[2]))).rpcs_per_second ==
-          odd);
+          inexact);
     CHECK(std::get<event::EndpointListUpdate>(*event_from_record(to_record(events[0])))
               .servers[0]
               .last_start == TimePoint{Duration{-7}});
     const std::vector<Order> orders{
-        order::SetTableEntry{{1}, {"a"}, odd},
+        order::SetTableEntry{{1}, {"a"}, inexact},
         order::ClearTable{{1}},
         order::BindProxy{{1}, {{0}, {1}}, {4}},
-        order::SetAdmission{std::nullopt, {{1}}, odd, RetryPolicy::never},
+        order::SetAdmission{std::nullopt, {{1}}, inexact, RetryPolicy::never},
         order::SetWithdrawn{{"a"}, false},
         order::SendNonce{{4}, true},
         order::StartTimer{{1}, s(0.1)},
@@ -235,7 +237,7 @@
 }
 
 TEST_CASE(
-    "a segment reads up to its last whole block wherever it is cut, and past damage from the next "
+    "a cut segment is read up to its last whole block, and a corrupted one from the next whole "
     "block on") {
     std::string bytes;
     std::vector<std::size_t> ends{0};
@@ -278,25 +280,25 @@
         flipped[at] = static_cast<char>(flipped[at] ^ 1 << at % 8);
         const auto sequences = read(flipped, 64, &damages);
         CAPTURE(at);
-        REQUIRE(sequences.size() == 25);  // the other five blocks
+        REQUIRE(sequences.size() == 25);  // the records of the other five blocks
         REQUIRE(!damages.empty());
     }
-    // A block twice, and noise between blocks.
+    // A block that is repeated, and noise between blocks.
     const std::string first = bytes.substr(0, ends[1]);
     CHECK(read(first + first + "noise MRB1 noise" + bytes.substr(ends[1]), 11).size() == 35);
 }
 
 TEST_CASE(
-    "a recording replays to the byte, and another module is told at its first decision that "
-    "differs") {
-    Memory disk;
-    Day day(disk, 5);
-    day.run(40);
-    day.recorder.close();
-    const auto begun = std::chrono::steady_clock::now();
-    const ReplayResult result = replay(disk);
-    const double took =
-        std::chrono::duration<double>(std::chrono::steady_clock::now() - begun).count();
+    "a recording replays to identical orders, and a replay that differs reports its first "
+    "different decision") {
+    MemoryDirectory directory;
+    RecordedCore recorded_core(directory, 5);
+    recorded_core.run(40);
+    recorded_core.recorder.close();
+    const auto started_at = std::chrono::steady_clock::now();
+    const ReplayResult result = replay(directory);
+    const double seconds =
+        std::chrono::duration<double>(std::chrono::steady_clock::now() - started_at).count();
     CAPTURE(fault_text(result));
     CHECK((result.matches() && result.replayed_turns == result.summary.turns &&
            result.skipped_turns == 0 && result.summary.missing_turns == 0));
@@ -305,18 +307,19 @@
 
     WARN(result.summary.turns << " turns, " << result.summary.events << " events and "
                               << result.summary.orders << " orders in " << result.summary.bytes
-                              << " bytes; replayed in " << took << " s");
+                              << " bytes; replayed in " << seconds << " s");
 
-    // The same recording with one order another, and with one event another: what a changed build
-    // would show.
+    // The same recording with one order changed, and with the events of one turn removed, as
+    // if the replaying build decided differently.
     for (const bool event : {false, true}) {
         std::vector<std::string> records;
-        std::int64_t at = 0;
-        read_recording(disk, [&](const records::Record& record) {
+        std::int64_t changed_at = 0;
+        read_recording(directory, [&](const records::Record& record) {
             records::Record copy = record;
             auto* turn = copy.mutable_turn();
-            if (record.has_turn() && at == 0 && turn->order_size() > 3 && records.size() > 100) {
-                at = turn->at();
+            if (record.has_turn() && changed_at == 0 && turn->order_size() > 3 &&
+                records.size() > 100) {
+                changed_at = turn->at();
                 if (event) {
                     turn->clear_event();
                 } else {
@@ -326,149 +329,148 @@
             records.push_back(record.has_turn() ? copy.SerializeAsString()
                                                 : record.SerializeAsString());
         });
-        Memory other;
-        other.files[segment_name(0)] = encode_block(records, 0);
-        const ReplayResult differs = replay(other);
-        CHECK(!differs.matches());
-        CHECK(differs.last_turn_at.time_since_epoch().count() >= at);
+        MemoryDirectory changed;
+        changed.files[segment_name(0)] = encode_block(records, 0);
+        const ReplayResult changed_replay = replay(changed);
+        CHECK(!changed_replay.matches());
+        CHECK(changed_replay.last_turn_at.time_since_epoch().count() >= changed_at);
         if (!event) {
-            CHECK((differs.last_turn_at.time_since_epoch().count() == at &&
-                   fault_text(differs).find("order 3: recorded") != std::string::npos));
+            CHECK((changed_replay.last_turn_at.time_since_epoch().count() == changed_at &&
+                   fault_text(changed_replay).find("order 3: recorded") != std::string::npos));
         }
     }
 }
 
 TEST_CASE(
-    "a turn that finds the queue full is counted and shows as a gap; what precedes it still "
-    "replays") {
-    Memory disk;
-    Day day(disk, 9);
-    day.run(5);
-    const auto before = day.recorder.counts();
+    "turns that find the queue full are counted and recorded as a gap, and the turns before it "
+    "replay") {
+    MemoryDirectory directory;
+    RecordedCore recorded_core(directory, 9);
+    recorded_core.run(5);
+    const auto before = recorded_core.recorder.counts();
     CHECK(before.lost == 0);
-    for (std::size_t i = 0; i < Recorder::kMaxQueuedItems / 100; ++i) {  // nobody works meanwhile
+    // The background job does not run while the queue fills.
+    for (std::size_t i = 0; i < Recorder::kMaxQueuedItems / 100; ++i) {
         for (int k = 0; k < 120; ++k) {
-            day.recorder.on_event(event::TimerExpired{{7}});
+            recorded_core.recorder.on_event(event::TimerExpired{{7}});
         }
-        day.recorder.on_decision(day.clock.now(), {});
+        recorded_core.recorder.on_decision(recorded_core.clock.now(), {});
     }
-    const auto after = day.recorder.counts();
+    const auto after = recorded_core.recorder.counts();
     CHECK(after.lost > 100);
-    while (day.recorder.work().has_more_work) {
+    while (recorded_core.recorder.work().has_more_work) {
     }
-    day.run(5);
-    day.recorder.close();
+    recorded_core.run(5);
+    recorded_core.recorder.close();
     ReadSummary summary;
-    turns_in(disk, &summary);
+    count_turns(directory, &summary);
     CHECK(summary.missing_turns == after.lost);
-    CHECK(summary.turns == day.recorder.counts().turns);
-    const ReplayResult result = replay(disk);
+    CHECK(summary.turns == recorded_core.recorder.counts().turns);
+    const ReplayResult result = replay(directory);
     CHECK((result.skipped_turns > 40 &&
            result.replayed_turns + result.skipped_turns == summary.turns));
 }
 
-TEST_CASE(
-    "whichever call of the directory fails, the core goes on and all that was written can be "
-    "read") {
-    int most = 0;
-    for (const bool stays : {false, true}) {
-        for (const bool half : {false, true}) {
-            for (int at = 0; at < 40; ++at) {
-                Memory disk;
-                disk.fails_at = at;
-                disk.stays = stays;
-                disk.half = half;
+TEST_CASE("whichever directory call fails, the core continues and everything written can be read") {
+    int most_calls = 0;
+    for (const bool keeps_failing : {false, true}) {
+        for (const bool writes_half : {false, true}) {
+            for (int failing_call = 0; failing_call < 40; ++failing_call) {
+                MemoryDirectory directory;
+                directory.fails_at = failing_call;
+                directory.keeps_failing = keeps_failing;
+                directory.writes_half = writes_half;
                 RetentionPolicy retention;
                 retention.segment_bytes = 4'000;
                 retention.total_bytes = 40'000;
-                Day day(disk, 3, retention);
-                day.run(20);
-                day.recorder.close();
-                const auto counts = day.recorder.counts();
+                RecordedCore recorded_core(directory, 3, retention);
+                recorded_core.run(20);
+                recorded_core.recorder.close();
+                const auto counts = recorded_core.recorder.counts();
                 ReadSummary summary;
-                turns_in(disk, &summary);
-                CAPTURE(stays, half, at);
+                count_turns(directory, &summary);
+                CAPTURE(keeps_failing, writes_half, failing_call);
                 REQUIRE(summary.turns <= counts.turns);
-                if (!stays && summary.headers == 1) {
+                if (!keeps_failing && summary.headers == 1) {
                     REQUIRE(summary.turns + summary.missing_turns >= counts.turns);
                 }
-                if (!half) {
+                if (!writes_half) {
                     REQUIRE(summary.faults.empty());
                 }
-                // What was read whole up to the first gap replays.
-                REQUIRE(replay(disk).matches());
-                most = std::max(most, disk.calls);
+                // The turns before the first gap replay.
+                REQUIRE(replay(directory).matches());
+                most_calls = std::max(most_calls, directory.calls);
             }
         }
     }
-    CHECK(most > 40);  // the failures lay within the day
+    CHECK(most_calls > 40);  // every failing call was reached
 }
 
 TEST_CASE(
-    "old segments go by size and by age, the newest stay, and another life goes on behind them") {
-    Memory disk;
-    disk.files["notes.txt"] = "not ours";
+    "the oldest segments are deleted by size and by age, and a restart continues the recording") {
+    MemoryDirectory directory;
+    directory.files["notes.txt"] = "not ours";
     RetentionPolicy retention;
     retention.segment_bytes = 3'000;
     retention.total_bytes = 12'000;
     {
-        Day day(disk, 3, retention);
-        day.run(60);
-        day.recorder.close();
-        CHECK(day.recorder.counts().segments > 8);
+        RecordedCore recorded_core(directory, 3, retention);
+        recorded_core.run(60);
+        recorded_core.recorder.close();
+        CHECK(recorded_core.recorder.counts().segments > 8);
     }
     std::uint64_t all = 0;
-    for (const auto& entry : disk.list()) {
+    for (const auto& entry : directory.list()) {
         all += entry.bytes;
     }
     CHECK(all <= 12'000 + 3'000);
-    CHECK(disk.files.contains("notes.txt"));
-    const std::string last = std::prev(disk.files.end(), 2)->first;
+    CHECK(directory.files.contains("notes.txt"));
+    const std::string last = std::prev(directory.files.end(), 2)->first;
     {
-        Day day(disk, 4, retention);
-        day.run(3);
-        day.recorder.close();
+        RecordedCore recorded_core(directory, 4, retention);
+        recorded_core.run(3);
+        recorded_core.recorder.close();
     }
-    CHECK(disk.files.contains(last));
+    CHECK(directory.files.contains(last));
     ReadSummary summary;
-    turns_in(disk, &summary);
+    count_turns(directory, &summary);
     CHECK((summary.headers == 1 &&
-           summary.faults.empty()));  // the first life's head went with its segment
-    const ReplayResult result = replay(disk);
+           summary.faults.empty()));  // the segment with the first run's header was deleted
+    const ReplayResult result = replay(directory);
     CHECK((result.matches() && result.skipped_turns > 0 && result.replayed_turns > 30));
 
-    Memory aged;
+    MemoryDirectory aged;
     retention.total_bytes = 1 << 20;
     retention.max_age = s(10);
     retention.segment_age = s(2);
-    Day day(aged, 5, retention);
-    day.run(40);
-    day.recorder.close();
+    RecordedCore recorded_core(aged, 5, retention);
+    recorded_core.run(40);
+    recorded_core.recorder.close();
     CHECK((aged.files.size() >= 4 && aged.files.size() <= 8));
 }
 
-TEST_CASE("a newer schema is rejected, and segment names hold sequence numbers") {
-    Memory disk;
-    Day day(disk, 2);
-    day.recorder.close();
+TEST_CASE("a newer schema is rejected, and segment names contain sequence numbers") {
+    MemoryDirectory directory;
+    RecordedCore recorded_core(directory, 2);
+    recorded_core.recorder.close();
     records::Record record;
     *record.mutable_head() = make_header(test::terms(), test::names(), 1, "n", "b", TimePoint{});
     record.mutable_head()->set_schema(kSchemaVersion + 1);
-    Memory newer;
+    MemoryDirectory newer;
     newer.files[segment_name(0)] = encode_block({record.SerializeAsString()}, 0);
     CHECK(fault_text(replay(newer)).find("schema 2") != std::string::npos);
     CHECK(!replay(newer).matches());
     CHECK(parse_segment_name(segment_name(77)) == 77u);
-    for (const char* odd :
+    for (const char* invalid :
          {"", "x", "0000000000000042.mre", "000000000000004.mrec", "zz00000000000042.mrec"}) {
-        CHECK(!parse_segment_name(odd));
+        CHECK(!parse_segment_name(invalid));
     }
-    // The system's own folder.
+    // A directory of the file system.
     const auto path =
         std::filesystem::temp_directory_path() / ("micaroad-record-" + std::to_string(::getpid()));
     {
         const auto real = open_directory(path.string());
-        Day kept(*real, 2);
+        RecordedCore kept(*real, 2);
         kept.run(3);
         kept.recorder.close();
         CHECK((replay(*real).matches() && replay(*real).replayed_turns > 30));
@@ -477,7 +479,7 @@
     std::filesystem::remove_all(path);
 }
 
-TEST_CASE("background work keeps to its budget, the more urgent first, and nobody waits for good") {
+TEST_CASE("background jobs keep to their budget, run by priority, and none starves") {
     using namespace micaroad::background;
     TimePoint now{s(100)};
     JobScheduler scheduler({1'000, 0.1}, now);
@@ -492,14 +494,14 @@
     CHECK(scheduler.next(now) == high);
     scheduler.charge(
         high, {0, 1.0, false},
-        now);  // a second of the core: ten seconds of the budget, less what had gathered
+        now);  // 1 s of processor time is 10 s of the budget, less the tokens left in the bucket
     now += s(4);
     CHECK(!scheduler.next(now));
     now += s(6);
     CHECK(scheduler.next(now) == low);
-    // One that is always there does not keep the other out for ever.
-    Duration longest{};
-    TimePoint since = now;
+    // A job that always has work does not starve one of lower priority.
+    Duration longest_wait{};
+    TimePoint last_run_at = now;
     for (int i = 0; i < 2'000; ++i, now += s(0.1)) {
         scheduler.wake(high, now), scheduler.wake(low, now);
         const auto job = scheduler.next(now);
@@ -507,16 +509,16 @@
             continue;
         }
         if (*job == low) {
-            longest = std::max(longest, now - since);
-            since = now;
+            longest_wait = std::max(longest_wait, now - last_run_at);
+            last_run_at = now;
         }
         scheduler.charge(*job, {50, 0.001, true}, now);
     }
-    CHECK((longest > s(20) && longest < s(35)));
-    // Over a long time the bytes keep to the budget.
+    CHECK((longest_wait > s(20) && longest_wait < s(35)));
+    // Over a long time the bytes keep to the budget of 1,000 per second.
     double bytes = 0;
-    const TimePoint begun = now;
-    for (; now < begun + s(100); now += s(0.01)) {
+    const TimePoint started_at = now;
+    for (; now < started_at + s(100); now += s(0.01)) {
         scheduler.wake(high, now);
         if (scheduler.next(now)) {
             bytes += 700;
