--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,5 +1,5 @@
-// The scale tool's parts: worlds by seed, counts that depend on nothing else, and lines through
-// points.
+// The parts of the scale tool: world specifications, runs whose counts depend on the seed alone,
+// and line fits.
 #include <catch2/catch.hpp>
 #include <numeric>
 
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-TEST_CASE("scale: sizes by Zipf's law leave nobody empty and add up", "[scale]") {
+TEST_CASE("scale: sizes by Zipf's law add up to the total, and none is empty", "[scale]") {
     const std::vector<int> sizes = zipf_sizes(56'000, 1'100, 0.9);
     CHECK(std::accumulate(sizes.begin(), sizes.end(), 0) == 56'000);
     CHECK(*std::min_element(sizes.begin(), sizes.end()) >= 1);
@@ -50,30 +50,31 @@
     CHECK(zipf_sizes(12, 4, 0) == std::vector<int>{3, 3, 3, 3});
 }
 
-TEST_CASE("scale: a world that can't be is refused by name", "[scale]") {
-    const auto refused = [](auto change) {
+TEST_CASE("scale: an invalid world specification is refused", "[scale]") {
+    const auto expect_refused = [](auto change) {
         WorldSpec spec = small_world();
         change(spec);
         CHECK_THROWS_AS(check(spec), BadWorld);
     };
-    refused([](WorldSpec& spec) { spec.servers = 0; });
-    refused([](WorldSpec& spec) { spec.proxies = 0; });
-    refused([](WorldSpec& spec) { spec.services = spec.servers + 1; });
-    refused([](WorldSpec& spec) { spec.pools = spec.services + 1; });
-    refused([](WorldSpec& spec) { spec.skew = -1; });
-    refused([](WorldSpec& spec) { spec.reports_per_second = 0.5; });
-    refused([](WorldSpec& spec) { spec.lines_per_second = 0; });
+    expect_refused([](WorldSpec& spec) { spec.servers = 0; });
+    expect_refused([](WorldSpec& spec) { spec.proxies = 0; });
+    expect_refused([](WorldSpec& spec) { spec.services = spec.servers + 1; });
+    expect_refused([](WorldSpec& spec) { spec.pools = spec.services + 1; });
+    expect_refused([](WorldSpec& spec) { spec.skew = -1; });
+    expect_refused([](WorldSpec& spec) { spec.reports_per_second = 0.5; });
+    expect_refused([](WorldSpec& spec) { spec.lines_per_second = 0; });
     CHECK_NOTHROW(check(small_world()));
 }
 
-TEST_CASE("scale: a world survives its way through JSON", "[scale]") {
+TEST_CASE("scale: a world specification is written to JSON and read back unchanged", "[scale]") {
     WorldSpec spec = small_world();
     spec.scenario = Scenario::zone_loss;
     spec.workload = Workload::routing;
     CHECK(json(json(spec).get<WorldSpec>()) == json(spec));
 }
 
-TEST_CASE("scale: the same seed gives the same messages, another seed others", "[scale]") {
+TEST_CASE("scale: the same seed gives the same messages, and another seed different ones",
+          "[scale]") {
     for (const Scenario scenario : {Scenario::steady, Scenario::burst, Scenario::zone_loss,
                                     Scenario::release, Scenario::mass_join}) {
         WorldSpec spec = small_world();
@@ -86,7 +87,7 @@
     }
 }
 
-TEST_CASE("scale: with room in the channel all proxies are reached and all withdrawals written",
+TEST_CASE("scale: a channel with enough capacity reaches all proxies and writes all withdrawals",
           "[scale]") {
     WorldSpec spec = small_world();
     spec.lines_per_second = 100'000;
@@ -101,8 +102,10 @@
     CHECK(result["measured"]["delivery_ms_50"] <= result["measured"]["delivery_ms_100"]);
 }
 
-TEST_CASE("scale: in the quiet time proxies are given tables, and nothing is heard or changes",
-          "[scale]") {
+TEST_CASE(
+    "scale: proxies get their tables in the quiet time, while no reports arrive and nothing "
+    "changes",
+    "[scale]") {
     WorldSpec spec = small_world();
     spec.quiet_seconds = 10;
     spec.warmup_seconds = 0;
@@ -112,15 +115,15 @@
     const json result = run_core(spec, kNoLimit);
     CHECK(result["counts"]["proxies_reached"] == spec.proxies);
     CHECK(result["measured"]["bound_seconds"].get<double>() <= spec.quiet_seconds);
-    // One whole list, all proxies' joins and one answer to each first message.
+    // One complete list, one join of each proxy and one acknowledgement of its first message.
     CHECK(result["counts"]["messages_in"] == 1 + 2 * spec.proxies);
 }
 
-TEST_CASE("scale: a run that uses up its processor time says so", "[scale]") {
+TEST_CASE("scale: a run that exceeds its processor time is reported as stopped", "[scale]") {
     CHECK(run_core(small_world(), 0)["stopped"].get<bool>());
 }
 
-TEST_CASE("scale: routes and tenants are counted alike on each run", "[scale]") {
+TEST_CASE("scale: a routing run gives the same counts each time", "[scale]") {
     WorldSpec spec;
     spec.workload = Workload::routing;
     spec.routes = 200;
@@ -130,7 +133,7 @@
     CHECK(first["counts"]["rpcs_admitted"].get<int>() > 0);
 }
 
-TEST_CASE("scale: quantiles are samples, the last one the largest", "[scale]") {
+TEST_CASE("scale: quantiles are values of samples, and the last one is the largest", "[scale]") {
     Samples samples;
     CHECK(samples.quantile(0.5) == 0);
     for (int i = 100; i >= 1; --i) {
@@ -142,7 +145,7 @@
     CHECK(samples.quantile(1) == 100);
 }
 
-TEST_CASE("scale: a straight line is found, with no spread where there is none", "[scale]") {
+TEST_CASE("scale: points on a straight line are fitted without error", "[scale]") {
     const auto fitted = fit(samples_by([](double x) { return 3 + 2 * x; }));
     REQUIRE(fitted);
     CHECK(fitted->straight);
@@ -152,7 +155,7 @@
     CHECK(fitted->line.at(100) == Approx(203));
 }
 
-TEST_CASE("scale: spread is the textbook's", "[scale]") {
+TEST_CASE("scale: slope, intercept and standard error match a worked example", "[scale]") {
     // x 1..4, y 1 3 2 4: slope 0.8, intercept 0.5, residuals -0.3 0.9 -0.9 0.3.
     const auto fitted = fit({{1, 1}, {2, 3}, {3, 2}, {4, 4}});
     REQUIRE(fitted);
@@ -163,18 +166,19 @@
     CHECK_FALSE(fitted->straight);
 }
 
-TEST_CASE("scale: where a line does not fit its exponent is told and the line refused", "[scale]") {
+TEST_CASE("scale: a curve is not taken for a straight line, and its exponent is estimated",
+          "[scale]") {
     const auto fitted = fit(samples_by([](double x) { return x * x; }));
     REQUIRE(fitted);
     CHECK_FALSE(fitted->straight);
     REQUIRE(fitted->power);
     CHECK(fitted->power->exponent == Approx(2));
-    const auto gentle = fit(samples_by([](double x) { return std::pow(x, 1.5); }));
-    REQUIRE(gentle);
-    CHECK_FALSE(gentle->straight);
+    const auto power_1_5 = fit(samples_by([](double x) { return std::pow(x, 1.5); }));
+    REQUIRE(power_1_5);
+    CHECK_FALSE(power_1_5->straight);
 }
 
-TEST_CASE("scale: three points, or four at one place, make no line", "[scale]") {
+TEST_CASE("scale: three points, or four with the same x, are not fitted", "[scale]") {
     CHECK_FALSE(fit({{1, 1}, {2, 2}, {3, 3}}));
     CHECK_FALSE(fit({{1, 1}, {1, 2}, {1, 3}, {1, 4}}));
 }
--- a/tests/scale_wire_units_test.cpp
+++ b/tests/scale_wire_units_test.cpp
@@ -1,4 +1,5 @@
-// The parts of the scale run's stand-ins that need no sockets.
+// The parts of the socket scale run that need no sockets: the fake proxy's reader and table,
+// latencies of changes, worlds, the protocol of hollow planners, and the sizes of a run.
 #define CATCH_CONFIG_MAIN
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -33,63 +34,63 @@
 
 }  // namespace
 
-TEST_CASE("scale: a proxy resets its stream for what it can't use") {
+TEST_CASE("scale: a proxy rejects invalid orders") {
     const World world(small_world(), 1);
     const std::string server = id_of(world, 0);
     CHECK(read_push("push routes=method0+method1 full=1 endpoints=" + server +
                         ":1.5 admit=0.9 policy=1 nonce_out=7",
                     world));
     CHECK(read_push("push", world));
-    const std::vector<std::string> unusable = {"pull endpoints=" + server + ":1",
-                                               "push routes=method2 full=1",
-                                               "push routes=lookup",
-                                               "push endpoints=s-unknown:1",
-                                               "push endpoints=" + server + ":-1",
-                                               "push endpoints=" + server + ":nan",
-                                               "push endpoints=" + server,
-                                               "push eject=s-unknown",
-                                               "push nonce_out=x",
-                                               "push full=2",
-                                               "push admit=-0.1 policy=1",
-                                               "push colour=red"};
-    for (const std::string& line : unusable) {
+    const std::vector<std::string> invalid_lines = {"pull endpoints=" + server + ":1",
+                                                    "push routes=method2 full=1",
+                                                    "push routes=lookup",
+                                                    "push endpoints=s-unknown:1",
+                                                    "push endpoints=" + server + ":-1",
+                                                    "push endpoints=" + server + ":nan",
+                                                    "push endpoints=" + server,
+                                                    "push eject=s-unknown",
+                                                    "push nonce_out=x",
+                                                    "push full=2",
+                                                    "push admit=-0.1 policy=1",
+                                                    "push colour=red"};
+    for (const std::string& line : invalid_lines) {
         INFO(line);
         CHECK_FALSE(read_push(line, world));
     }
 }
 
-TEST_CASE("scale: a proxy's table follows its orders") {
+TEST_CASE("scale: a proxy applies orders to its table") {
     const World world(small_world(), 1);
-    const std::string one = id_of(world, 0), other = id_of(world, 1);
+    const std::string first = id_of(world, 0), second = id_of(world, 1);
     ProxyTable table;
     CHECK(table.servers_in_use() == 0);
-    apply(table, world, "push full=1 endpoints=" + one + ":1," + other + ":0.5");
+    apply(table, world, "push full=1 endpoints=" + first + ":1," + second + ":0.5");
     CHECK(table.servers_in_use() == 2);
 
     SECTION("weight 0 takes a line out, for the methods that are named") {
-        apply(table, world, "push routes=method0 endpoints=" + one + ":0");
+        apply(table, world, "push routes=method0 endpoints=" + first + ":0");
         CHECK(table.in_use(0));
-        apply(table, world, "push routes=method1 endpoints=" + one + ":0");
+        apply(table, world, "push routes=method1 endpoints=" + first + ":0");
         CHECK_FALSE(table.in_use(0));
         CHECK(table.in_use(1));
     }
     SECTION("a whole table forgets lines, not what is ejected") {
-        apply(table, world, "push eject=" + other);
-        apply(table, world, "push full=1 endpoints=" + other + ":1");
+        apply(table, world, "push eject=" + second);
+        apply(table, world, "push full=1 endpoints=" + second + ":1");
         CHECK(table.servers_in_use() == 0);
-        apply(table, world, "push restore=" + other);
+        apply(table, world, "push restore=" + second);
         CHECK_FALSE(table.in_use(0));
         CHECK(table.in_use(1));
     }
 }
 
-TEST_CASE("scale: a change is in force once, at each proxy that used the server") {
+TEST_CASE("scale: a change is counted once for each proxy that used the server") {
     InForce in_force;
     const TimePoint told{};
     in_force.told(0, 5, told, true);
     in_force.told(1, 5, told, true);
     in_force.told(2, 5, told, false);
-    in_force.told(0, 5, told + Milliseconds(3), true);  // told again: the first time counts
+    in_force.told(0, 5, told + Milliseconds(3), true);  // repeated: the first time counts
     CHECK(in_force.pending() == 2);
     in_force.closed(0, 5, told + Milliseconds(10));
     in_force.closed(0, 5, told + Milliseconds(20));
@@ -106,7 +107,7 @@
     CHECK(in_force.take().milliseconds.empty());
 }
 
-TEST_CASE("scale: percentiles are of the nearest rank") {
+TEST_CASE("scale: percentiles are computed by nearest rank") {
     CHECK(percentile({}, 50) == 0);
     CHECK(percentile({7}, 1) == 7);
     std::vector<double> hundred;
@@ -118,14 +119,15 @@
     CHECK(percentile(hundred, 100) == 100);
 }
 
-TEST_CASE("scale: a world is the same for the same seed, and tells what changed") {
+TEST_CASE(
+    "scale: the same seed gives the same world, and a world lists its changes since a version") {
     World world(small_world(), 3), same(small_world(), 3);
     CHECK(world.whole_list() == same.whole_list());
     CHECK(world.replace_some(2) == same.replace_some(2));
     const auto changes = nlohmann::json::parse(world.changes_since(1));
     CHECK(changes.at("version") == 2);
     CHECK(changes.at("full") == false);
-    CHECK(changes.at("servers").size() == 4);  // two drain, two came
+    CHECK(changes.at("servers").size() == 4);  // two drain, two are new
     CHECK(nlohmann::json::parse(world.changes_since(2)).at("servers").empty());
     CHECK(nlohmann::json::parse(world.whole_list()).at("servers").size() == 14);
 
@@ -137,7 +139,7 @@
     CHECK(nlohmann::json::parse(world.whole_list()).at("servers").size() == 14);
 }
 
-TEST_CASE("scale: each server is reported on by one zone") {
+TEST_CASE("scale: each server is reported by exactly one zone") {
     World world(small_world(), 1);
     std::int64_t lines = 0;
     for (int zone = 0; zone < small_world().zones; ++zone) {
@@ -147,7 +149,8 @@
     CHECK(lines == small_world().servers);
 }
 
-TEST_CASE("scale: what passes between the run and its hollow planners reads back") {
+TEST_CASE(
+    "scale: messages between the run and its hollow planners are written and read back unchanged") {
     const auto pace = read_pace("pace 1.500000 30.250000 0.500000");
     REQUIRE(pace);
     CHECK(line_of(*pace) == "pace 1.500000 30.250000 0.500000\n");
@@ -158,7 +161,7 @@
     CHECK_FALSE(read_status("pace 1 2 3"));
 }
 
-TEST_CASE("scale: one thing is varied at a time") {
+TEST_CASE("scale: each size differs from the base in one parameter") {
     WireOptions options;
     vary_all(options);
     const std::vector<WireSize> sizes = sizes_of(options);
@@ -167,11 +170,11 @@
     CHECK(sizes.front().events.size() == 5);
     for (const WireSize& size : sizes) {
         const WireWorld& world = size.world;
-        const int differences = (world.planners() != options.base.planners()) +
-                                (world.proxies != options.base.proxies) +
-                                (world.servers != options.base.servers) +
-                                (world.changes_per_second != options.base.changes_per_second) +
-                                (world.report_every != options.base.report_every);
-        CHECK(differences == (size.varied == "base" ? 0 : 1));
+        const int changed_parameters =
+            (world.planners() != options.base.planners()) +
+            (world.proxies != options.base.proxies) + (world.servers != options.base.servers) +
+            (world.changes_per_second != options.base.changes_per_second) +
+            (world.report_every != options.base.report_every);
+        CHECK(changed_parameters == (size.varied == "base" ? 0 : 1));
     }
 }
