--- a/fuzz/import_fuzz.cpp
+++ b/fuzz/import_fuzz.cpp
@@ -80,10 +80,10 @@
     const haproxy::Import import = haproxy::translate(builder.finish());
     for (const auto& finding : import.findings) {
         must(finding.line > 0);
-        must(finding.verdict != haproxy::Verdict::refused || !finding.says.empty());
+        must(finding.verdict != haproxy::Verdict::refused || !finding.message.empty());
     }
     (void)haproxy::json_report(import, {"f"});
-    if (!import.troubles.empty()) {
+    if (!import.faults.empty()) {
         must(import.plan.pools.empty() && import.plan.listeners.empty());
         return 0;
     }
--- a/src/command/import.cpp
+++ b/src/command/import.cpp
@@ -55,8 +55,8 @@
     int run(std::ostream& out, std::ostream& err) override {
         const haproxy::Import import =
             haproxy::translate(haproxy::read_files(files_, process_environment()));
-        if (!import.troubles.empty()) {
-            print_faults(import.troubles, err);
+        if (!import.faults.empty()) {
+            print_faults(import.faults, err);
             return kInvalidInput;
         }
         const std::string text = operators::write_text(import.plan, heading());
--- a/src/haproxy/acl.cpp
+++ b/src/haproxy/acl.cpp
@@ -96,16 +96,16 @@
         name.empty() ? refuse_condition("its name is missing")
                      : expression_of(statement.line.words, 2, statement.size(), scope_);
     if (condition) {
-        findings_.say(statement.number, condition->verdict, condition->note);
+        findings_.add_verdict(statement.number, condition->verdict, condition->note);
         acl.alternatives.push_back(condition->match);
     } else {
         const std::string& reason = condition.error().reason;
-        findings_.say(statement.number, Verdict::refused, reason);
+        findings_.add_verdict(statement.number, Verdict::refused, reason);
         if (acl.refused.empty()) {
             acl.refused = fmt::format("ACL {} of line {}: {}", name, statement.line.number, reason);
         }
     }
-    findings_.set_aside(statement.number, "no rule here goes by it");
+    findings_.set_unused_message(statement.number, "no rule here goes by it");
 }
 
 TranslatedCondition Acls::condition(const Statement& statement, std::size_t from) {
@@ -193,7 +193,7 @@
                         acl.first_line));
     }
     for (const std::size_t line : acl.lines) {
-        findings_.use(line);
+        findings_.mark_used(line);
     }
     if (!acl.refused.empty()) {
         return refuse_condition(acl.refused);
--- a/src/haproxy/acl_expression.cpp
+++ b/src/haproxy/acl_expression.cpp
@@ -142,8 +142,8 @@
     return pattern;
 }
 
-Or<std::int64_t> read_server_count(const std::string& text) {
-    return number_of(text, 0, kMaxServers);
+Parsed<std::int64_t> read_server_count(const std::string& text) {
+    return parse_number(text, 0, kMaxServers);
 }
 
 /// "1:4", "1:" or ":4".
@@ -152,14 +152,14 @@
     if (colon > 0) {
         const auto least = read_server_count(text.substr(0, colon));
         if (!least) {
-            return refuse_condition(least.wrong);
+            return refuse_condition(least.error);
         }
         usable.min_count = static_cast<int>(*least);
     }
     if (colon + 1 < text.size()) {
         const auto most = read_server_count(text.substr(colon + 1));
         if (!most) {
-            return refuse_condition(most.wrong);
+            return refuse_condition(most.error);
         }
         usable.max_count = static_cast<int>(*most);
     }
@@ -204,7 +204,7 @@
     }
     const auto count = read_server_count(text);
     if (!count) {
-        return refuse_condition(count.wrong);
+        return refuse_condition(count.error);
     }
     return compare_count(has_comparison ? values[0] : "eq", static_cast<int>(*count),
                          UsableServers{pool});
--- a/src/haproxy/balance.cpp
+++ b/src/haproxy/balance.cpp
@@ -41,15 +41,15 @@
     return tl::make_unexpected(BalanceError{std::move(message)});
 }
 
-BalanceResult changed(Balance balance, std::string says) {
-    return BalanceReading{std::move(balance), Verdict::changed, std::move(says)};
+BalanceResult changed(Balance balance, std::string message) {
+    return BalanceReading{std::move(balance), Verdict::changed, std::move(message)};
 }
 
 BalanceResult read_random(Balance balance) {
     if (!balance.argument.empty()) {
-        const auto draws = number_of(balance.argument, 1, kMostDraws);
+        const auto draws = parse_number(balance.argument, 1, kMostDraws);
         if (!draws) {
-            return refuse(draws.wrong);
+            return refuse(draws.error);
         }
         balance.draws = static_cast<int>(*draws);
     }
@@ -70,9 +70,9 @@
             balance.path_only = true;
         } else if (word == "depth" || word == "len") {
             ++index;
-            const auto value = number_of(statement.word(index), 1, kMostOfUri);
+            const auto value = parse_number(statement.word(index), 1, kMostOfUri);
             if (!value) {
-                return refuse(value.wrong);
+                return refuse(value.error);
             }
             int& limit = word == "depth" ? balance.depth : balance.length;
             limit = static_cast<int>(*value);
@@ -88,22 +88,22 @@
     if (balance.argument.empty()) {
         return refuse("balance url_param lacks the parameter's name");
     }
-    std::string says = kByHash;
+    std::string message = kByHash;
     if (statement.word(3) == "check_post") {
-        says += "; bodies are not searched for it";
+        message += "; bodies are not searched for it";
     }
-    return changed(std::move(balance), std::move(says));
+    return changed(std::move(balance), std::move(message));
 }
 
 BalanceResult read_header(const Statement& statement, Balance balance) {
     if (balance.argument.empty()) {
         return refuse("balance hdr() lacks the header's name");
     }
-    std::string says = kByHash;
+    std::string message = kByHash;
     if (statement.word(2) == "use_domain_only") {
-        says += "; the whole value counts";
+        message += "; the whole value counts";
     }
-    return changed(std::move(balance), std::move(says));
+    return changed(std::move(balance), std::move(message));
 }
 
 // `hash` takes any expression; those that have a kind of their own are taken for it. What follows
--- a/src/haproxy/balance.hpp
+++ b/src/haproxy/balance.hpp
@@ -25,7 +25,7 @@
 struct BalanceReading {
     Balance balance;
     Verdict verdict = Verdict::translated;
-    std::string says;
+    std::string message;
 };
 
 /// Why a line is refused.
--- a/src/haproxy/files.cpp
+++ b/src/haproxy/files.cpp
@@ -30,7 +30,7 @@
 
 Tree read_files(const std::vector<std::string>& names, const Environment& environment) {
     TreeBuilder builder(environment);
-    std::vector<Trouble> unread;
+    std::vector<Fault> unread;
     for (const std::string& name : names) {
         const auto files = files_of(name);
         if (files.empty()) {
@@ -41,20 +41,21 @@
             const auto size = fs::file_size(file, failed);
             std::ifstream in(file, std::ios::binary);
             std::ostringstream text;
-            if (failed || size > kLongestFile || !in || !(text << in.rdbuf()).good()) {
+            if (failed || size > kMaxFileBytes || !in || !(text << in.rdbuf()).good()) {
                 // An empty file gives nothing to read, and is sound.
                 if (!failed && size == 0 && in) {
                     continue;
                 }
                 unread.push_back(
-                    {file, 0, 0, !failed && size > kLongestFile ? "over 64 MiB" : "can't be read"});
+                    {file, 0, 0,
+                     !failed && size > kMaxFileBytes ? "over 64 MiB" : "can't be read"});
                 continue;
             }
             builder.add(file, text.str());
         }
     }
     Tree tree = builder.finish();
-    tree.troubles.insert(tree.troubles.begin(), unread.begin(), unread.end());
+    tree.faults.insert(tree.faults.begin(), unread.begin(), unread.end());
     return tree;
 }
 
--- a/src/haproxy/files.hpp
+++ b/src/haproxy/files.hpp
@@ -10,9 +10,9 @@
 
 namespace micaroad::haproxy {
 
-constexpr std::size_t kLongestFile = 64u << 20;  // bytes
+constexpr std::size_t kMaxFileBytes = 64u << 20;  // bytes
 
-/// Files that can't be read or are longer than kLongestFile are among the tree's troubles, before
+/// Files that can't be read or are longer than kMaxFileBytes are among the tree's faults, before
 /// those of the texts.
 [[nodiscard]] Tree read_files(const std::vector<std::string>& names,
                               const Environment& environment);
--- a/src/haproxy/findings.cpp
+++ b/src/haproxy/findings.cpp
@@ -18,22 +18,22 @@
     return "refused";
 }
 
-std::size_t Findings::line(const Line& line, std::string keyword) {
+std::size_t Findings::add_line(const Line& line, std::string keyword) {
     rows_.push_back(
         {{line.file, line.number, std::move(keyword), Verdict::refused, ""}, false, false, ""});
     return rows_.size() - 1;
 }
 
-void Findings::say(std::size_t number, Verdict verdict, const std::string& says) {
-    Row& row = rows_[number];
+void Findings::add_verdict(std::size_t index, Verdict verdict, const std::string& message) {
+    Row& row = rows_[index];
     const bool is_first = !row.said;
     row.said = true;
     if (is_first || verdict > row.finding.verdict) {
         row.finding.verdict = verdict;
-        row.finding.says = says;
-    } else if (verdict == row.finding.verdict && !says.empty() &&
-               row.finding.says.find(says) == std::string::npos) {
-        row.finding.says += (row.finding.says.empty() ? "" : "; ") + says;
+        row.finding.message = message;
+    } else if (verdict == row.finding.verdict && !message.empty() &&
+               row.finding.message.find(message) == std::string::npos) {
+        row.finding.message += (row.finding.message.empty() ? "" : "; ") + message;
     }
 }
 
@@ -44,10 +44,11 @@
         Finding finding = row.finding;
         if (!row.said) {
             finding.verdict = Verdict::refused;
-            finding.says = "nothing here knows this line";
-        } else if (!row.unless_used.empty() && !row.used && finding.verdict != Verdict::refused) {
+            finding.message = "nothing here knows this line";
+        } else if (!row.unused_message.empty() && !row.used &&
+                   finding.verdict != Verdict::refused) {
             finding.verdict = Verdict::no_effect;
-            finding.says = row.unless_used;
+            finding.message = row.unused_message;
         }
         all.push_back(std::move(finding));
     }
--- a/src/haproxy/findings.hpp
+++ b/src/haproxy/findings.hpp
@@ -19,21 +19,21 @@
     int line = 0;
     std::string keyword;
     Verdict verdict = Verdict::refused;
-    std::string says;
+    std::string message;
 };
 
 class Findings {
  public:
     // To be called for each line with words, in order. Returns its number.
-    std::size_t line(const Line& line, std::string keyword);
+    std::size_t add_line(const Line& line, std::string keyword);
     // Adds to what is said of a line. A graver verdict takes the place of a lighter one, with its
     // words; alike ones join.
-    void say(std::size_t number, Verdict verdict, const std::string& says);
+    void add_verdict(std::size_t index, Verdict verdict, const std::string& message);
     // A setting counts only if some section goes by it; what is said holds once it was used, else
     // that it has no effect.
-    void use(std::size_t number) { rows_[number].used = true; }
-    void set_aside(std::size_t number, std::string unless_used) {
-        rows_[number].unless_used = std::move(unless_used);
+    void mark_used(std::size_t index) { rows_[index].used = true; }
+    void set_unused_message(std::size_t index, std::string message) {
+        rows_[index].unused_message = std::move(message);
     }
 
     // One a line, in order. A line of which nothing was said is refused: none falls through.
@@ -44,7 +44,7 @@
     struct Row {
         Finding finding;
         bool said = false, used = false;
-        std::string unless_used;
+        std::string unused_message;
     };
     std::vector<Row> rows_;
 };
--- a/src/haproxy/http_check.cpp
+++ b/src/haproxy/http_check.cpp
@@ -51,16 +51,16 @@
     }
     const std::string& range = statement.word(index + 1);
     const std::size_t dash = range.find('-');
-    const auto low = number_of(range.substr(0, dash), kLowestStatus, kHighestStatus);
+    const auto low = parse_number(range.substr(0, dash), kLowestStatus, kHighestStatus);
     const auto high = dash == std::string::npos
                           ? low
-                          : number_of(range.substr(dash + 1), kLowestStatus, kHighestStatus);
+                          : parse_number(range.substr(dash + 1), kLowestStatus, kHighestStatus);
     if (!low || !high || *low > *high) {
         return refuse(
             fmt::format("'{}' is no status or range of them that is looked for here", range));
     }
-    check.status_least = static_cast<int>(*low);
-    check.status_most = static_cast<int>(*high);
+    check.min_status = static_cast<int>(*low);
+    check.max_status = static_cast<int>(*high);
     return check;
 }
 
--- a/src/haproxy/http_check.hpp
+++ b/src/haproxy/http_check.hpp
@@ -16,8 +16,8 @@
     std::string method = "OPTIONS";
     std::string path = "/";
     std::string host;
-    int status_least = 200;
-    int status_most = 399;
+    int min_status = 200;
+    int max_status = 399;
 };
 
 /// Why a line does not count, and its verdict.
--- a/src/haproxy/keywords.hpp
+++ b/src/haproxy/keywords.hpp
@@ -13,7 +13,7 @@
 /// A verdict with its explanation, which lives as long as the program.
 struct FixedVerdict {
     Verdict verdict;
-    const char* says;
+    const char* message;
 };
 
 /// Of a statement in a frontend, backend, listen or defaults section. Absent: its keyword is
--- a/src/haproxy/lexer.cpp
+++ b/src/haproxy/lexer.cpp
@@ -289,8 +289,8 @@
     }
 
     Step fail(std::size_t offset, std::string message) {
-        line_.trouble = std::move(message);
-        line_.trouble_column = static_cast<int>(offset) + 1;
+        line_.error = std::move(message);
+        line_.error_column = static_cast<int>(offset) + 1;
         return Step::failed;
     }
 
@@ -313,7 +313,7 @@
     while (!bytes.empty()) {
         const std::size_t end = bytes.find('\n');
         const std::string_view part = bytes.substr(0, end);
-        if (pending_.size() + part.size() > kLongestLine) {
+        if (pending_.size() + part.size() > kMaxLineBytes) {
             too_long_ = true;
         } else {
             pending_ += part;
@@ -350,7 +350,7 @@
     }
     Line line{file_, first_line_, {}, "", 0};
     if (too_long_) {
-        line.trouble = fmt::format("a line over {} bytes", kLongestLine);
+        line.error = fmt::format("a line over {} bytes", kMaxLineBytes);
     } else if (!split(line)) {
         pending_.pop_back();  // the backslash; the next line follows
         return;
--- a/src/haproxy/lexer.hpp
+++ b/src/haproxy/lexer.hpp
@@ -36,8 +36,8 @@
     std::string file;
     int number = 0;           ///< from 1; of the first of joined lines
     std::vector<Word> words;  ///< empty for a blank line or a comment alone
-    std::string trouble;      ///< why the line can't be read; empty if it can
-    int trouble_column = 0;   ///< from 1; 0 where the whole line is meant
+    std::string error;        ///< why the line can't be read; empty if it can
+    int error_column = 0;     ///< from 1; 0 where the whole line is meant
 
     /// The text of a word, or an empty string past the last one.
     [[nodiscard]] const std::string& word(std::size_t index) const {
@@ -49,8 +49,8 @@
 /// Reads one file. Not for concurrent use.
 class Lexer {
  public:
-    /// Bytes of a line with the lines joined to it; a longer one is handed over with its trouble.
-    static constexpr std::size_t kLongestLine = std::size_t{256} * 1024;
+    /// Bytes of a line with the lines joined to it; a longer one is handed over with an error.
+    static constexpr std::size_t kMaxLineBytes = std::size_t{256} * 1024;
 
     using LineHandler = std::function<void(Line&&)>;
 
--- a/src/haproxy/pools.cpp
+++ b/src/haproxy/pools.cpp
@@ -136,7 +136,7 @@
         settings.hash_type.get(findings_);
     }
     names_.clear();
-    for (const ServerAt& at : draft.servers) {
+    for (const ServerStatement& at : draft.servers) {
         servers(at, draft, pool);
     }
     if (pool.servers.empty()) {
@@ -209,8 +209,8 @@
             pool.health.http_method = check.method;
             pool.health.http_path = check.path;
             pool.health.http_host = check.host;
-            pool.health.min_status = check.status_least;
-            pool.health.max_status = check.status_most;
+            pool.health.min_status = check.min_status;
+            pool.health.max_status = check.max_status;
         }
     }
     if (const std::optional<Duration> patience = timeout(settings, "check")) {
@@ -274,7 +274,7 @@
     return true;
 }
 
-void PoolMaker::servers(const ServerAt& at, const Draft& draft, routing::Pool& pool) {
+void PoolMaker::servers(const ServerStatement& at, const Draft& draft, routing::Pool& pool) {
     const Statement& statement = *at.statement;
     const bool many = statement.word(0) == "server-template";
     const std::size_t from = many ? 4 : 3;
@@ -286,7 +286,7 @@
     }
     read_server_words(statement, from, words, findings_);
     for (const std::size_t line : at.default_lines) {
-        findings_.use(line);
+        findings_.mark_used(line);
     }
     if (words.left_out) {
         return;
@@ -300,12 +300,13 @@
     // "5" is 1 to 5, "3-7" as it says.
     const std::string& range = statement.word(2);
     const auto dash = range.find('-');
-    const auto low = dash == std::string::npos ? Or<std::int64_t>{1, ""}
-                                               : number_of(range.substr(0, dash), 0, 2'147'483'647);
+    const auto low = dash == std::string::npos
+                         ? Parsed<std::int64_t>{1, ""}
+                         : parse_number(range.substr(0, dash), 0, 2'147'483'647);
     const auto high =
-        number_of(dash == std::string::npos ? range : range.substr(dash + 1), 0, 2'147'483'647);
+        parse_number(dash == std::string::npos ? range : range.substr(dash + 1), 0, 2'147'483'647);
     if (!low || !high) {
-        return say(statement.number, Verdict::refused, low ? high.wrong : low.wrong);
+        return say(statement.number, Verdict::refused, low ? high.error : low.error);
     }
     if (*low > *high) {
         return say(statement.number, Verdict::refused, fmt::format("the range {} is empty", range));
@@ -314,7 +315,7 @@
         return say(statement.number, Verdict::refused,
                    fmt::format("{} servers at most", kMostTemplated));
     }
-    const auto endpoint = endpoint_of(statement.word(3));
+    const auto endpoint = parse_endpoint(statement.word(3));
     if (endpoint && endpoint->kind == Endpoint::Kind::needs_look_up) {
         return say(
             statement.number, Verdict::refused,
@@ -326,8 +327,8 @@
     }
 }
 
-void PoolMaker::one_server(const ServerAt& at, const ServerWords& words, const std::string& name,
-                           const Draft& draft, routing::Pool& pool) {
+void PoolMaker::one_server(const ServerStatement& at, const ServerWords& words,
+                           const std::string& name, const Draft& draft, routing::Pool& pool) {
     const Statement& statement = *at.statement;
     const std::size_t line = statement.number;
     const auto leave_out = [&](const std::string& why) {
@@ -337,9 +338,9 @@
     if (!is_server_name(name)) {
         return leave_out(fmt::format("'{}' is no name", name));
     }
-    const auto endpoint = endpoint_of(address);
+    const auto endpoint = parse_endpoint(address);
     if (!endpoint) {
-        return leave_out(endpoint.wrong);
+        return leave_out(endpoint.error);
     }
     if (const auto error = check_server_address(*endpoint, address)) {
         return leave_out(error->reason);
@@ -384,7 +385,7 @@
 }
 
 // The pool has one rule: that of its first server that is checked.
-void PoolMaker::health(const ServerAt& at, const ServerWords& words, routing::Pool& pool) {
+void PoolMaker::health(const ServerStatement& at, const ServerWords& words, routing::Pool& pool) {
     routing::HealthRule rule = pool.health;
     const routing::HealthRule usual;
     const bool first = health_by_.try_emplace(pool.name, at.statement->word(1)).second;
--- a/src/haproxy/pools.hpp
+++ b/src/haproxy/pools.hpp
@@ -32,16 +32,16 @@
     void set_timeouts(const Draft& draft, routing::Pool& pool);
     void set_retries(const Settings& settings, routing::Pool& pool);
     void set_health_check(const Settings& settings, routing::Pool& pool);
-    void servers(const ServerAt& at, const Draft& draft, routing::Pool& pool);
-    void one_server(const ServerAt& at, const ServerWords& words, const std::string& name,
+    void servers(const ServerStatement& at, const Draft& draft, routing::Pool& pool);
+    void one_server(const ServerStatement& at, const ServerWords& words, const std::string& name,
                     const Draft& draft, routing::Pool& pool);
-    void health(const ServerAt& at, const ServerWords& words, routing::Pool& pool);
+    void health(const ServerStatement& at, const ServerWords& words, routing::Pool& pool);
     void stickiness(const Draft& draft, const Balance& balance, routing::Pool& pool);
     /// Returns whether the line decides the pool's stickiness.
     bool stick_on(const Statement& statement, const Settings& settings, bool taken,
                   routing::Pool& pool);
     void say(std::size_t line, Verdict verdict, const std::string& says) {
-        findings_.say(line, verdict, says);
+        findings_.add_verdict(line, verdict, says);
     }
 
     Findings& findings_;
--- a/src/haproxy/report.cpp
+++ b/src/haproxy/report.cpp
@@ -47,16 +47,16 @@
 
 std::string text_report(const Import& import) {
     std::string text;
-    for (const Trouble& trouble : import.troubles) {
-        text += trouble.text() + "\n";
+    for (const Fault& fault : import.faults) {
+        text += fault.text() + "\n";
     }
     for (const Finding& finding : import.findings) {
-        if (finding.verdict == Verdict::translated && finding.says.empty()) {
+        if (finding.verdict == Verdict::translated && finding.message.empty()) {
             continue;
         }
         text +=
             fmt::format("{}:{}: {}: {}{}{}\n", finding.file, finding.line, name_of(finding.verdict),
-                        finding.keyword, finding.says.empty() ? "" : ": ", finding.says);
+                        finding.keyword, finding.message.empty() ? "" : ": ", finding.message);
     }
     std::string counts;
     for (const Verdict verdict : kVerdicts) {
@@ -76,7 +76,7 @@
                                       {"line", finding.line},
                                       {"keyword", finding.keyword},
                                       {"verdict", name_of(finding.verdict)},
-                                      {"says", finding.says}});
+                                      {"says", finding.message}});
     }
     report["pools"] = json::array();
     for (const routing::Pool& pool : import.plan.pools) {
--- a/src/haproxy/request_rules.cpp
+++ b/src/haproxy/request_rules.cpp
@@ -195,11 +195,11 @@
         if (word != "deny_status" && word != "status") {
             continue;
         }
-        const auto value = number_of(statement.word(position + 1), 100, 599);
+        const auto value = parse_number(statement.word(position + 1), 100, 599);
         if (value) {
             status = static_cast<int>(*value);
         } else {
-            error = StatusError{value.wrong};
+            error = StatusError{value.error};
         }
     }
     if (error) {
@@ -217,7 +217,7 @@
         if (word == "location") {
             redirect.location = argument;
         } else if (word == "code") {
-            const auto status = number_of(argument, 301, 308);
+            const auto status = parse_number(argument, 301, 308);
             redirect.status = status ? static_cast<int>(*status) : kRedirectStatus;
         }
     }
@@ -371,7 +371,7 @@
     }
 
     void report(const Rule& rule, Verdict verdict, const std::string& text) {
-        findings_.say(rule.statement->number, verdict, text);
+        findings_.add_verdict(rule.statement->number, verdict, text);
     }
 
     const Draft& draft_;
--- a/src/haproxy/routes.cpp
+++ b/src/haproxy/routes.cpp
@@ -27,9 +27,9 @@
     for (std::size_t from = 0; from <= text.size();) {
         const std::size_t end = std::min(text.find(',', from), text.size());
         const std::string address = text.substr(from, end - from);
-        const auto endpoint = endpoint_of(address);
+        const auto endpoint = parse_endpoint(address);
         if (!endpoint) {
-            addresses.refused = endpoint.wrong;
+            addresses.refused = endpoint.error;
         } else if (is_tcp_address(*endpoint)) {
             addresses.usable.push_back(endpoint->text());
         } else {
@@ -148,8 +148,8 @@
     }
     const std::string& pool = default_backend.get(findings_);
     if (!pools_.contains(pool)) {
-        findings_.say(default_backend.line(), Verdict::refused,
-                      fmt::format("there is no backend {}", pool));
+        findings_.add_verdict(default_backend.line(), Verdict::refused,
+                              fmt::format("there is no backend {}", pool));
         return;
     }
     listener.default_pool = pool;
--- a/src/haproxy/routes.hpp
+++ b/src/haproxy/routes.hpp
@@ -32,7 +32,7 @@
     void add_pool_routes(const std::string& pool, const routing::Match& when,
                          const Statement& statement, RouteSink& sink);
     void report(const Statement& statement, Verdict verdict, const std::string& text) {
-        findings_.say(statement.number, verdict, text);
+        findings_.add_verdict(statement.number, verdict, text);
     }
 
     Findings& findings_;
--- a/src/haproxy/section.cpp
+++ b/src/haproxy/section.cpp
@@ -15,10 +15,10 @@
 // statement a verdict and keeps its setting; the others have a fixed verdict.
 class SectionReader {
  public:
-    SectionReader(const Section& section, const Settings& taken_over, Findings& findings)
+    SectionReader(const Section& section, const Settings& inherited, Findings& findings)
         : findings_(findings) {
         draft_.section = &section;
-        draft_.settings = taken_over;
+        draft_.settings = inherited;
     }
 
     Draft read() {
@@ -28,7 +28,7 @@
             if (handler != handlers().end()) {
                 (this->*handler->second)();
             } else if (const auto fixed = fixed_verdict(statement)) {
-                say(fixed->verdict, fixed->says);
+                say(fixed->verdict, fixed->message);
             } else {
                 say(Verdict::refused, "no keyword of these sections that is known here");
             }
@@ -73,24 +73,24 @@
     }
 
     const std::string& word(std::size_t index) const { return statement_->word(index); }
-    void say(Verdict verdict, const std::string& says = "") {
-        findings_.say(statement_->number, verdict, says);
+    void say(Verdict verdict, const std::string& message = "") {
+        findings_.add_verdict(statement_->number, verdict, message);
     }
 
     // The verdict holds if some section goes by the line; else it has no effect.
-    void say_of_setting(Verdict verdict, const std::string& says = "") {
-        say(verdict, says);
-        findings_.set_aside(statement_->number,
-                            "no section goes by it: overridden, or of no use there");
+    void say_of_setting(Verdict verdict, const std::string& message = "") {
+        say(verdict, message);
+        findings_.set_unused_message(statement_->number,
+                                     "no section goes by it: overridden, or of no use there");
     }
 
     bool is_defaults() const { return draft_.section->kind == "defaults"; }
     std::optional<int> number(std::size_t index, std::int64_t least, std::int64_t most) {
-        const auto value = number_of(word(index), least, most);
+        const auto value = parse_number(word(index), least, most);
         if (value) {
             return static_cast<int>(*value);
         }
-        say(Verdict::refused, value.wrong);
+        say(Verdict::refused, value.error);
         return std::nullopt;
     }
 
@@ -114,7 +114,7 @@
             say(Verdict::refused, reading.error().message);
             return;
         }
-        say_of_setting(reading->verdict, reading->says);
+        say_of_setting(reading->verdict, reading->message);
         draft_.settings.balance.set(std::move(reading->balance), statement_->number);
     }
 
@@ -186,7 +186,7 @@
             settings.check.set({}, statement_->number);
             say_of_setting(Verdict::translated, "a connection is a sign of health");
         } else if (const auto fixed = fixed_option(name)) {
-            say(fixed->verdict, fixed->says);
+            say(fixed->verdict, fixed->message);
         } else {
             say(Verdict::refused, fmt::format("option {} is not known here", name));
         }
@@ -222,14 +222,14 @@
     void timeout() {
         const std::string& name = word(1);
         if (const auto fixed = fixed_timeout(name)) {
-            return say(fixed->verdict, fixed->says);
+            return say(fixed->verdict, fixed->message);
         }
         if (name != "connect" && name != "server" && name != "queue" && name != "check") {
             return say(Verdict::refused, fmt::format("timeout {} is not known", name));
         }
-        const auto value = time_of(word(2));
+        const auto value = parse_time(word(2));
         if (!value) {
-            return say(Verdict::refused, value.wrong);
+            return say(Verdict::refused, value.error);
         }
         say_of_setting(
             name == "server" ? Verdict::changed : Verdict::translated,
@@ -327,7 +327,7 @@
         }
         draft_.settings.default_server = words;
         draft_.settings.default_server_lines.push_back(statement_->number);
-        findings_.set_aside(statement_->number, "no server goes by it");
+        findings_.set_unused_message(statement_->number, "no server goes by it");
     }
 
     // False, with the line refused: it is in a defaults section, or its section is not of a kind
@@ -392,8 +392,8 @@
 
 }  // namespace
 
-Draft read_section(const Section& section, const Settings& taken_over, Findings& findings) {
-    return SectionReader(section, taken_over, findings).read();
+Draft read_section(const Section& section, const Settings& inherited, Findings& findings) {
+    return SectionReader(section, inherited, findings).read();
 }
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/section.hpp
+++ b/src/haproxy/section.hpp
@@ -29,7 +29,7 @@
     [[nodiscard]] explicit operator bool() const { return value_.has_value(); }
     /// Only where there is a value. May be called for the mark alone.
     const T& get(Findings& findings) const {
-        findings.use(line_);
+        findings.mark_used(line_);
         return *value_;  // NOLINT(bugprone-unchecked-optional-access): the caller's to check
     }
     [[nodiscard]] T get_or(T otherwise, Findings& findings) const {
@@ -78,7 +78,7 @@
 };
 
 /// A server's line with the defaults that hold where it stands.
-struct ServerAt {
+struct ServerStatement {
     const Statement* statement;
     ServerWords words;
     std::vector<std::size_t> default_lines;  ///< numbers of the findings of its defaults
@@ -95,7 +95,7 @@
     std::vector<const Statement*> rules;
     std::vector<const Statement*> use_backends;
     std::vector<const Statement*> sticks;
-    std::vector<ServerAt> servers;
+    std::vector<ServerStatement> servers;
 
     [[nodiscard]] bool has_servers() const {
         return section->kind == "backend" || section->kind == "listen";
@@ -107,7 +107,7 @@
 
 /// Reads a section on top of the settings that it takes over from its defaults. Each statement has
 /// its verdict in the findings once this returns, but for those that are filed in the draft.
-[[nodiscard]] Draft read_section(const Section& section, const Settings& taken_over,
+[[nodiscard]] Draft read_section(const Section& section, const Settings& inherited,
                                  Findings& findings);
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/server_line.cpp
+++ b/src/haproxy/server_line.cpp
@@ -271,18 +271,18 @@
 
     std::optional<int> read_number(const std::string& keyword, std::int64_t least,
                                    std::int64_t most) {
-        const auto value = number_of(next_word(), least, most);
+        const auto value = parse_number(next_word(), least, most);
         if (!value) {
-            leave_out(fmt::format("{} {}", keyword, value.wrong));
+            leave_out(fmt::format("{} {}", keyword, value.error));
             return std::nullopt;
         }
         return static_cast<int>(*value);
     }
 
     std::optional<Duration> read_time(const std::string& keyword) {
-        const auto value = time_of(next_word());
+        const auto value = parse_time(next_word());
         if (!value) {
-            leave_out(fmt::format("{} {}", keyword, value.wrong));
+            leave_out(fmt::format("{} {}", keyword, value.error));
             return std::nullopt;
         }
         return *value;
@@ -311,7 +311,7 @@
     }
 
     void report(Verdict verdict, const std::string& text) {
-        findings_.say(statement_.number, verdict, text);
+        findings_.add_verdict(statement_.number, verdict, text);
     }
 
     void leave_out(const std::string& reason) {
--- a/src/haproxy/translate.cpp
+++ b/src/haproxy/translate.cpp
@@ -31,8 +31,8 @@
                 other(section);
             }
         }
-        import.troubles = std::move(tree_.troubles);
-        if (import.troubles.empty()) {
+        import.faults = std::move(tree_.faults);
+        if (import.faults.empty()) {
             PoolMaker pools(findings());
             add_pools(pools);
             make_listeners(import);
@@ -67,12 +67,12 @@
     }
 
     Findings& findings() { return tree_.findings; }
-    void trouble(const Section& section, std::string says) {
-        tree_.troubles.push_back(
-            {section.header.line.file, section.header.line.number, 1, std::move(says)});
+    void add_fault(const Section& section, std::string message) {
+        tree_.faults.push_back(
+            {section.header.line.file, section.header.line.number, 1, std::move(message)});
     }
 
-    const Settings* taken_over(const Section& section) {
+    const Settings* inherited(const Section& section) {
         if (section.from.empty()) {
             return section.kind == "defaults" ? nullptr : last_defaults_;
         }
@@ -80,13 +80,13 @@
         if (at != named_defaults_.end()) {
             return at->second;
         }
-        trouble(section, fmt::format("there is no defaults section {} before it", section.from));
+        add_fault(section, fmt::format("there is no defaults section {} before it", section.from));
         return nullptr;
     }
     void defaults(const Section& section) {
-        const Settings* from = taken_over(section);
-        findings().say(section.header.number, Verdict::translated,
-                       "its settings stand in the sections that take them over");
+        const Settings* from = inherited(section);
+        findings().add_verdict(section.header.number, Verdict::translated,
+                               "its settings stand in the sections that take them over");
         all_defaults_.push_back(std::make_unique<Settings>(
             read_section(section, from ? *from : Settings{}, findings()).settings));
         last_defaults_ = all_defaults_.back().get();
@@ -99,25 +99,25 @@
         const bool serves = section.kind != "frontend";
         if ((listens && !listeners_.insert(section.name).second) ||
             (serves && !pools_.insert(section.name).second)) {
-            trouble(section, fmt::format("a second {} {}", section.kind, section.name));
+            add_fault(section, fmt::format("a second {} {}", section.kind, section.name));
         }
-        const Settings* from = taken_over(section);
+        const Settings* from = inherited(section);
         drafts_.push_back(read_section(section, from ? *from : Settings{}, findings()));
     }
     void other(const Section& section) {
         if (section.kind == "global") {
-            findings().say(section.header.number, Verdict::no_effect,
-                           "how the original's process runs");
+            findings().add_verdict(section.header.number, Verdict::no_effect,
+                                   "how the original's process runs");
             for (const Statement& statement : section.statements) {
                 const FixedVerdict fixed = global_verdict(statement);
-                findings().say(statement.number, fixed.verdict, fixed.says);
+                findings().add_verdict(statement.number, fixed.verdict, fixed.message);
             }
             return;
         }
         const FixedVerdict fixed = other_section_verdict(section.kind);
-        findings().say(section.header.number, fixed.verdict, fixed.says);
+        findings().add_verdict(section.header.number, fixed.verdict, fixed.message);
         for (const Statement& statement : section.statements) {
-            findings().say(statement.number, fixed.verdict, fixed.says);
+            findings().add_verdict(statement.number, fixed.verdict, fixed.message);
         }
     }
 
--- a/src/haproxy/translate.hpp
+++ b/src/haproxy/translate.hpp
@@ -3,7 +3,7 @@
 /// docs/haproxy-import.md lists the keywords.
 ///
 ///   Import import = translate(std::move(tree));
-///   if (!import.troubles.empty()) ...            // unusable: no plan
+///   if (!import.faults.empty()) ...            // unusable: no plan
 #pragma once
 
 #include <map>
@@ -15,11 +15,11 @@
 
 namespace micaroad::haproxy {
 
-/// The result of an import. With troubles the plan is empty.
+/// The result of an import. With faults the plan is empty.
 struct Import {
     routing::Plan plan;
     std::vector<Finding> findings;
-    std::vector<Trouble> troubles;
+    std::vector<Fault> faults;
     /// The `balance` algorithm of each pool, by its name; how it is translated is in the findings.
     std::map<std::string, std::string> balance;
     /// How many lines have that verdict.
--- a/src/haproxy/tree.cpp
+++ b/src/haproxy/tree.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 // Bytes of a section's name.
-constexpr std::size_t kLongestName = 128;
+constexpr std::size_t kMaxNameBytes = 128;
 
 // Words that begin a section.
 const std::set<std::string> kSections{"global",      "defaults", "frontend",    "backend",
@@ -27,7 +27,7 @@
     "cache",    "ring",    "mailers", "http-errors", "fcgi-app",  "log-forward"};
 
 bool is_valid_name(const std::string& name) {
-    return !name.empty() && name.size() <= kLongestName &&
+    return !name.empty() && name.size() <= kMaxNameBytes &&
            std::all_of(name.begin(), name.end(), [](unsigned char character) {
                return std::isalnum(character) != 0 || character == '-' || character == '_' ||
                       character == '.' || character == ':';
@@ -77,7 +77,7 @@
     }
 
  private:
-    static constexpr int kDeepestNesting = 100;
+    static constexpr int kMaxNesting = 100;
 
     using Value = std::optional<bool>;
 
@@ -116,7 +116,7 @@
 
     Value term() {
         ++depth_;
-        if (depth_ > kDeepestNesting) {
+        if (depth_ > kMaxNesting) {
             return fail("it is nested too deep");
         }
         const Value value = term_at_depth();
@@ -249,8 +249,8 @@
 
 }  // namespace
 
-std::string Trouble::text() const {
-    return fmt::format("{}:{}:{}: {}", file, line, std::max(column, 1), says);
+std::string Fault::text() const {
+    return fmt::format("{}:{}:{}: {}", file, line, std::max(column, 1), message);
 }
 
 ConditionResult evaluate_condition(std::string_view text, const Environment& environment) {
@@ -263,7 +263,7 @@
     lexer.finish();
     // A file ends what it has begun.
     for (const Line& open : opened_) {
-        tree_.troubles.push_back({file, open.number, 1, ".if without its .endif"});
+        tree_.faults.push_back({file, open.number, 1, ".if without its .endif"});
     }
     opened_.clear();
     branches_.clear();
@@ -274,8 +274,8 @@
 }
 
 void TreeBuilder::fail(const Place& place, int column, std::string message) {
-    tree_.findings.say(place.number, Verdict::refused, message);
-    tree_.troubles.push_back({place.file, place.line, column, std::move(message)});
+    tree_.findings.add_verdict(place.number, Verdict::refused, message);
+    tree_.faults.push_back({place.file, place.line, column, std::move(message)});
 }
 
 bool TreeBuilder::in_taken_branch() const {
@@ -285,14 +285,15 @@
 TreeBuilder::Branch TreeBuilder::judge_condition(const Line& line, std::size_t number) {
     const auto value = evaluate_condition(text_behind_first_word(line), environment_);
     if (!value) {
-        tree_.findings.say(
+        tree_.findings.add_verdict(
             number, Verdict::refused,
             fmt::format("the condition can't be told here: {}; keep the branch that is meant",
                         value.error().message));
         return Branch::unknown;
     }
-    tree_.findings.say(number, Verdict::translated,
-                       *value ? "holds: its lines count" : "does not hold: its lines don't count");
+    tree_.findings.add_verdict(
+        number, Verdict::translated,
+        *value ? "holds: its lines count" : "does not hold: its lines don't count");
     return *value ? Branch::taken : Branch::not_yet;
 }
 
@@ -304,20 +305,20 @@
         return;
     }
     branches_.push_back(Branch::over);
-    tree_.findings.say(number, Verdict::no_effect, "in a branch that is not taken");
+    tree_.findings.add_verdict(number, Verdict::no_effect, "in a branch that is not taken");
 }
 
 void TreeBuilder::switch_branch(const Line& line, std::size_t number) {
     Branch& branch = branches_.back();
     Findings& findings = tree_.findings;
     if (branch == Branch::unknown) {
-        findings.say(number, Verdict::refused, "of a condition that can't be told here");
+        findings.add_verdict(number, Verdict::refused, "of a condition that can't be told here");
     } else if (branch != Branch::not_yet) {
         branch = Branch::over;
-        findings.say(number, Verdict::no_effect, "in a branch that is not taken");
+        findings.add_verdict(number, Verdict::no_effect, "in a branch that is not taken");
     } else if (line.word(0) == ".else") {
         branch = Branch::taken;
-        findings.say(number, Verdict::translated, "its lines count");
+        findings.add_verdict(number, Verdict::translated, "its lines count");
     } else {
         branch = judge_condition(line, number);
     }
@@ -336,7 +337,7 @@
         } else if (word == ".endif") {
             branches_.pop_back();
             opened_.pop_back();
-            tree_.findings.say(number, Verdict::translated, "");
+            tree_.findings.add_verdict(number, Verdict::translated, "");
         } else {
             switch_branch(line, number);
         }
@@ -348,7 +349,8 @@
     if (word == ".alert" && in_taken_branch()) {
         fail(place, 1, "the file itself stops here (.alert)");
     } else {
-        tree_.findings.say(number, Verdict::no_effect, "a message to whoever starts the original");
+        tree_.findings.add_verdict(number, Verdict::no_effect,
+                                   "a message to whoever starts the original");
     }
     return true;
 }
@@ -371,21 +373,21 @@
         std::erase_if(environment_,
                       [&kept](const auto& variable) { return !kept.contains(variable.first); });
     }
-    tree_.findings.say(statement.number, Verdict::translated,
-                       "heeded in the quotes of the lines that follow");
+    tree_.findings.add_verdict(statement.number, Verdict::translated,
+                               "heeded in the quotes of the lines that follow");
 }
 
 void TreeBuilder::take(Line&& line) {
-    if (line.words.empty() && line.trouble.empty()) {
+    if (line.words.empty() && line.error.empty()) {
         return;
     }
-    if (tree_.troubles.size() >= kMostTroubles) {
+    if (tree_.faults.size() >= kMaxFaults) {
         return;
     }
-    const std::size_t number = tree_.findings.line(line, line.word(0));
+    const std::size_t number = tree_.findings.add_line(line, line.word(0));
     const Place place{line.file, line.number, number};
-    if (!line.trouble.empty()) {
-        fail(place, line.trouble_column, line.trouble);
+    if (!line.error.empty()) {
+        fail(place, line.error_column, line.error);
         return;
     }
     if (line.word(0).starts_with('.') && take_macro(line, number)) {
@@ -395,9 +397,9 @@
         skip_line(number);
         return;
     }
-    if (line.words.size() > kMostWords) {
-        fail(place, line.words[kMostWords].column,
-             fmt::format("over {} words in a line, which the original refuses", kMostWords));
+    if (line.words.size() > kMaxLineWords) {
+        fail(place, line.words[kMaxLineWords].column,
+             fmt::format("over {} words in a line, which the original refuses", kMaxLineWords));
         return;
     }
     Statement statement{std::move(line), number, false};
@@ -410,9 +412,10 @@
 
 void TreeBuilder::skip_line(std::size_t number) {
     if (std::find(branches_.begin(), branches_.end(), Branch::unknown) != branches_.end()) {
-        tree_.findings.say(number, Verdict::refused, "behind a condition that can't be told here");
+        tree_.findings.add_verdict(number, Verdict::refused,
+                                   "behind a condition that can't be told here");
     } else {
-        tree_.findings.say(number, Verdict::no_effect, "in a branch that is not taken");
+        tree_.findings.add_verdict(number, Verdict::no_effect, "in a branch that is not taken");
     }
 }
 
--- a/src/haproxy/tree.hpp
+++ b/src/haproxy/tree.hpp
@@ -19,11 +19,11 @@
 constexpr const char* kVersion = "2.8";
 
 /// An error that makes the whole input unusable.
-struct Trouble {
+struct Fault {
     std::string file;
     int line = 0;
     int column = 0;  ///< from 1; 0 counts as 1
-    std::string says;
+    std::string message;
 
     /// "FILE:LINE:COLUMN: MESSAGE".
     [[nodiscard]] std::string text() const;
@@ -52,16 +52,16 @@
 struct Tree {
     std::vector<Section> sections;
     Findings findings;
-    std::vector<Trouble> troubles;  ///< not empty: the input is unusable
+    std::vector<Fault> faults;  ///< not empty: the input is unusable
 };
 
 /// Collects the sections of one or more files. Not for concurrent use.
 class TreeBuilder {
  public:
     /// Words of a line; HAProxy refuses a longer one too.
-    static constexpr std::size_t kMostWords = 64;
+    static constexpr std::size_t kMaxLineWords = 64;
     /// Lines that follow this many errors are skipped.
-    static constexpr std::size_t kMostTroubles = 100;
+    static constexpr std::size_t kMaxFaults = 100;
 
     explicit TreeBuilder(Environment environment) : environment_(std::move(environment)) {}
 
--- a/src/haproxy/units.cpp
+++ b/src/haproxy/units.cpp
@@ -43,11 +43,11 @@
 };
 
 template <class T>
-Or<T> failure(std::string message) {
+Parsed<T> failure(std::string message) {
     return {std::nullopt, std::move(message)};
 }
 
-Or<Endpoint> bad_endpoint(std::string_view text, std::string_view reason) {
+Parsed<Endpoint> bad_endpoint(std::string_view text, std::string_view reason) {
     return failure<Endpoint>(fmt::format("'{}' {}", text, reason));
 }
 
@@ -128,9 +128,9 @@
 // Sets the port of an endpoint.
 tl::expected<void, PortError> read_port(std::string_view text, Endpoint& endpoint) {
     if (text.starts_with('+') || text.starts_with('-')) {
-        const auto offset = number_of(text.substr(1), 0, kHighestPort);
+        const auto offset = parse_number(text.substr(1), 0, kHighestPort);
         if (!offset) {
-            return tl::make_unexpected(PortError{offset.wrong});
+            return tl::make_unexpected(PortError{offset.error});
         }
         endpoint.relative_port = true;
         return {};
@@ -138,9 +138,9 @@
     if (text.empty()) {
         return {};
     }
-    const auto number = number_of(text, 1, kHighestPort);
+    const auto number = parse_number(text, 1, kHighestPort);
     if (!number) {
-        return tl::make_unexpected(PortError{"port " + number.wrong});
+        return tl::make_unexpected(PortError{"port " + number.error});
     }
     endpoint.port = static_cast<int>(*number);
     return {};
@@ -169,7 +169,7 @@
 
 }  // namespace
 
-Or<std::int64_t> number_of(std::string_view text, std::int64_t least, std::int64_t most) {
+Parsed<std::int64_t> parse_number(std::string_view text, std::int64_t least, std::int64_t most) {
     std::int64_t number = 0;
     const char* const begin = text.data();
     const char* const end = begin + text.size();
@@ -186,7 +186,7 @@
     return {number, ""};
 }
 
-Or<Duration> time_of(std::string_view text) {
+Parsed<Duration> parse_time(std::string_view text) {
     std::int64_t number = 0;
     const char* const begin = text.data();
     const auto parsed = std::from_chars(begin, begin + text.size(), number);
@@ -220,7 +220,7 @@
                                                : fmt::format("[{}]:{}", host, port);
 }
 
-Or<Endpoint> endpoint_of(std::string_view text) {
+Parsed<Endpoint> parse_endpoint(std::string_view text) {
     Endpoint endpoint;
     if (is_unix_path(text)) {
         endpoint.kind = Endpoint::Kind::unix_path;
--- a/src/haproxy/units.hpp
+++ b/src/haproxy/units.hpp
@@ -14,9 +14,9 @@
 
 /// A value, or what is wrong with the text that should have held it.
 template <class T>
-struct [[nodiscard]] Or {
+struct [[nodiscard]] Parsed {
     std::optional<T> value;
-    std::string wrong;  ///< empty if there is a value
+    std::string error;  ///< empty if there is a value
 
     explicit operator bool() const { return value.has_value(); }
     /// Only where there is a value.
@@ -28,11 +28,11 @@
 };
 
 /// A whole number from `least` to `most`.
-Or<std::int64_t> number_of(std::string_view text, std::int64_t least, std::int64_t most);
+Parsed<std::int64_t> parse_number(std::string_view text, std::int64_t least, std::int64_t most);
 
 /// A time in us, ms, s, m, h or d, in milliseconds where no unit stands. At most 2,147,483,647 ms,
 /// as in HAProxy; rounded up to a tenth of a millisecond.
-Or<Duration> time_of(std::string_view text);
+Parsed<Duration> parse_time(std::string_view text);
 
 /// An address with its port.
 struct Endpoint {
@@ -54,6 +54,6 @@
 };
 
 /// An address as `bind` and `server` lines write it. No name is looked up.
-Or<Endpoint> endpoint_of(std::string_view text);
+Parsed<Endpoint> parse_endpoint(std::string_view text);
 
 }  // namespace micaroad::haproxy
--- a/tests/haproxy_test.cpp
+++ b/tests/haproxy_test.cpp
@@ -35,18 +35,18 @@
     for (const Corpus& file : files) {
         DYNAMIC_SECTION(file.name) {
             const haproxy::Import import = file.import();
-            for (const auto& trouble : import.troubles) {
+            for (const auto& trouble : import.faults) {
                 UNSCOPED_INFO(trouble.text());
             }
-            REQUIRE(import.troubles.empty());
+            REQUIRE(import.faults.empty());
             std::map<int, int> found;
             for (const auto& finding : import.findings) {
                 ++found[finding.line];
-                CAPTURE(finding.line, finding.keyword, finding.says);
+                CAPTURE(finding.line, finding.keyword, finding.message);
                 const auto wanted = file.verdicts.find(finding.line);
                 REQUIRE(wanted != file.verdicts.end());
                 CHECK(wanted->second.verdict == haproxy::name_of(finding.verdict));
-                CHECK_THAT(finding.says, Catch::Contains(wanted->second.says));
+                CHECK_THAT(finding.message, Catch::Contains(wanted->second.says));
             }
             CHECK(found.size() == file.verdicts.size());
             for (const auto& [line, n] : found) {
@@ -107,7 +107,7 @@
     const auto trouble = [](const std::string& text) {
         const auto import = import_text(text);
         CHECK((import.plan.pools.empty() && import.plan.listeners.empty()));
-        return import.troubles.empty() ? "" : import.troubles.front().text();
+        return import.faults.empty() ? "" : import.faults.front().text();
     };
     CHECK(trouble("server a 1.1.1.1:1\n") == "x.cfg:1:1: 'server' before any section");
     CHECK(trouble("backend web\n server a \"1.1\n") == "x.cfg:2:11: a quote without its end");
@@ -124,7 +124,7 @@
     CHECK(trouble(".if 1\nbackend web\n") == "x.cfg:1:1: .if without its .endif");
     CHECK(trouble(".endif\n") == "x.cfg:1:1: no .if is open");
     CHECK(
-        trouble("backend web\n id " + std::string(haproxy::Lexer::kLongestLine, 'x') + "\n id 2\n")
+        trouble("backend web\n id " + std::string(haproxy::Lexer::kMaxLineBytes, 'x') + "\n id 2\n")
             .starts_with("x.cfg:2:1: a line over"));
     std::string words = "backend web\n id";
     for (int i = 0; i < 64; ++i) {
@@ -132,7 +132,7 @@
     }
     CHECK(trouble(words + "\n").find("over 64 words") != std::string::npos);
     // Every trouble at once.
-    CHECK(import_text("backend\nbackend a'b\n id \"x\n").troubles.size() == 3);
+    CHECK(import_text("backend\nbackend a'b\n id \"x\n").faults.size() == 3);
 }
 
 TEST_CASE(
@@ -140,7 +140,7 @@
     const std::string sound = "backend web\n server a 10.0.0.1:80\n";
     const auto plan_of = [](const std::string& text) {
         const auto import = import_text(text);
-        CHECK(import.troubles.empty());
+        CHECK(import.faults.empty());
         return import.plan;
     };
     const auto plan = plan_of(sound);
@@ -231,12 +231,12 @@
         return haproxy::translate(haproxy::read_files(names, {}));
     };
     const auto import = read({"one.cfg", "d"});
-    CHECK(import.troubles.empty());
+    CHECK(import.faults.empty());
     REQUIRE((import.plan.pools.size() == 1 && import.plan.pools[0].servers.size() == 2));
     CHECK(import.plan.pools[0].servers[1].weight == 3);
     CHECK(import.plan.pools[0].connect_timeout == Duration{10'000});
     CHECK(import.findings.back().file.ends_with("20.cfg"));
-    REQUIRE(read({"one.cfg", "none.cfg"}).troubles.size() == 1);
+    REQUIRE(read({"one.cfg", "none.cfg"}).faults.size() == 1);
     fs::remove_all(folder);
 }
 
@@ -246,14 +246,14 @@
         for (std::size_t length = 0; length <= text.size(); ++length) {
             const auto import =
                 import_text(text.substr(0, length), {{"MICAROAD_TEST_WEIGHT", "3"}});
-            if (!import.troubles.empty()) {
+            if (!import.faults.empty()) {
                 CHECK(import.plan.pools.empty());
             }
             for (const auto& finding : import.findings) {
-                if (finding.verdict == haproxy::Verdict::refused && finding.says.empty()) {
+                if (finding.verdict == haproxy::Verdict::refused && finding.message.empty()) {
                     FAIL(name << " at " << length);
                 }
-                if (finding.says == "nothing here knows this line" && import.troubles.empty()) {
+                if (finding.message == "nothing here knows this line" && import.faults.empty()) {
                     FAIL(name << " at " << length << ", line " << finding.line);
                 }
             }
@@ -293,7 +293,7 @@
     for (const auto& pool : import.plan.pools) {
         servers += pool.servers.size();
     }
-    CHECK(import.troubles.empty());
+    CHECK(import.faults.empty());
     CHECK(servers == 20'000);
     CHECK(import.findings.size() == static_cast<std::size_t>(lines));
     WARN("50,000 lines, 20,000 servers: " << took << " s");
--- a/tests/serve_test.cpp
+++ b/tests/serve_test.cpp
@@ -166,7 +166,7 @@
     haproxy::TreeBuilder builder({});
     builder.add("shop.cfg", text);
     haproxy::Import import = haproxy::translate(builder.finish());
-    REQUIRE(import.troubles.empty());
+    REQUIRE(import.faults.empty());
     import.plan.service.listen = "127.0.0.1:0";
     import.plan.service.proxies = 4;
 
