--- a/fuzz/import_fuzz.cpp
+++ b/fuzz/import_fuzz.cpp
@@ -1,7 +1,8 @@
-// What arrives from outside as text: an input whose first byte is even is a configuration for the
-// importer, in pieces of a size that the byte tells; an odd one is an operator's file. Beside not
-// crashing: every line has one verdict and words, what is written reads back without a fault and
-// alike, and faults have places.
+// Fuzz target for the text formats that are read from outside. If the first byte is even, the rest
+// is an HAProxy configuration, which is also lexed in pieces whose size depends on that byte; if it
+// is odd, the rest is an operator's file. Besides not crashing, the target checks that refused
+// lines have a message, that a written plan reads back without faults and unchanged, and that
+// faults have a position.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -16,13 +17,13 @@
 
 namespace {
 
-void must(bool holds) {
-    if (!holds) {
+void require(bool condition) {
+    if (!condition) {
         std::abort();
     }
 }
 
-void decide(const routing::Plan& plan) {
+void check_decisions(const routing::Plan& plan) {
     const routing::Router router(plan);
     routing::Rpc rpc;
     rpc.path = "/img/a.png", rpc.host = "shop.example:80", rpc.cookies["SRV"] = "a";
@@ -33,8 +34,8 @@
         for (const auto& part : decision.split.shares) {
             sum += part.share;
         }
-        must(decision.split.shares.empty() || (sum > 0.999999 && sum < 1.000001));
-        must(!decision.explanation.empty());
+        require(decision.split.shares.empty() || (sum > 0.999999 && sum < 1.000001));
+        require(!decision.explanation.empty());
     }
     (void)routing::EndpointRegistry(plan).list({});
 }
@@ -49,47 +50,47 @@
     if (data[0] % 2 == 1) {
         const operators::ReadResult reading = operators::read_text(text, "f");
         for (const auto& fault : reading.faults) {
-            must(!fault.message.empty() && fault.line > 0 && fault.column > 0);
+            require(!fault.message.empty() && fault.line > 0 && fault.column > 0);
         }
         if (!reading.faults.empty()) {
             return 0;
         }
-        const operators::ReadResult back =
+        const operators::ReadResult read_back =
             operators::read_text(operators::write_text(reading.plan), "back");
-        must(back.faults.empty() && back.plan == reading.plan);
-        decide(reading.plan);
+        require(read_back.faults.empty() && read_back.plan == reading.plan);
+        check_decisions(reading.plan);
         return 0;
     }
-    // Lexed in pieces, the lines are those of the whole.
+    // Lexing in pieces results in the same lines as lexing the whole text.
     const haproxy::Environment environment{{"A", "x y"}, {"B", ""}};
-    std::size_t whole = 0, pieces = 0;
-    haproxy::Lexer at_once("f", environment,
-                           [&](haproxy::Line&& line) { whole += 1 + line.words.size(); });
-    at_once.feed(text), at_once.finish();
-    haproxy::Lexer by_pieces("f", environment,
-                             [&](haproxy::Line&& line) { pieces += 1 + line.words.size(); });
-    const std::size_t piece = 1 + data[0] / 2 % 16;
-    for (std::size_t at = 0; at < text.size(); at += piece) {
-        by_pieces.feed(std::string_view(text).substr(at, piece));
+    std::size_t whole_count = 0, piecewise_count = 0;
+    haproxy::Lexer whole_lexer("f", environment,
+                               [&](haproxy::Line&& line) { whole_count += 1 + line.words.size(); });
+    whole_lexer.feed(text), whole_lexer.finish();
+    haproxy::Lexer piecewise_lexer(
+        "f", environment, [&](haproxy::Line&& line) { piecewise_count += 1 + line.words.size(); });
+    const std::size_t piece_size = 1 + data[0] / 2 % 16;
+    for (std::size_t offset = 0; offset < text.size(); offset += piece_size) {
+        piecewise_lexer.feed(std::string_view(text).substr(offset, piece_size));
     }
-    by_pieces.finish();
-    must(whole == pieces);
+    piecewise_lexer.finish();
+    require(whole_count == piecewise_count);
 
     haproxy::TreeBuilder builder(environment);
     builder.add("f", text);
     const haproxy::Import import = haproxy::translate(builder.finish());
     for (const auto& finding : import.findings) {
-        must(finding.line > 0);
-        must(finding.verdict != haproxy::Verdict::refused || !finding.message.empty());
+        require(finding.line > 0);
+        require(finding.verdict != haproxy::Verdict::refused || !finding.message.empty());
     }
     (void)haproxy::json_report(import, {"f"});
     if (!import.faults.empty()) {
-        must(import.plan.pools.empty() && import.plan.listeners.empty());
+        require(import.plan.pools.empty() && import.plan.listeners.empty());
         return 0;
     }
-    const operators::ReadResult back =
+    const operators::ReadResult read_back =
         operators::read_text(operators::write_text(import.plan), "back");
-    must(back.faults.empty() && back.plan == import.plan);
-    decide(import.plan);
+    require(read_back.faults.empty() && read_back.plan == import.plan);
+    check_decisions(import.plan);
     return 0;
 }
--- a/fuzz/replay.cpp
+++ b/fuzz/replay.cpp
@@ -1,5 +1,5 @@
-// Plays the files that are named, or those in folders that are, through the fuzz target: what CI
-// does with the corpus.
+// Runs the fuzz target on the given files and on all files below the given directories. CI runs it
+// on the corpus.
 #include <cstdint>
 #include <cstdio>
 #include <filesystem>
--- a/src/haproxy/balance.cpp
+++ b/src/haproxy/balance.cpp
@@ -12,8 +12,8 @@
 namespace micaroad::haproxy {
 namespace {
 
-constexpr std::int64_t kMostDraws = std::numeric_limits<std::int32_t>::max();
-constexpr std::int64_t kMostOfUri = 65'536;  // directories or bytes
+constexpr std::int64_t kMaxDraws = std::numeric_limits<std::int32_t>::max();
+constexpr std::int64_t kMaxUriLimit = 65'536;  // directory levels or bytes
 
 constexpr const char* kByWeight =
     "shares begin at the weights; what the planner learns moves them, none under a twentieth of "
@@ -25,7 +25,7 @@
 // "NAME(ARGUMENT)" or "NAME".
 struct Call {
     std::string name;
-    std::string argument;  // empty: none, or its parenthesis is not closed
+    std::string argument;  // empty if there is none or its parenthesis is not closed
 };
 
 Call split_call(const std::string& text) {
@@ -47,7 +47,7 @@
 
 BalanceResult read_random(Balance balance) {
     if (!balance.argument.empty()) {
-        const auto draws = parse_number(balance.argument, 1, kMostDraws);
+        const auto draws = parse_number(balance.argument, 1, kMaxDraws);
         if (!draws) {
             return refuse(draws.error);
         }
@@ -70,7 +70,7 @@
             balance.path_only = true;
         } else if (word == "depth" || word == "len") {
             ++index;
-            const auto value = parse_number(statement.word(index), 1, kMostOfUri);
+            const auto value = parse_number(statement.word(index), 1, kMaxUriLimit);
             if (!value) {
                 return refuse(value.error);
             }
@@ -106,8 +106,8 @@
     return changed(std::move(balance), std::move(message));
 }
 
-// `hash` takes any expression; those that have a kind of their own are taken for it. What follows
-// a comma converts the key and does not count.
+// In HAProxy, `hash` takes any expression. Expressions with the key of another kind are read as
+// that kind; converters, which follow a comma, are ignored.
 BalanceResult read_hash(const Statement& statement, Balance balance) {
     const std::string& expression = statement.word(2);
     const Call call = split_call(expression.substr(0, expression.find(',')));
--- a/src/haproxy/balance.hpp
+++ b/src/haproxy/balance.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Reads `balance` statements: how the RPCs of a backend are spread over its servers.
+/// Reads `balance` statements, which determine how the RPCs of a backend are spread over its
+/// servers.
 #pragma once
 
 #include <string>
@@ -10,33 +11,33 @@
 
 namespace micaroad::haproxy {
 
-/// `balance`: how the RPCs of a backend are spread over its servers.
+/// A `balance` algorithm with its arguments.
 struct Balance {
     std::string kind = "roundrobin";
     std::string argument;    ///< the name of a header or parameter; empty if none
-    int depth = 0;           ///< uri: directories that count; 0: all
-    int length = 0;          ///< uri: bytes that count; 0: all
-    int draws = 2;           ///< random: servers drawn at a time
-    bool whole = false;      ///< uri: with the query
-    bool path_only = false;  ///< uri: without scheme and host
+    int depth = 0;           ///< uri: number of directory levels in the key; 0: all
+    int length = 0;          ///< uri: number of bytes in the key; 0: all
+    int draws = 2;           ///< random: number of servers drawn at a time
+    bool whole = false;      ///< uri: the key includes the query
+    bool path_only = false;  ///< uri: the key excludes scheme and host
 };
 
-/// A balance with what is to be said of its line.
+/// A `balance` statement with the verdict on its line.
 struct BalanceReading {
     Balance balance;
     Verdict verdict = Verdict::translated;
     std::string message;
 };
 
-/// Why a line is refused.
+/// Why a `balance` line is refused.
 struct BalanceError {
     std::string message;
 };
 
 using BalanceResult = tl::expected<BalanceReading, BalanceError>;
 
-/// Reads a `balance` statement. `balance hash EXPRESSION` becomes the kind that has the same key,
-/// such as "source" for `hash src`.
+/// Reads a `balance` statement. `balance hash EXPRESSION` results in the kind with the same key,
+/// for example "source" for `hash src`.
 [[nodiscard]] BalanceResult read_balance(const Statement& statement);
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/files.cpp
+++ b/src/haproxy/files.cpp
@@ -10,15 +10,16 @@
 
 namespace fs = std::filesystem;
 
-std::vector<std::string> files_of(const std::string& name) {
-    std::error_code failed;
-    if (!fs::is_directory(name, failed)) {
+// Returns the configuration files of a directory, or the name itself if it is not a directory.
+std::vector<std::string> configuration_files(const std::string& name) {
+    std::error_code error;
+    if (!fs::is_directory(name, error)) {
         return {name};
     }
     std::vector<std::string> files;
-    for (const auto& entry : fs::directory_iterator(name, failed)) {
+    for (const auto& entry : fs::directory_iterator(name, error)) {
         const std::string file = entry.path().filename().string();
-        if (file.ends_with(".cfg") && !file.starts_with('.') && entry.is_regular_file(failed)) {
+        if (file.ends_with(".cfg") && !file.starts_with('.') && entry.is_regular_file(error)) {
             files.push_back(entry.path().string());
         }
     }
@@ -30,32 +31,31 @@
 
 Tree read_files(const std::vector<std::string>& names, const Environment& environment) {
     TreeBuilder builder(environment);
-    std::vector<Fault> unread;
+    std::vector<Fault> read_faults;
     for (const std::string& name : names) {
-        const auto files = files_of(name);
+        const auto files = configuration_files(name);
         if (files.empty()) {
-            unread.push_back({name, 0, 0, "no file in it ends in .cfg"});
+            read_faults.push_back({name, 0, 0, "no file in it ends in .cfg"});
         }
         for (const std::string& file : files) {
-            std::error_code failed;
-            const auto size = fs::file_size(file, failed);
+            std::error_code error;
+            const auto size = fs::file_size(file, error);
             std::ifstream in(file, std::ios::binary);
             std::ostringstream text;
-            if (failed || size > kMaxFileBytes || !in || !(text << in.rdbuf()).good()) {
-                // An empty file gives nothing to read, and is sound.
-                if (!failed && size == 0 && in) {
+            if (error || size > kMaxFileBytes || !in || !(text << in.rdbuf()).good()) {
+                // Copying an empty file sets the fail bit, but an empty file is valid.
+                if (!error && size == 0 && in) {
                     continue;
                 }
-                unread.push_back(
-                    {file, 0, 0,
-                     !failed && size > kMaxFileBytes ? "over 64 MiB" : "can't be read"});
+                read_faults.push_back(
+                    {file, 0, 0, !error && size > kMaxFileBytes ? "over 64 MiB" : "can't be read"});
                 continue;
             }
             builder.add(file, text.str());
         }
     }
     Tree tree = builder.finish();
-    tree.faults.insert(tree.faults.begin(), unread.begin(), unread.end());
+    tree.faults.insert(tree.faults.begin(), read_faults.begin(), read_faults.end());
     return tree;
 }
 
--- a/src/haproxy/files.hpp
+++ b/src/haproxy/files.hpp
@@ -1,6 +1,6 @@
 /// \file
-/// Reads configuration files into one tree, in HAProxy's order: files as given, of a directory
-/// those that end in .cfg, by name.
+/// Reads configuration files into one tree, in HAProxy's order: files in the order given, and in
+/// place of a directory its files that end in .cfg, sorted by name.
 #pragma once
 
 #include <string>
@@ -10,10 +10,11 @@
 
 namespace micaroad::haproxy {
 
-constexpr std::size_t kMaxFileBytes = 64u << 20;  // bytes
+/// Maximum size of a file.
+constexpr std::size_t kMaxFileBytes = 64u << 20;
 
-/// Files that can't be read or are longer than kMaxFileBytes are among the tree's faults, before
-/// those of the texts.
+/// Reads files and directories. The faults for files that can't be read or exceed kMaxFileBytes
+/// come before the faults within the files.
 [[nodiscard]] Tree read_files(const std::vector<std::string>& names,
                               const Environment& environment);
 
--- a/src/haproxy/findings.cpp
+++ b/src/haproxy/findings.cpp
@@ -26,8 +26,8 @@
 
 void Findings::add_verdict(std::size_t index, Verdict verdict, const std::string& message) {
     Row& row = rows_[index];
-    const bool is_first = !row.said;
-    row.said = true;
+    const bool is_first = !row.has_verdict;
+    row.has_verdict = true;
     if (is_first || verdict > row.finding.verdict) {
         row.finding.verdict = verdict;
         row.finding.message = message;
@@ -42,7 +42,7 @@
     all.reserve(rows_.size());
     for (const Row& row : rows_) {
         Finding finding = row.finding;
-        if (!row.said) {
+        if (!row.has_verdict) {
             finding.verdict = Verdict::refused;
             finding.message = "nothing here knows this line";
         } else if (!row.unused_message.empty() && !row.used &&
--- a/src/haproxy/findings.hpp
+++ b/src/haproxy/findings.hpp
@@ -1,5 +1,6 @@
-// What is said of each line of the input: exactly one verdict a line, the gravest of all that were
-// given to it.
+/// @file
+/// The findings of an import: one verdict for each line of the input, the most severe of those that
+/// the line was given.
 #pragma once
 
 #include <map>
@@ -10,10 +11,12 @@
 
 namespace micaroad::haproxy {
 
-// In rising gravity.
+/// How a line was translated, in increasing order of severity.
 enum class Verdict { no_effect, translated, changed, refused };
-const char* name_of(Verdict verdict);  // as the JSON report has them
+/// Returns the name of a verdict in the reports.
+const char* name_of(Verdict verdict);
 
+/// The verdict on one line, with an explanation.
 struct Finding {
     std::string file;
     int line = 0;
@@ -22,28 +25,32 @@
     std::string message;
 };
 
+/// Collects the verdicts on the lines of the input.
 class Findings {
  public:
-    // To be called for each line with words, in order. Returns its number.
+    /// Adds a line and returns its index. Must be called for each line that has words, in input
+    /// order.
     std::size_t add_line(const Line& line, std::string keyword);
-    // Adds to what is said of a line. A graver verdict takes the place of a lighter one, with its
-    // words; alike ones join.
+    /// Adds a verdict to a line. A more severe verdict replaces a less severe one together with its
+    /// message; the messages of equal verdicts are joined.
     void add_verdict(std::size_t index, Verdict verdict, const std::string& message);
-    // A setting counts only if some section goes by it; what is said holds once it was used, else
-    // that it has no effect.
+    /// Marks the setting of a line as used by some section; see set_unused_message().
     void mark_used(std::size_t index) { rows_[index].used = true; }
+    /// Sets the message for the case that no section uses the setting of the line. Unless the line
+    /// is marked as used or is refused, its verdict then becomes no_effect with this message.
     void set_unused_message(std::size_t index, std::string message) {
         rows_[index].unused_message = std::move(message);
     }
 
-    // One a line, in order. A line of which nothing was said is refused: none falls through.
+    /// Returns one finding for each line, in input order. A line without a verdict is refused, so
+    /// that no line is silently ignored.
     std::vector<Finding> all() const;
     std::size_t size() const { return rows_.size(); }
 
  private:
     struct Row {
         Finding finding;
-        bool said = false, used = false;
+        bool has_verdict = false, used = false;
         std::string unused_message;
     };
     std::vector<Row> rows_;
--- a/src/haproxy/http_check.cpp
+++ b/src/haproxy/http_check.cpp
@@ -12,15 +12,16 @@
 namespace micaroad::haproxy {
 namespace {
 
-constexpr int kLowestStatus = 100;
-constexpr int kHighestStatus = 599;
+constexpr int kMinStatus = 100;
+constexpr int kMaxStatus = 599;
 
 CheckResult refuse(std::string message) {
     return tl::make_unexpected(CheckError{Verdict::refused, std::move(message)});
 }
 
-// "HTTP/1.1\r\nHost:\ www" behind the path is the old way to name a host. Empty: there is none.
-std::string host_behind_version(const std::string& version) {
+// Returns the host of a version such as "HTTP/1.1\r\nHost:\ www", which is how older configurations
+// set the Host header, or an empty string.
+std::string host_in_version(const std::string& version) {
     static constexpr std::string_view kHeader = "Host:";
     const std::size_t header = version.find(kHeader);
     if (header == std::string::npos) {
@@ -31,7 +32,7 @@
     return host.substr(0, host.find_first_of("\r\n"));
 }
 
-// The first word of `http-check expect` that says what is expected.
+// Returns the index of the first word of `http-check expect` after its options.
 std::size_t skip_expect_options(const Statement& statement) {
     static const std::set<std::string> kOptionsWithValue{
         "min-recv",    "comment",    "ok-status", "error-status",
@@ -51,10 +52,10 @@
     }
     const std::string& range = statement.word(index + 1);
     const std::size_t dash = range.find('-');
-    const auto low = parse_number(range.substr(0, dash), kLowestStatus, kHighestStatus);
+    const auto low = parse_number(range.substr(0, dash), kMinStatus, kMaxStatus);
     const auto high = dash == std::string::npos
                           ? low
-                          : parse_number(range.substr(dash + 1), kLowestStatus, kHighestStatus);
+                          : parse_number(range.substr(dash + 1), kMinStatus, kMaxStatus);
     if (!low || !high || *low > *high) {
         return refuse(
             fmt::format("'{}' is no status or range of them that is looked for here", range));
@@ -100,26 +101,26 @@
         check.method = statement.word(2);
         check.path = statement.word(3);
     }
-    check.host = host_behind_version(statement.word(4));
+    check.host = host_in_version(statement.word(4));
     return check;
 }
 
 CheckResult read_http_check(const Statement& statement, Check check) {
-    const std::string& what = statement.word(1);
-    if (what == "expect") {
+    const std::string& action = statement.word(1);
+    if (action == "expect") {
         return read_expect(statement, std::move(check));
     }
-    if (what == "send") {
+    if (action == "send") {
         return read_send(statement, std::move(check));
     }
-    if (what == "disable-on-404") {
+    if (action == "disable-on-404") {
         return refuse("a server is drained by the list, not by the answer to a probe");
     }
-    if (what == "send-state") {
+    if (action == "send-state") {
         return tl::make_unexpected(
             CheckError{Verdict::no_effect, "probes do not tell servers their state"});
     }
-    return refuse(fmt::format("http-check {}: probes are one request and one status", what));
+    return refuse(fmt::format("http-check {}: probes are one request and one status", action));
 }
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/http_check.hpp
+++ b/src/haproxy/http_check.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Reads `option httpchk` and `http-check`: the request and the answer of a health check.
+/// Reads `option httpchk` and `http-check`, which define the request of a health check and the
+/// expected response.
 #pragma once
 
 #include <string>
@@ -10,9 +11,9 @@
 
 namespace micaroad::haproxy {
 
-/// `option httpchk` with what `http-check` adds to it.
+/// A health check as set by `option httpchk` and `http-check`.
 struct Check {
-    bool http = false;  ///< false: a connection is enough
+    bool http = false;  ///< false: a successful connection is enough
     std::string method = "OPTIONS";
     std::string path = "/";
     std::string host;
@@ -20,7 +21,7 @@
     int max_status = 399;
 };
 
-/// Why a line does not count, and its verdict.
+/// Why a line is not translated, and its verdict.
 struct CheckError {
     Verdict verdict = Verdict::refused;
     std::string message;
@@ -31,7 +32,7 @@
 /// Reads `option httpchk [METHOD] [PATH] [VERSION]`.
 [[nodiscard]] Check read_option_httpchk(const Statement& statement);
 
-/// Reads an `http-check` statement on top of the check that is held so far.
+/// Applies an `http-check` statement to a check.
 [[nodiscard]] CheckResult read_http_check(const Statement& statement, Check check);
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/keywords.cpp
+++ b/src/haproxy/keywords.cpp
@@ -9,7 +9,7 @@
 constexpr Verdict kNoEffect = Verdict::no_effect;
 constexpr Verdict kRefused = Verdict::refused;
 
-// Explanations that several keywords share.
+// Explanations shared by several keywords.
 constexpr const char* kLogsOnly = "for logs alone";
 constexpr const char* kAnswers = "answers are the proxies' and servers' own";
 constexpr const char* kConnections = "how proxies keep connections is theirs";
@@ -30,7 +30,7 @@
 constexpr const char* kNoMail = "nobody is written to";
 constexpr const char* kNoProgram = "no program is run to probe a server: use httpchk";
 
-// Of frontend, backend, listen and defaults sections.
+// Keywords of frontend, backend, listen and defaults sections.
 const std::map<std::string, FixedVerdict> kKeywords{
     {"log", {kNoEffect, kLogsOnly}},
     {"log-format", {kNoEffect, kLogsOnly}},
@@ -98,7 +98,7 @@
     {"rspadd", {kRefused, "gone from the original"}},
 };
 
-// By the word behind `option`.
+// By the word after `option`.
 const std::map<std::string, FixedVerdict> kOptions{
     {"httplog", {kNoEffect, kLogsOnly}},
     {"tcplog", {kNoEffect, kLogsOnly}},
@@ -156,7 +156,7 @@
     {"ssl-hello-chk", {kRefused, kServerProbes}},
 };
 
-// By the word behind `timeout`.
+// By the word after `timeout`.
 const std::map<std::string, FixedVerdict> kTimeouts{
     {"client", {kNoEffect, "how long clients may be silent is the proxies' matter"}},
     {"client-fin", {kNoEffect, "how connections end is the proxies' matter"}},
@@ -168,7 +168,7 @@
     {"tarpit", {kNoEffect, "nobody is held back: an answer that is final is given at once"}},
 };
 
-// Keywords of the global section that say how HAProxy's process runs.
+// Keywords of the global section that configure HAProxy's process.
 const std::set<std::string> kProcessKeywords{"51degrees-data-file",
                                              "busy-polling",
                                              "ca-base",
--- a/src/haproxy/lexer.cpp
+++ b/src/haproxy/lexer.cpp
@@ -10,21 +10,21 @@
 
 constexpr std::string_view kByteOrderMark = "\xef\xbb\xbf";
 
-// Characters that a backslash protects outside quotes and within weak ones.
-constexpr std::string_view kProtectable = " #\\\"'";
+// Characters that a backslash escapes outside quotes and within weak quotes.
+constexpr std::string_view kEscapable = " #\\\"'";
 
 bool is_blank(char character) {
     return character == ' ' || character == '\t' || character == '\v' || character == '\f';
 }
 
-bool begins_name(char character) {
+bool is_name_start(char character) {
     const bool is_lower = character >= 'a' && character <= 'z';
     const bool is_upper = character >= 'A' && character <= 'Z';
     return is_lower || is_upper || character == '_' || character == '.';
 }
 
-bool continues_name(char character) {
-    return begins_name(character) || (character >= '0' && character <= '9');
+bool is_name_character(char character) {
+    return is_name_start(character) || (character >= '0' && character <= '9');
 }
 
 std::optional<int> hex_digit(char character) {
@@ -40,8 +40,8 @@
     return std::nullopt;
 }
 
-// The control character that a backslash and this letter name.
-std::optional<char> named_character(char letter) {
+// Returns the control character for the letter of an escape sequence.
+std::optional<char> control_character(char letter) {
     switch (letter) {
         case 'n':
             return '\n';
@@ -54,12 +54,12 @@
     }
 }
 
-// Splits one line (with the lines joined to it) into words.
+// Splits one line (with its continuation lines) into words. The state of quoting:
 //
 //   bare --"--> weak --"--> bare        bare --'--> strong --'--> bare
 //
-// The bytes are taken one after the other; each step moves `position_` past what it has read. Words
-// that ended before an error stay in the line.
+// Each step reads at `position_` and moves it past what was read. After an error, the line keeps
+// the words that were complete by then.
 class WordSplitter {
  public:
     using Lookup = std::function<std::string(std::string_view name)>;
@@ -67,8 +67,8 @@
     WordSplitter(std::string_view text, Lookup lookup, Line& line)
         : text_(text), lookup_(std::move(lookup)), line_(line) {}
 
-    // False: the line ends in a backslash and goes on in the next one. An error is written to the
-    // line, which then counts as complete.
+    // Returns false if the line ends in a backslash and continues on the next one. An error is
+    // stored in the line, which then counts as complete.
     [[nodiscard]] bool split() {
         Step step = Step::proceed;
         while (step == Step::proceed && position_ < text_.size()) {
@@ -95,7 +95,7 @@
 
     struct Variable {
         std::string value;
-        bool splits = false;  // "[*]": blanks in the value part words
+        bool splits = false;  // "[*]": the value is split into words at blanks
     };
 
     [[nodiscard]] char peek(std::size_t offset = 0) const {
@@ -108,7 +108,7 @@
         if (character == '\0') {
             return fail(position_, "a NUL byte");
         }
-        if (character == '\n') {  // put there by Lexer::finish()
+        if (character == '\n') {  // added by Lexer::finish()
             return Step::end_of_line;
         }
         if (quote_ == Quote::strong) {
@@ -174,16 +174,16 @@
         if (next == 'x') {
             return read_hex_escape();
         }
-        const bool is_protected = kProtectable.find(next) != std::string_view::npos ||
+        const bool is_escapable = kEscapable.find(next) != std::string_view::npos ||
                                   (quote_ == Quote::weak && next == '$');
-        if (const auto named = named_character(next)) {
-            word_ += *named;
+        if (const auto control = control_character(next)) {
+            word_ += *control;
             position_ += 2;
-        } else if (is_protected) {
+        } else if (is_escapable) {
             word_ += next;
             position_ += 2;
         } else {
-            word_ += '\\';  // it stands for itself
+            word_ += '\\';  // the backslash is literal
             ++position_;
         }
         return Step::proceed;
@@ -204,7 +204,7 @@
         return Step::proceed;
     }
 
-    // $NAME, ${NAME}, ${NAME-default}, ${NAME[*]} and ${NAME[*]-default}.
+    // Expands $NAME, ${NAME}, ${NAME-default}, ${NAME[*]} or ${NAME[*]-default}.
     Step read_variable() {
         const std::size_t start = position_;
         ++position_;
@@ -226,15 +226,15 @@
 
     std::string_view read_name() {
         const std::size_t start = position_;
-        if (begins_name(peek())) {
-            while (continues_name(peek())) {
+        if (is_name_start(peek())) {
+            while (is_name_character(peek())) {
                 ++position_;
             }
         }
         return text_.substr(start, position_ - start);
     }
 
-    // What stands between the name and the closing brace. False: the brace is missing.
+    // Reads from the end of the name to the closing brace. Returns false if the brace is missing.
     bool read_rest_of_braces(Variable& variable) {
         if (text_.substr(position_).starts_with("[*]")) {
             variable.splits = true;
@@ -301,7 +301,7 @@
     Quote quote_ = Quote::none;
     bool in_word_ = false;
     std::string word_;
-    int column_ = 0;  // where the current or the last word began, from 1; 0: none has
+    int column_ = 0;  // start of the current or last word, from 1; 0 if there is none
 };
 
 }  // namespace
@@ -331,7 +331,7 @@
     if (!has_input_) {
         return;
     }
-    // A backslash before the end of the file joins nothing.
+    // The line end keeps a backslash at the end of the file from continuing the line.
     pending_ += '\n';
     end_line();
     has_input_ = false;
@@ -352,7 +352,7 @@
     if (too_long_) {
         line.error = fmt::format("a line over {} bytes", kMaxLineBytes);
     } else if (!split(line)) {
-        pending_.pop_back();  // the backslash; the next line follows
+        pending_.pop_back();  // the backslash; the line continues on the next one
         return;
     }
     pending_.clear();
--- a/src/haproxy/lexer.hpp
+++ b/src/haproxy/lexer.hpp
@@ -1,15 +1,15 @@
 /// @file
-/// Splits the bytes of a configuration into lines of words, by the quoting rules of the HAProxy
-/// configuration manual (2.8, section 2.2). The input may come in pieces of any size; no file is
-/// opened here. A line is handed over once it has ended.
+/// Splits a configuration into lines of words by the quoting rules of the HAProxy configuration
+/// manual (2.8, section 2.2). The input may be fed in pieces of any size; the lexer opens no files.
+/// A line is passed on as soon as it is complete.
 ///
-/// - Outside quotes and within "weak" ones a backslash protects the next character or names one
-///   (\n, \r, \t, \xHH).
-/// - Within 'strong' quotes nothing is special.
-/// - $NAME and ${NAME} are replaced from the environment within weak quotes only; "${NAME[*]}"
-///   gives as many words as the value has.
-/// - # outside quotes begins a comment.
-/// - A backslash at the end of a line joins the next line to it.
+/// - Outside quotes and within "weak" (double) quotes, a backslash escapes the next character or
+///   starts an escape sequence (\n, \r, \t, \xHH).
+/// - Within 'strong' (single) quotes, no character is special.
+/// - $NAME and ${NAME} are expanded from the environment within weak quotes only; "${NAME[*]}"
+///   expands to one word for each word of the value.
+/// - # outside quotes starts a comment.
+/// - A backslash at the end of a line continues it on the next line.
 #pragma once
 
 #include <cstddef>
@@ -25,58 +25,59 @@
 /// Environment variables by name.
 using Environment = std::map<std::string, std::string>;
 
-/// A word after quotes, escapes and variables have been resolved.
+/// A word with quotes, escapes and variables resolved.
 struct Word {
     std::string text;
-    int column = 1;  ///< of its first byte in the line, from 1
+    int column = 1;  ///< of the word's first byte in the line, from 1
 };
 
-/// A line of the input, with the lines that a backslash joined to it.
+/// A line of the input, including its continuation lines.
 struct Line {
     std::string file;
-    int number = 0;           ///< from 1; of the first of joined lines
-    std::vector<Word> words;  ///< empty for a blank line or a comment alone
-    std::string error;        ///< why the line can't be read; empty if it can
-    int error_column = 0;     ///< from 1; 0 where the whole line is meant
+    int number = 0;           ///< from 1; of the first line if there are continuation lines
+    std::vector<Word> words;  ///< empty if the line is blank or only a comment
+    std::string error;        ///< why the line is invalid; empty if it is valid
+    int error_column = 0;     ///< from 1; 0 if the error concerns the whole line
 
-    /// The text of a word, or an empty string past the last one.
+    /// Returns the text of a word, or an empty string if there is no such word.
     [[nodiscard]] const std::string& word(std::size_t index) const {
         static const std::string kNone;
         return index < words.size() ? words[index].text : kNone;
     }
 };
 
-/// Reads one file. Not for concurrent use.
+/// Splits one file into lines. Not thread-safe.
 class Lexer {
  public:
-    /// Bytes of a line with the lines joined to it; a longer one is handed over with an error.
+    /// Maximum length of a line with its continuation lines. A longer line is passed on with an
+    /// error and without words.
     static constexpr std::size_t kMaxLineBytes = std::size_t{256} * 1024;
 
     using LineHandler = std::function<void(Line&&)>;
 
-    /// The environment must outlive the lexer. It is looked at when a line ends, so that the
-    /// handler of a line may change it for those that follow.
+    /// The environment must outlive the lexer. Variables are expanded when a line is complete, so
+    /// the handler of a line may change the environment of the following lines.
     Lexer(std::string file, const Environment& environment, LineHandler on_line);
 
-    /// Takes the next bytes and hands over each line that ends in them.
+    /// Adds input and calls the handler for each line that is now complete.
     void feed(std::string_view bytes);
-    /// Hands over the last line if its end is missing.
+    /// Ends the input: calls the handler for the last line if it lacks a line end.
     void finish();
 
  private:
     void end_line();
-    /// False: the line goes on in the next one.
+    /// Splits the pending line into words. Returns false if the line continues on the next one.
     [[nodiscard]] bool split(Line& line) const;
     [[nodiscard]] std::string value_of(std::string_view name) const;
 
     std::string file_;
     const Environment& environment_;
     LineHandler on_line_;
-    std::string pending_;     // the line that has not ended yet
-    int lines_ended_ = 0;     // as the file counts them
-    int first_line_ = 0;      // where the pending line began; 0: none has
-    bool too_long_ = false;   // the pending line
-    bool has_input_ = false;  // since the last line was handed over
+    std::string pending_;     // the incomplete line
+    int lines_ended_ = 0;     // line ends seen in the file
+    int first_line_ = 0;      // where the pending line starts; 0 if there is none
+    bool too_long_ = false;   // whether the pending line exceeds kMaxLineBytes
+    bool has_input_ = false;  // whether there was input since the last complete line
 };
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/report.cpp
+++ b/src/haproxy/report.cpp
@@ -10,19 +10,20 @@
 constexpr Verdict kVerdicts[] = {Verdict::translated, Verdict::changed, Verdict::refused,
                                  Verdict::no_effect};
 
-// In the normal state: all that are ready are up.
+// Returns each server's share of its tier when all ready servers are up. Of the backup servers,
+// only the first has a share unless the pool uses all of them.
 std::vector<double> shares_of(const routing::Pool& pool) {
     std::vector<double> shares(pool.servers.size(), 0.0);
     for (const routing::Tier tier : {routing::Tier::active, routing::Tier::backup}) {
         double sum = 0;
-        const bool first_alone = tier == routing::Tier::backup && !pool.all_backups;
+        const bool first_only = tier == routing::Tier::backup && !pool.all_backups;
         for (std::size_t i = 0; i < shares.size(); ++i) {
             const routing::Server& server = pool.servers[i];
             if (server.tier != tier || server.state != routing::State::ready ||
                 server.weight == 0) {
                 continue;
             }
-            if (first_alone && sum > 0) {
+            if (first_only && sum > 0) {
                 continue;
             }
             shares[i] = server.weight;
--- a/src/haproxy/report.hpp
+++ b/src/haproxy/report.hpp
@@ -1,5 +1,5 @@
 /// \file
-/// Writes the findings of an import, for a person and for a program.
+/// Formats the findings of an import as text or JSON.
 #pragma once
 
 #include <string>
@@ -9,15 +9,16 @@
 
 namespace micaroad::haproxy {
 
-/// Has a line for each finding, in the order of the input, except for translated ones without a
-/// remark; then the counts by verdict.
+/// Formats one line for each finding, in input order, followed by the number of lines by verdict.
+/// Findings that are `translated` without a message are omitted.
 std::string text_report(const Import& import);
 
 /// {"file":..., "findings":[{"file","line","keyword","verdict","says"}],
 ///  "pools":[{"name","servers":[{"name","address","share","tier","state"}]}],
 ///  "counts":{"translated":...}}
-/// Shares are those of the server's tier in the normal state, 0 for draining and disabled. Bytes
-/// that are no UTF-8 are replaced.
+/// A server's share is its part of its tier when all ready servers are up; draining and disabled
+/// servers have 0. Bytes that are not valid UTF-8 are replaced.
+/// `files` are the names of the input files.
 std::string json_report(const Import& import, const std::vector<std::string>& files);
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/section.cpp
+++ b/src/haproxy/section.cpp
@@ -11,8 +11,8 @@
 namespace micaroad::haproxy {
 namespace {
 
-// Reads one section. Each keyword that has to be looked into has a function, which gives its
-// statement a verdict and keeps its setting; the others have a fixed verdict.
+// Reads one section. Each keyword whose verdict depends on its arguments has a handler, which gives
+// the statement a verdict and keeps its setting; the other keywords have a fixed verdict.
 class SectionReader {
  public:
     SectionReader(const Section& section, const Settings& inherited, Findings& findings)
@@ -28,9 +28,9 @@
             if (handler != handlers().end()) {
                 (this->*handler->second)();
             } else if (const auto fixed = fixed_verdict(statement)) {
-                say(fixed->verdict, fixed->message);
+                add_verdict(fixed->verdict, fixed->message);
             } else {
-                say(Verdict::refused, "no keyword of these sections that is known here");
+                add_verdict(Verdict::refused, "no keyword of these sections that is known here");
             }
         }
         return std::move(draft_);
@@ -73,37 +73,39 @@
     }
 
     const std::string& word(std::size_t index) const { return statement_->word(index); }
-    void say(Verdict verdict, const std::string& message = "") {
+    void add_verdict(Verdict verdict, const std::string& message = "") {
         findings_.add_verdict(statement_->number, verdict, message);
     }
 
-    // The verdict holds if some section goes by the line; else it has no effect.
-    void say_of_setting(Verdict verdict, const std::string& message = "") {
-        say(verdict, message);
+    // Sets the verdict for the case that some section uses the line; otherwise the line has no
+    // effect.
+    void add_setting_verdict(Verdict verdict, const std::string& message = "") {
+        add_verdict(verdict, message);
         findings_.set_unused_message(statement_->number,
                                      "no section goes by it: overridden, or of no use there");
     }
 
     bool is_defaults() const { return draft_.section->kind == "defaults"; }
-    std::optional<int> number(std::size_t index, std::int64_t least, std::int64_t most) {
-        const auto value = parse_number(word(index), least, most);
+    // Parses a word as a number from `min` to `max`; refuses the line if it is invalid.
+    std::optional<int> number(std::size_t index, std::int64_t min, std::int64_t max) {
+        const auto value = parse_number(word(index), min, max);
         if (value) {
             return static_cast<int>(*value);
         }
-        say(Verdict::refused, value.error);
+        add_verdict(Verdict::refused, value.error);
         return std::nullopt;
     }
 
-    static constexpr std::int64_t kHighestInt = 2'147'483'647;
+    static constexpr std::int64_t kMaxInt = 2'147'483'647;
 
     void mode() {
         if (word(1) == "http") {
-            say(Verdict::translated);
+            add_verdict(Verdict::translated);
         } else if (word(1) == "tcp") {
-            say(Verdict::changed,
-                "each connection counts as one RPC; paths, hosts and headers are not seen");
+            add_verdict(Verdict::changed,
+                        "each connection counts as one RPC; paths, hosts and headers are not seen");
         } else {
-            say(Verdict::refused, fmt::format("mode '{}' has no equal here", word(1)));
+            add_verdict(Verdict::refused, fmt::format("mode '{}' has no equal here", word(1)));
         }
         draft_.settings.mode.set(word(1), statement_->number);
     }
@@ -111,15 +113,15 @@
     void balance() {
         auto reading = read_balance(*statement_);
         if (!reading) {
-            say(Verdict::refused, reading.error().message);
+            add_verdict(Verdict::refused, reading.error().message);
             return;
         }
-        say_of_setting(reading->verdict, reading->message);
+        add_setting_verdict(reading->verdict, reading->message);
         draft_.settings.balance.set(std::move(reading->balance), statement_->number);
     }
 
     void hash_type() {
-        say_of_setting(
+        add_setting_verdict(
             Verdict::changed,
             "keys are spread by weighted rendezvous hashing: a server that leaves takes only "
             "its own keys along");
@@ -131,7 +133,7 @@
         if (!value) {
             return;
         }
-        say_of_setting(
+        add_setting_verdict(
             Verdict::changed,
             "without the original's wait of a second before the same server is tried again; "
             "the planner orders fewer while levels are cut");
@@ -148,25 +150,25 @@
                                                    "all-retryable-errors"};
         static const std::set<std::string> kStatuses{"401", "403", "404", "408", "421", "425",
                                                      "429", "500", "501", "502", "503", "504"};
-        bool any = false;
-        bool more = false;
+        bool retries_any = false;
+        bool retries_more = false;
         for (std::size_t index = 1; index < statement_->size(); ++index) {
             if (!kEvents.contains(word(index)) && !kStatuses.contains(word(index))) {
-                return say(Verdict::refused,
-                           fmt::format("retry-on '{}' is not known", word(index)));
+                return add_verdict(Verdict::refused,
+                                   fmt::format("retry-on '{}' is not known", word(index)));
             }
-            any |= word(index) != "none";
-            more |= word(index) != "none" && word(index) != "conn-failure";
+            retries_any |= word(index) != "none";
+            retries_more |= word(index) != "none" && word(index) != "conn-failure";
         }
-        if (more) {
-            say_of_setting(
+        if (retries_more) {
+            add_setting_verdict(
                 Verdict::changed,
                 "after any failure, and only where the RPC is idempotent: nothing that may "
                 "have run takes effect twice");
         } else {
-            say_of_setting(Verdict::translated);
+            add_setting_verdict(Verdict::translated);
         }
-        draft_.settings.retry_on.set({any, more}, statement_->number);
+        draft_.settings.retry_on.set({retries_any, retries_more}, statement_->number);
     }
 
     void option() {
@@ -174,21 +176,21 @@
         Settings& settings = draft_.settings;
         if (name == "allbackups") {
             settings.all_backups.set(!statement_->no, statement_->number);
-            say_of_setting(Verdict::translated);
+            add_setting_verdict(Verdict::translated);
         } else if (name == "persist") {
             settings.persist.set(!statement_->no, statement_->number);
-            say_of_setting(Verdict::translated);
+            add_setting_verdict(Verdict::translated);
         } else if (name == "redispatch") {
             option_redispatch();
         } else if (name == "httpchk") {
             option_httpchk();
         } else if (name == "tcp-check") {
             settings.check.set({}, statement_->number);
-            say_of_setting(Verdict::translated, "a connection is a sign of health");
+            add_setting_verdict(Verdict::translated, "a connection is a sign of health");
         } else if (const auto fixed = fixed_option(name)) {
-            say(fixed->verdict, fixed->message);
+            add_verdict(fixed->verdict, fixed->message);
         } else {
-            say(Verdict::refused, fmt::format("option {} is not known here", name));
+            add_verdict(Verdict::refused, fmt::format("option {} is not known here", name));
         }
     }
 
@@ -202,9 +204,9 @@
             redispatch.interval = *interval;
         }
         if (redispatch.interval == -1 || redispatch.interval == 1) {
-            say_of_setting(Verdict::translated);
+            add_setting_verdict(Verdict::translated);
         } else {
-            say_of_setting(Verdict::changed, "only the last try goes to another server");
+            add_setting_verdict(Verdict::changed, "only the last try goes to another server");
         }
         draft_.settings.redispatch.set(redispatch, statement_->number);
     }
@@ -212,46 +214,46 @@
     void option_httpchk() {
         if (statement_->no) {
             draft_.settings.check.set({}, statement_->number);
-            say_of_setting(Verdict::translated);
+            add_setting_verdict(Verdict::translated);
             return;
         }
         draft_.settings.check.set(read_option_httpchk(*statement_), statement_->number);
-        say_of_setting(Verdict::translated, "probes speak HTTP/1.1");
+        add_setting_verdict(Verdict::translated, "probes speak HTTP/1.1");
     }
 
     void timeout() {
         const std::string& name = word(1);
         if (const auto fixed = fixed_timeout(name)) {
-            return say(fixed->verdict, fixed->message);
+            return add_verdict(fixed->verdict, fixed->message);
         }
         if (name != "connect" && name != "server" && name != "queue" && name != "check") {
-            return say(Verdict::refused, fmt::format("timeout {} is not known", name));
+            return add_verdict(Verdict::refused, fmt::format("timeout {} is not known", name));
         }
         const auto value = parse_time(word(2));
         if (!value) {
-            return say(Verdict::refused, value.error);
+            return add_verdict(Verdict::refused, value.error);
         }
-        say_of_setting(
+        add_setting_verdict(
             name == "server" ? Verdict::changed : Verdict::translated,
             name == "server" ? "the whole answer is due within it, not each silence of it" : "");
         draft_.settings.timeouts[name].set(*value, statement_->number);
     }
 
     void max_conn() {
-        const auto value = number(1, 0, kHighestInt);
+        const auto value = number(1, 0, kMaxInt);
         if (!value) {
             return;
         }
-        say_of_setting(Verdict::translated);
+        add_setting_verdict(Verdict::translated);
         draft_.settings.max_conn.set(*value, statement_->number);
     }
 
     void full_conn() {
-        const auto value = number(1, 1, kHighestInt);
+        const auto value = number(1, 1, kMaxInt);
         if (!value) {
             return;
         }
-        say_of_setting(
+        add_setting_verdict(
             Verdict::changed,
             "limits of servers do not move with the pool's load: each is maxconn at any time");
         draft_.settings.full_conn.set(*value, statement_->number);
@@ -259,48 +261,50 @@
 
     void cookie() {
         if (word(1).empty()) {
-            return say(Verdict::refused, "cookie lacks its name");
+            return add_verdict(Verdict::refused, "cookie lacks its name");
         }
-        bool makes = false;
+        bool sets_cookie = false;
         for (std::size_t index = 2; index < statement_->size(); ++index) {
-            makes |= word(index) == "insert" || word(index) == "rewrite" || word(index) == "prefix";
+            sets_cookie |=
+                word(index) == "insert" || word(index) == "rewrite" || word(index) == "prefix";
         }
-        if (makes) {
-            say_of_setting(Verdict::changed,
-                           "an RPC that bears the cookie stays with its server; the proxy, not the "
-                           "planner, is to set it");
+        if (sets_cookie) {
+            add_setting_verdict(
+                Verdict::changed,
+                "an RPC that bears the cookie stays with its server; the proxy, not the "
+                "planner, is to set it");
         } else {
-            say_of_setting(Verdict::translated);
+            add_setting_verdict(Verdict::translated);
         }
         draft_.settings.cookie.set({word(1)}, statement_->number);
     }
 
-    // On top of what is held, this section's own or taken over; the line that it was set by counts
-    // as used wherever this one is.
+    // Modifies the current check, which the section set itself or inherited. The line that set the
+    // current check is marked as used, as this line builds on it.
     void http_check() {
-        Setting<Check>& held = draft_.settings.check;
-        auto check = read_http_check(*statement_, held ? held.get(findings_) : Check{});
+        Setting<Check>& current = draft_.settings.check;
+        auto check = read_http_check(*statement_, current ? current.get(findings_) : Check{});
         if (!check) {
-            say(check.error().verdict, check.error().message);
+            add_verdict(check.error().verdict, check.error().message);
             return;
         }
-        say_of_setting(Verdict::translated);
-        check->http = check->http || static_cast<bool>(held);
-        held.set(std::move(*check), statement_->number);
+        add_setting_verdict(Verdict::translated);
+        check->http = check->http || static_cast<bool>(current);
+        current.set(std::move(*check), statement_->number);
     }
 
     void tcp_check() {
         if (word(1) == "connect" && statement_->size() == 2) {
-            return say(Verdict::translated, "a connection is a sign of health");
+            return add_verdict(Verdict::translated, "a connection is a sign of health");
         }
-        say(Verdict::refused, "probes connect, or ask by HTTP; scripts have no equal here");
+        add_verdict(Verdict::refused, "probes connect, or ask by HTTP; scripts have no equal here");
     }
 
     void stick_table() {
         if (word(1) != "type") {
-            return say(Verdict::refused, "a table is read from its type on");
+            return add_verdict(Verdict::refused, "a table is read from its type on");
         }
-        say_of_setting(
+        add_setting_verdict(
             Verdict::changed,
             "nothing is stored or counted: keys are spread by hash, so that they need no table "
             "and no peers");
@@ -309,13 +313,13 @@
 
     void stick() {
         if (is_defaults()) {
-            return say(Verdict::refused, "stick rules belong to a backend");
+            return add_verdict(Verdict::refused, "stick rules belong to a backend");
         }
         draft_.sticks.push_back(statement_);
     }
 
     void default_backend() {
-        say_of_setting(Verdict::translated);
+        add_setting_verdict(Verdict::translated);
         draft_.settings.default_backend.set(word(1), statement_->number);
     }
 
@@ -323,66 +327,68 @@
         ServerWords words = draft_.settings.default_server;
         read_server_words(*statement_, 1, words, findings_);
         if (words.left_out) {
-            return;  // its line says so; servers go by what was set before
+            return;  // the finding of the line says so; the earlier defaults stay in effect
         }
         draft_.settings.default_server = words;
         draft_.settings.default_server_lines.push_back(statement_->number);
         findings_.set_unused_message(statement_->number, "no server goes by it");
     }
 
-    // False, with the line refused: it is in a defaults section, or its section is not of a kind
-    // that takes it, which `where` says.
-    bool may_stand_here(bool takes_it, const char* where) {
+    // Returns whether the statement is allowed in this section. Refuses the line if the section is
+    // a defaults section, or if it does not take such statements (with `message`).
+    bool check_allowed(bool is_allowed, const char* message) {
         if (is_defaults()) {
-            say(Verdict::refused,
-                "in defaults it is not taken over here: put it into the sections");
+            add_verdict(Verdict::refused,
+                        "in defaults it is not taken over here: put it into the sections");
             return false;
         }
-        if (!takes_it) {
-            say(Verdict::refused, where);
+        if (!is_allowed) {
+            add_verdict(Verdict::refused, message);
         }
-        return takes_it;
+        return is_allowed;
     }
 
-    void file_under(std::vector<const Statement*>& list, bool takes_it, const char* where) {
-        if (may_stand_here(takes_it, where)) {
+    // Keeps the statement for later translation if it is allowed in this section.
+    void keep_in(std::vector<const Statement*>& list, bool is_allowed, const char* message) {
+        if (check_allowed(is_allowed, message)) {
             list.push_back(statement_);
         }
     }
 
     void server() {
-        if (!may_stand_here(draft_.has_servers(), "only a backend or listen section has servers")) {
+        if (!check_allowed(draft_.has_servers(), "only a backend or listen section has servers")) {
             return;
         }
         draft_.servers.push_back(
             {statement_, draft_.settings.default_server, draft_.settings.default_server_lines});
     }
 
-    void acl() { file_under(draft_.acls, true, ""); }
+    void acl() { keep_in(draft_.acls, true, ""); }
     void bind() {
-        file_under(draft_.binds, draft_.listens(), "only a frontend or listen section listens");
+        keep_in(draft_.binds, draft_.listens(), "only a frontend or listen section listens");
     }
 
     void use_backend() {
-        file_under(draft_.use_backends, draft_.listens(),
-                   "only a frontend or listen section has routes");
+        keep_in(draft_.use_backends, draft_.listens(),
+                "only a frontend or listen section has routes");
     }
 
-    void rule() { file_under(draft_.rules, true, ""); }
+    void rule() { keep_in(draft_.rules, true, ""); }
     void use_server() {
-        say(Verdict::refused,
+        add_verdict(
+            Verdict::refused,
             "an RPC is not given to one server by a rule: make a pool of that server and a route "
             "to it");
     }
 
     void disabled() {
         draft_.disabled = true;
-        say(Verdict::translated, "the whole section counts as disabled");
+        add_verdict(Verdict::translated, "the whole section counts as disabled");
     }
 
     void enabled() {
         draft_.disabled = false;
-        say(Verdict::translated);
+        add_verdict(Verdict::translated);
     }
 
     Findings& findings_;
--- a/src/haproxy/section.hpp
+++ b/src/haproxy/section.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A frontend, backend, listen or defaults section with its settings read, each with the line that
-/// it came from.
+/// Reads the settings of frontend, backend, listen and defaults sections. Each setting keeps the
+/// line that it came from.
 #pragma once
 
 #include <cstddef>
@@ -17,8 +17,8 @@
 
 namespace micaroad::haproxy {
 
-/// A setting that a section takes from its defaults unless it has its own. Reading the value marks
-/// its line as used in the findings.
+/// A setting that a section inherits from its defaults unless it sets its own. Reading the value
+/// marks its line as used in the findings.
 template <class T>
 class Setting {
  public:
@@ -27,15 +27,15 @@
         line_ = line;
     }
     [[nodiscard]] explicit operator bool() const { return value_.has_value(); }
-    /// Only where there is a value. May be called for the mark alone.
+    /// The value must be present. May be called only to mark the line as used.
     const T& get(Findings& findings) const {
         findings.mark_used(line_);
-        return *value_;  // NOLINT(bugprone-unchecked-optional-access): the caller's to check
+        return *value_;  // NOLINT(bugprone-unchecked-optional-access): checked by the caller
     }
-    [[nodiscard]] T get_or(T otherwise, Findings& findings) const {
-        return value_ ? get(findings) : std::move(otherwise);
+    [[nodiscard]] T get_or(T default_value, Findings& findings) const {
+        return value_ ? get(findings) : std::move(default_value);
     }
-    /// The number of the finding of its line.
+    /// The index of the finding of the setting's line.
     [[nodiscard]] std::size_t line() const { return line_; }
 
  private:
@@ -43,7 +43,7 @@
     std::size_t line_ = 0;
 };
 
-/// `cookie`: the one that names an RPC's server.
+/// `cookie`: the cookie that names an RPC's server.
 struct Cookie {
     std::string name;
 };
@@ -51,10 +51,10 @@
 /// `option redispatch`.
 struct Redispatch {
     bool on = false;
-    int interval = -1;  ///< -1: the last try goes to another server; 1: each does
+    int interval = -1;  ///< -1: only the last attempt goes to another server; 1: each does
 };
 
-/// What a section has set or has taken over.
+/// The settings of a section, both its own and those inherited from its defaults.
 struct Settings {
     Setting<std::string> mode;
     Setting<Balance> balance;
@@ -62,8 +62,8 @@
     Setting<int> retries;
     Setting<int> max_conn;
     Setting<int> full_conn;
-    /// First: whether anything is tried again; second: also after other failures than those of the
-    /// connection.
+    /// First: whether failed RPCs are retried at all; second: whether also after failures other
+    /// than connection failures.
     Setting<std::pair<bool, bool>> retry_on;
     Setting<Redispatch> redispatch;
     Setting<bool> all_backups;
@@ -71,21 +71,22 @@
     Setting<Cookie> cookie;
     Setting<Check> check;
     Setting<std::string> stick_table;
-    std::map<std::string, Setting<Duration>> timeouts;  ///< by the name behind `timeout`
+    std::map<std::string, Setting<Duration>> timeouts;  ///< by the word after `timeout`
     Setting<std::string> default_backend;
     ServerWords default_server;
-    std::vector<std::size_t> default_server_lines;  ///< numbers of their findings
+    std::vector<std::size_t> default_server_lines;  ///< indices of their findings
 };
 
-/// A server's line with the defaults that hold where it stands.
+/// A `server` line with the `default-server` settings in effect at that line.
 struct ServerStatement {
     const Statement* statement;
     ServerWords words;
-    std::vector<std::size_t> default_lines;  ///< numbers of the findings of its defaults
+    std::vector<std::size_t>
+        default_lines;  ///< indices of the findings of its `default-server` lines
 };
 
-/// A section with its settings; statements that are translated later are filed by what they are.
-/// All pointers are into the tree, which must outlive it.
+/// A section with its settings. Statements that are translated later are grouped by kind. All
+/// pointers point into the tree, which must outlive the draft.
 struct Draft {
     const Section* section = nullptr;
     Settings settings;
@@ -105,8 +106,8 @@
     }
 };
 
-/// Reads a section on top of the settings that it takes over from its defaults. Each statement has
-/// its verdict in the findings once this returns, but for those that are filed in the draft.
+/// Reads a section on top of the settings that it inherits from its defaults. Gives each statement
+/// a verdict in the findings, except for those that the draft keeps for later translation.
 [[nodiscard]] Draft read_section(const Section& section, const Settings& inherited,
                                  Findings& findings);
 
--- a/src/haproxy/translate.cpp
+++ b/src/haproxy/translate.cpp
@@ -12,6 +12,7 @@
 namespace micaroad::haproxy {
 namespace {
 
+// Returns whether the section is what HAProxy calls a proxy.
 bool is_proxy(const Section& section) {
     return section.kind == "frontend" || section.kind == "backend" || section.kind == "listen";
 }
@@ -20,22 +21,22 @@
  public:
     explicit Translator(Tree tree) : tree_(std::move(tree)) {}
 
-    Import run() {
+    Import translate_sections() {
         Import import;
         for (const Section& section : tree_.sections) {
             if (is_proxy(section)) {
-                proxy(section);
+                read_proxy(section);
             } else if (section.kind == "defaults") {
-                defaults(section);
+                read_defaults(section);
             } else {
-                other(section);
+                read_other(section);
             }
         }
         import.faults = std::move(tree_.faults);
         if (import.faults.empty()) {
             PoolMaker pools(findings());
             add_pools(pools);
-            make_listeners(import);
+            add_listeners(import);
             import.plan.pools = pools.finish();
             import.balance = pools.balance();
         }
@@ -52,13 +53,13 @@
         }
     }
 
-    void make_listeners(Import& import) {
+    void add_listeners(Import& import) {
         RouteMaker routes(drafts_, findings());
         for (const Draft& draft : drafts_) {
             if (!draft.listens()) {
                 continue;
             }
-            // A disabled section has its verdicts too, but no listener.
+            // The lines of a disabled section get verdicts too, but the section gets no listener.
             routing::Listener listener = routes.listener(draft);
             if (!draft.disabled) {
                 import.plan.listeners.push_back(std::move(listener));
@@ -72,18 +73,19 @@
             {section.header.line.file, section.header.line.number, 1, std::move(message)});
     }
 
+    // Returns the defaults that a section inherits, or null if there are none.
     const Settings* inherited(const Section& section) {
         if (section.from.empty()) {
             return section.kind == "defaults" ? nullptr : last_defaults_;
         }
-        const auto at = named_defaults_.find(section.from);
-        if (at != named_defaults_.end()) {
-            return at->second;
+        const auto found = named_defaults_.find(section.from);
+        if (found != named_defaults_.end()) {
+            return found->second;
         }
         add_fault(section, fmt::format("there is no defaults section {} before it", section.from));
         return nullptr;
     }
-    void defaults(const Section& section) {
+    void read_defaults(const Section& section) {
         const Settings* from = inherited(section);
         findings().add_verdict(section.header.number, Verdict::translated,
                                "its settings stand in the sections that take them over");
@@ -94,17 +96,17 @@
             named_defaults_[section.name] = last_defaults_;
         }
     }
-    void proxy(const Section& section) {
+    void read_proxy(const Section& section) {
         const bool listens = section.kind != "backend";
-        const bool serves = section.kind != "frontend";
+        const bool has_servers = section.kind != "frontend";
         if ((listens && !listeners_.insert(section.name).second) ||
-            (serves && !pools_.insert(section.name).second)) {
+            (has_servers && !pools_.insert(section.name).second)) {
             add_fault(section, fmt::format("a second {} {}", section.kind, section.name));
         }
         const Settings* from = inherited(section);
         drafts_.push_back(read_section(section, from ? *from : Settings{}, findings()));
     }
-    void other(const Section& section) {
+    void read_other(const Section& section) {
         if (section.kind == "global") {
             findings().add_verdict(section.header.number, Verdict::no_effect,
                                    "how the original's process runs");
@@ -138,7 +140,7 @@
 }
 
 Import translate(Tree tree) {
-    return Translator(std::move(tree)).run();
+    return Translator(std::move(tree)).translate_sections();
 }
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/tree.cpp
+++ b/src/haproxy/tree.cpp
@@ -13,10 +13,10 @@
 namespace micaroad::haproxy {
 namespace {
 
-// Bytes of a section's name.
+// Maximum length of a section's name.
 constexpr std::size_t kMaxNameBytes = 128;
 
-// Words that begin a section.
+// Keywords that start a section.
 const std::set<std::string> kSections{"global",      "defaults", "frontend",    "backend",
                                       "listen",      "peers",    "resolvers",   "userlist",
                                       "program",     "cache",    "ring",        "mailers",
@@ -34,7 +34,7 @@
            });
 }
 
-// A release of the original; builds and pre-releases count as the release itself.
+// An HAProxy release. Builds and pre-releases count as the release itself.
 struct Version {
     int major_number = 0;
     int minor_number = 0;
@@ -52,13 +52,13 @@
     [[nodiscard]] auto operator<=>(const Version&) const = default;
 };
 
-// Whether the version whose manual is followed is this one or a later one.
+// Returns whether kVersion is this version or a later one.
 bool version_is_at_least(std::string_view text) {
     return Version::of(kVersion) >= Version::of(text);
 }
 
-// Recursive descent over a condition: terms joined by && and ||, with ! and parentheses. The first
-// error stops the parser. A value is absent once there is an error.
+// A recursive descent parser for conditions: terms joined by && and ||, with ! and parentheses. The
+// first error stops the parser; from then on, values are absent.
 class ConditionParser {
  public:
     ConditionParser(std::string_view text, const Environment& environment)
@@ -87,6 +87,7 @@
         }
     }
 
+    // Skips the token if it comes next, and returns whether it did.
     bool consume(std::string_view token) {
         skip_blanks();
         if (!text_.substr(position_).starts_with(token)) {
@@ -175,7 +176,7 @@
         return value != 0;
     }
 
-    // At least one, which may be empty.
+    // Returns at least one argument, which may be empty.
     static std::vector<std::string> split_arguments(std::string_view text) {
         std::vector<std::string> arguments{""};
         for (const char character : text) {
@@ -212,7 +213,7 @@
         return fail(fmt::format("{}() asks for what only the original knows", function));
     }
 
-    // The first error is the one that is told.
+    // Keeps the first error only.
     Value fail(std::string message) {
         if (error_.empty()) {
             error_ = std::move(message);
@@ -235,8 +236,8 @@
     return word == "setenv" || word == "presetenv" || word == "unsetenv" || word == "resetenv";
 }
 
-// The words behind a macro's name, joined by single blanks.
-std::string text_behind_first_word(const Line& line) {
+// Returns the words after a macro's name, joined by single blanks.
+std::string text_after_first_word(const Line& line) {
     std::string text;
     for (std::size_t index = 1; index < line.words.size(); ++index) {
         if (index > 1) {
@@ -258,14 +259,14 @@
 }
 
 void TreeBuilder::add(const std::string& file, std::string_view text) {
-    Lexer lexer(file, environment_, [this](Line&& line) { take(std::move(line)); });
+    Lexer lexer(file, environment_, [this](Line&& line) { add_line(std::move(line)); });
     lexer.feed(text);
     lexer.finish();
-    // A file ends what it has begun.
-    for (const Line& open : opened_) {
+    // An .if must be closed in the file that opens it.
+    for (const Line& open : open_ifs_) {
         tree_.faults.push_back({file, open.number, 1, ".if without its .endif"});
     }
-    opened_.clear();
+    open_ifs_.clear();
     branches_.clear();
 }
 
@@ -273,17 +274,17 @@
     return std::move(tree_);
 }
 
-void TreeBuilder::fail(const Place& place, int column, std::string message) {
-    tree_.findings.add_verdict(place.number, Verdict::refused, message);
-    tree_.faults.push_back({place.file, place.line, column, std::move(message)});
+void TreeBuilder::fail(const Location& location, int column, std::string message) {
+    tree_.findings.add_verdict(location.number, Verdict::refused, message);
+    tree_.faults.push_back({location.file, location.line, column, std::move(message)});
 }
 
-bool TreeBuilder::in_taken_branch() const {
-    return branches_.empty() || branches_.back() == Branch::taken;
+bool TreeBuilder::in_active_branch() const {
+    return branches_.empty() || branches_.back() == Branch::active;
 }
 
-TreeBuilder::Branch TreeBuilder::judge_condition(const Line& line, std::size_t number) {
-    const auto value = evaluate_condition(text_behind_first_word(line), environment_);
+TreeBuilder::Branch TreeBuilder::branch_for_condition(const Line& line, std::size_t number) {
+    const auto value = evaluate_condition(text_after_first_word(line), environment_);
     if (!value) {
         tree_.findings.add_verdict(
             number, Verdict::refused,
@@ -294,17 +295,17 @@
     tree_.findings.add_verdict(
         number, Verdict::translated,
         *value ? "holds: its lines count" : "does not hold: its lines don't count");
-    return *value ? Branch::taken : Branch::not_yet;
+    return *value ? Branch::active : Branch::pending;
 }
 
 void TreeBuilder::open_branch(const Line& line, std::size_t number) {
-    const bool counts = in_taken_branch();
-    opened_.push_back(line);
-    if (counts) {
-        branches_.push_back(judge_condition(line, number));
+    const bool is_active = in_active_branch();
+    open_ifs_.push_back(line);
+    if (is_active) {
+        branches_.push_back(branch_for_condition(line, number));
         return;
     }
-    branches_.push_back(Branch::over);
+    branches_.push_back(Branch::done);
     tree_.findings.add_verdict(number, Verdict::no_effect, "in a branch that is not taken");
 }
 
@@ -313,30 +314,30 @@
     Findings& findings = tree_.findings;
     if (branch == Branch::unknown) {
         findings.add_verdict(number, Verdict::refused, "of a condition that can't be told here");
-    } else if (branch != Branch::not_yet) {
-        branch = Branch::over;
+    } else if (branch != Branch::pending) {
+        branch = Branch::done;
         findings.add_verdict(number, Verdict::no_effect, "in a branch that is not taken");
     } else if (line.word(0) == ".else") {
-        branch = Branch::taken;
+        branch = Branch::active;
         findings.add_verdict(number, Verdict::translated, "its lines count");
     } else {
-        branch = judge_condition(line, number);
+        branch = branch_for_condition(line, number);
     }
 }
 
-bool TreeBuilder::take_macro(const Line& line, std::size_t number) {
+bool TreeBuilder::handle_macro(const Line& line, std::size_t number) {
     const std::string& word = line.word(0);
-    const Place place{line.file, line.number, number};
+    const Location location{line.file, line.number, number};
     if (word == ".if") {
         open_branch(line, number);
         return true;
     }
     if (word == ".elif" || word == ".else" || word == ".endif") {
         if (branches_.empty()) {
-            fail(place, 1, "no .if is open");
+            fail(location, 1, "no .if is open");
         } else if (word == ".endif") {
             branches_.pop_back();
-            opened_.pop_back();
+            open_ifs_.pop_back();
             tree_.findings.add_verdict(number, Verdict::translated, "");
         } else {
             switch_branch(line, number);
@@ -346,8 +347,8 @@
     if (!is_message(word)) {
         return false;
     }
-    if (word == ".alert" && in_taken_branch()) {
-        fail(place, 1, "the file itself stops here (.alert)");
+    if (word == ".alert" && in_active_branch()) {
+        fail(location, 1, "the file itself stops here (.alert)");
     } else {
         tree_.findings.add_verdict(number, Verdict::no_effect,
                                    "a message to whoever starts the original");
@@ -377,7 +378,7 @@
                                "heeded in the quotes of the lines that follow");
 }
 
-void TreeBuilder::take(Line&& line) {
+void TreeBuilder::add_line(Line&& line) {
     if (line.words.empty() && line.error.empty()) {
         return;
     }
@@ -385,20 +386,20 @@
         return;
     }
     const std::size_t number = tree_.findings.add_line(line, line.word(0));
-    const Place place{line.file, line.number, number};
+    const Location location{line.file, line.number, number};
     if (!line.error.empty()) {
-        fail(place, line.error_column, line.error);
+        fail(location, line.error_column, line.error);
         return;
     }
-    if (line.word(0).starts_with('.') && take_macro(line, number)) {
+    if (line.word(0).starts_with('.') && handle_macro(line, number)) {
         return;
     }
-    if (!in_taken_branch()) {
+    if (!in_active_branch()) {
         skip_line(number);
         return;
     }
     if (line.words.size() > kMaxLineWords) {
-        fail(place, line.words[kMaxLineWords].column,
+        fail(location, line.words[kMaxLineWords].column,
              fmt::format("over {} words in a line, which the original refuses", kMaxLineWords));
         return;
     }
@@ -422,7 +423,7 @@
 void TreeBuilder::begin_section(const Statement& statement) {
     const std::string& kind = statement.word(0);
     Section section{kind, statement.word(1), "", statement, {}};
-    std::size_t next = 2;  // the first word that has not been read
+    std::size_t next = 2;  // the first unread word
     if (kind == "defaults" && section.name == "from") {
         section.name.clear();
         next = 1;
@@ -438,18 +439,18 @@
 void TreeBuilder::check_header(const Section& section, std::size_t next) {
     const Statement& header = section.header;
     const std::string& kind = section.kind;
-    const Place place{header.line.file, header.line.number, header.number};
+    const Location location{header.line.file, header.line.number, header.number};
     const auto column = [&header](std::size_t index) {
         return index < header.size() ? header.line.words[index].column : 1;
     };
-    const bool takes_no_more = kind == "frontend" || kind == "listen" || kind == "backend";
+    const bool takes_no_more_words = kind == "frontend" || kind == "listen" || kind == "backend";
     if (kNamedSections.contains(kind) && section.name.empty()) {
-        fail(place, 1, fmt::format("{} without a name", kind));
+        fail(location, 1, fmt::format("{} without a name", kind));
     } else if (!section.name.empty() && kind != "global" && !is_valid_name(section.name)) {
-        fail(place, column(1),
+        fail(location, column(1),
              fmt::format("'{}' is no name: letters, digits and -_.:, 128 at most", section.name));
-    } else if (takes_no_more && next < header.size()) {
-        fail(place, column(next),
+    } else if (takes_no_more_words && next < header.size()) {
+        fail(location, column(next),
              fmt::format("'{}' is not known behind {}", header.word(next), kind));
     }
 }
@@ -457,8 +458,8 @@
 void TreeBuilder::add_statement(Statement statement) {
     const std::string kind = statement.word(0);
     if (tree_.sections.empty()) {
-        const Place place{statement.line.file, statement.line.number, statement.number};
-        fail(place, 1, fmt::format("'{}' before any section", kind));
+        const Location location{statement.line.file, statement.line.number, statement.number};
+        fail(location, 1, fmt::format("'{}' before any section", kind));
         return;
     }
     Section& section = tree_.sections.back();
--- a/src/haproxy/units.cpp
+++ b/src/haproxy/units.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-constexpr std::int64_t kHighestPort = 65'535;
-constexpr std::int64_t kLongestTimerMs = 2'147'483'647;  // as in the original
+constexpr std::int64_t kMaxPort = 65'535;
+constexpr std::int64_t kMaxTimeMs = 2'147'483'647;  // HAProxy's limit
 
-// A part of the text that names the family or transport of an address.
+// A prefix of an address that names its family or transport.
 struct AddressPrefix {
     enum class Meaning { any_family, ipv4, ipv6, other_transport };
     std::string_view text;
@@ -51,7 +51,7 @@
     return failure<Endpoint>(fmt::format("'{}' {}", text, reason));
 }
 
-// Microseconds of a unit of time; milliseconds where there is none.
+// Returns the number of microseconds in a unit of time. No unit means milliseconds.
 std::optional<std::int64_t> microseconds_in(std::string_view unit) {
     if (unit == "us") {
         return 1;
@@ -92,13 +92,13 @@
     });
 }
 
-// The text of an address in its two parts, neither of them looked at yet.
+// The two parts of an address, not yet parsed.
 struct HostAndPort {
     std::string_view host;
-    std::string_view port;  // empty: none
+    std::string_view port;  // empty if there is none
 };
 
-// "HOST:PORT", "[HOST]:PORT" or "HOST"; an IPv6 address without brackets has no port.
+// Splits "HOST:PORT", "[HOST]:PORT" or "HOST". An IPv6 address without brackets has no port.
 tl::expected<HostAndPort, std::string_view> split_host_and_port(std::string_view text) {
     if (!text.starts_with('[')) {
         const std::size_t colon = text.rfind(':');
@@ -125,10 +125,10 @@
     std::string message;
 };
 
-// Sets the port of an endpoint.
-tl::expected<void, PortError> read_port(std::string_view text, Endpoint& endpoint) {
+// Parses a port or a port offset into the endpoint. An empty text leaves it without a port.
+tl::expected<void, PortError> parse_port(std::string_view text, Endpoint& endpoint) {
     if (text.starts_with('+') || text.starts_with('-')) {
-        const auto offset = parse_number(text.substr(1), 0, kHighestPort);
+        const auto offset = parse_number(text.substr(1), 0, kMaxPort);
         if (!offset) {
             return tl::make_unexpected(PortError{offset.error});
         }
@@ -138,7 +138,7 @@
     if (text.empty()) {
         return {};
     }
-    const auto number = parse_number(text, 1, kHighestPort);
+    const auto number = parse_number(text, 1, kMaxPort);
     if (!number) {
         return tl::make_unexpected(PortError{"port " + number.error});
     }
@@ -146,7 +146,7 @@
     return {};
 }
 
-// What a host is, or why it can't be one.
+// Classifies a host, or returns why it is invalid.
 tl::expected<Endpoint::Kind, std::string_view> kind_of_host(std::string_view host,
                                                             Meaning meaning) {
     if (host.empty() || host == "*") {
@@ -169,7 +169,7 @@
 
 }  // namespace
 
-Parsed<std::int64_t> parse_number(std::string_view text, std::int64_t least, std::int64_t most) {
+Parsed<std::int64_t> parse_number(std::string_view text, std::int64_t min, std::int64_t max) {
     std::int64_t number = 0;
     const char* const begin = text.data();
     const char* const end = begin + text.size();
@@ -177,8 +177,8 @@
     const bool is_whole = parsed.ptr == end && !text.empty();
     const bool overflows = parsed.ec == std::errc::result_out_of_range;
     const bool is_number = parsed.ec == std::errc{} && is_whole;
-    if (overflows || (is_number && (number < least || number > most))) {
-        return failure<std::int64_t>(fmt::format("'{}' is not from {} to {}", text, least, most));
+    if (overflows || (is_number && (number < min || number > max))) {
+        return failure<std::int64_t>(fmt::format("'{}' is not from {} to {}", text, min, max));
     }
     if (!is_number) {
         return failure<std::int64_t>(fmt::format("'{}' is no whole number", text));
@@ -196,15 +196,15 @@
     if (parsed.ec != std::errc{} || number < 0) {
         return failure<Duration>(fmt::format("'{}' is no time", text));
     }
-    const auto unit_begins = static_cast<std::size_t>(parsed.ptr - begin);
-    const auto unit = microseconds_in(text.substr(unit_begins));
+    const auto unit_start = static_cast<std::size_t>(parsed.ptr - begin);
+    const auto unit = microseconds_in(text.substr(unit_start));
     if (!unit) {
         return failure<Duration>(fmt::format("'{}' has no unit of time: us, ms, s, m, h, d", text));
     }
-    constexpr std::int64_t kLongestTimerUs = kLongestTimerMs * 1'000;
-    if (number > kLongestTimerUs / *unit) {
+    constexpr std::int64_t kMaxTimeUs = kMaxTimeMs * 1'000;
+    if (number > kMaxTimeUs / *unit) {
         return failure<Duration>(
-            fmt::format("'{}' is longer than a timer holds ({} ms)", text, kLongestTimerMs));
+            fmt::format("'{}' is longer than a timer holds ({} ms)", text, kMaxTimeMs));
     }
     // A Duration counts tenths of a millisecond.
     constexpr std::int64_t kMicrosecondsPerTick = 100;
@@ -245,7 +245,7 @@
     if (!parts) {
         return bad_endpoint(text, parts.error());
     }
-    const auto port = read_port(parts->port, endpoint);
+    const auto port = parse_port(parts->port, endpoint);
     if (!port) {
         return failure<Endpoint>(port.error().message);
     }
--- a/src/haproxy/units.hpp
+++ b/src/haproxy/units.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Numbers, times and addresses as the configuration writes them. Each function tells what is wrong
-/// with its text in words; none wraps a value that is too large.
+/// Parses numbers, times and addresses of a configuration. Invalid text results in an error
+/// message; values that are too large are rejected, never wrapped.
 #pragma once
 
 #include <cstdint>
@@ -12,48 +12,48 @@
 
 namespace micaroad::haproxy {
 
-/// A value, or what is wrong with the text that should have held it.
+/// A parsed value, or an error message.
 template <class T>
 struct [[nodiscard]] Parsed {
     std::optional<T> value;
     std::string error;  ///< empty if there is a value
 
     explicit operator bool() const { return value.has_value(); }
-    /// Only where there is a value.
+    /// The value must be present.
     const T& operator*() const {
-        return *value;  // NOLINT(bugprone-unchecked-optional-access): the caller's to check
+        return *value;  // NOLINT(bugprone-unchecked-optional-access): checked by the caller
     }
-    /// Only where there is a value.
+    /// The value must be present.
     const T* operator->() const { return &**this; }
 };
 
-/// A whole number from `least` to `most`.
-Parsed<std::int64_t> parse_number(std::string_view text, std::int64_t least, std::int64_t most);
+/// Parses a whole number from `min` to `max`.
+Parsed<std::int64_t> parse_number(std::string_view text, std::int64_t min, std::int64_t max);
 
-/// A time in us, ms, s, m, h or d, in milliseconds where no unit stands. At most 2,147,483,647 ms,
-/// as in HAProxy; rounded up to a tenth of a millisecond.
+/// Parses a time in us, ms, s, m, h or d; without a unit it is in milliseconds. The maximum is
+/// 2,147,483,647 ms, as in HAProxy. The result is rounded up to a tenth of a millisecond.
 Parsed<Duration> parse_time(std::string_view text);
 
-/// An address with its port.
+/// An address with a port.
 struct Endpoint {
     enum class Kind {
         literal,        ///< an IP address
-        any_host,       ///< "*" or no host at all
-        needs_look_up,  ///< a host name
+        any_host,       ///< "*" or no host
+        needs_look_up,  ///< a host name, which the importer does not resolve
         unix_path,      ///< a socket in the file system or the abstract namespace
         other           ///< a transport that is not supported here, such as "udp@"
     };
 
     Kind kind = Kind::literal;
-    std::string host;            ///< without brackets; the whole text of unix_path and other
-    int port = 0;                ///< 0: none given
-    bool relative_port = false;  ///< "+100" or "-100": an offset to the client's port
+    std::string host;            ///< without brackets; for unix_path and other, the whole text
+    int port = 0;                ///< 0 if none is given
+    bool relative_port = false;  ///< "+100" or "-100", an offset from the client's port
 
-    /// "10.0.0.1:80", "[::1]:80", "*:80".
+    /// Formats the endpoint as "10.0.0.1:80", "[::1]:80" or "*:80".
     [[nodiscard]] std::string text() const;
 };
 
-/// An address as `bind` and `server` lines write it. No name is looked up.
+/// Parses the address of a `bind` or `server` line. Host names are not resolved.
 Parsed<Endpoint> parse_endpoint(std::string_view text);
 
 }  // namespace micaroad::haproxy
