--- a/fuzz/import_fuzz.cpp
+++ b/fuzz/import_fuzz.cpp
@@ -1,8 +1,8 @@
 // Fuzz target for the text formats that are read from outside. If the first byte is even, the rest
 // is an HAProxy configuration, which is also lexed in pieces whose size depends on that byte; if it
-// is odd, the rest is an operator's file. Besides not crashing, the target checks that refused
-// lines have a message, that a written plan reads back without faults and unchanged, and that
-// faults have a position.
+// is odd, the rest is an operator's file. Besides not crashing, the target checks that lines have a
+// position and refused lines a message, that a written plan reads back without faults and
+// unchanged, that the shares of a decision add up to 1, and that faults have a position.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
--- a/src/haproxy/balance.cpp
+++ b/src/haproxy/balance.cpp
@@ -16,11 +16,11 @@
 constexpr std::int64_t kMaxUriLimit = 65'536;  // directory levels or bytes
 
 constexpr const char* kByWeight =
-    "shares begin at the weights; what the planner learns moves them, none under a twentieth of "
-    "its listed part";
+    "shares begin at the weights; the planner adjusts them as it learns, none below a twentieth of "
+    "its listed share";
 constexpr const char* kByHash =
-    "one key keeps to one server while that may be used, and keys spread by weight; which server a "
-    "key gets is another one than in the original";
+    "a key stays with one server while that may be used, and keys are spread by weight; the server "
+    "of a key differs from HAProxy's";
 
 // "NAME(ARGUMENT)" or "NAME".
 struct Call {
@@ -56,7 +56,7 @@
     if (balance.draws > 1) {
         return changed(std::move(balance),
                        "one server is drawn by weight, not the least busy of several; under even "
-                       "load the parts are the same");
+                       "load the shares are the same");
     }
     return BalanceReading{std::move(balance), Verdict::translated, kByWeight};
 }
@@ -128,7 +128,7 @@
         balance.kind = "hdr";
         balance.argument = call.argument;
     } else {
-        return refuse(fmt::format("balance hash: '{}' has no equal here", expression));
+        return refuse(fmt::format("balance hash: '{}' is not supported", expression));
     }
     return changed(std::move(balance), kByHash);
 }
@@ -146,7 +146,7 @@
     if (call.name == "static-rr") {
         return BalanceReading{
             std::move(balance), Verdict::translated,
-            std::string(kByWeight) + "; slow starts have no effect in it, nor here"};
+            std::string(kByWeight) + "; slow starts have no effect, as in HAProxy"};
     }
     if (call.name == "random") {
         return read_random(std::move(balance));
@@ -154,12 +154,12 @@
     if (call.name == "leastconn") {
         return changed(std::move(balance),
                        "shares begin at the weights and follow answer times, not open connections; "
-                       "servers of equal speed get the same parts within a tenth");
+                       "servers of equal speed get equal shares within a tenth");
     }
     if (call.name == "first") {
         return changed(std::move(balance),
                        "all servers share the RPCs by weight at once; they are not filled one "
-                       "behind the other");
+                       "after the other");
     }
     if (call.name == "source") {
         return changed(std::move(balance), kByHash);
@@ -177,7 +177,7 @@
         return read_hash(statement, std::move(balance));
     }
     return refuse(
-        fmt::format("balance {} has no equal here; the pool spreads by weight", call.name));
+        fmt::format("balance {} is not supported; the pool spreads by weight", call.name));
 }
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/files.cpp
+++ b/src/haproxy/files.cpp
@@ -35,7 +35,7 @@
     for (const std::string& name : names) {
         const auto files = configuration_files(name);
         if (files.empty()) {
-            read_faults.push_back({name, 0, 0, "no file in it ends in .cfg"});
+            read_faults.push_back({name, 0, 0, "the directory has no .cfg files"});
         }
         for (const std::string& file : files) {
             std::error_code error;
--- a/src/haproxy/findings.cpp
+++ b/src/haproxy/findings.cpp
@@ -44,7 +44,7 @@
         Finding finding = row.finding;
         if (!row.has_verdict) {
             finding.verdict = Verdict::refused;
-            finding.message = "nothing here knows this line";
+            finding.message = "the importer has no rule for this line";
         } else if (!row.unused_message.empty() && !row.used &&
                    finding.verdict != Verdict::refused) {
             finding.verdict = Verdict::no_effect;
--- a/src/haproxy/http_check.cpp
+++ b/src/haproxy/http_check.cpp
@@ -48,7 +48,7 @@
     const std::size_t index = skip_expect_options(statement);
     if (statement.word(index) != "status") {
         return refuse(
-            fmt::format("http-check expect {}: only 'status' is looked at", statement.word(index)));
+            fmt::format("http-check expect {}: only 'status' is supported", statement.word(index)));
     }
     const std::string& range = statement.word(index + 1);
     const std::size_t dash = range.find('-');
@@ -57,8 +57,7 @@
                           ? low
                           : parse_number(range.substr(dash + 1), kMinStatus, kMaxStatus);
     if (!low || !high || *low > *high) {
-        return refuse(
-            fmt::format("'{}' is no status or range of them that is looked for here", range));
+        return refuse(fmt::format("'{}' is not a valid status or range of statuses", range));
     }
     check.min_status = static_cast<int>(*low);
     check.max_status = static_cast<int>(*high);
@@ -82,8 +81,8 @@
         } else if (word == "ver") {
             index += 2;
         } else {
-            return refuse(
-                fmt::format("http-check send {}: probes have a method, a path and a host", word));
+            return refuse(fmt::format(
+                "http-check send {}: probes have only a method, a path and a host", word));
         }
     }
     return check;
@@ -114,13 +113,14 @@
         return read_send(statement, std::move(check));
     }
     if (action == "disable-on-404") {
-        return refuse("a server is drained by the list, not by the answer to a probe");
+        return refuse("servers are drained by the operator's file, not by the answer to a probe");
     }
     if (action == "send-state") {
         return tl::make_unexpected(
             CheckError{Verdict::no_effect, "probes do not tell servers their state"});
     }
-    return refuse(fmt::format("http-check {}: probes are one request and one status", action));
+    return refuse(
+        fmt::format("http-check {}: a probe is one request and one expected status", action));
 }
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/keywords.cpp
+++ b/src/haproxy/keywords.cpp
@@ -10,25 +10,26 @@
 constexpr Verdict kRefused = Verdict::refused;
 
 // Explanations shared by several keywords.
-constexpr const char* kLogsOnly = "for logs alone";
-constexpr const char* kAnswers = "answers are the proxies' and servers' own";
-constexpr const char* kConnections = "how proxies keep connections is theirs";
-constexpr const char* kProcess = "how the original's process runs";
+constexpr const char* kLogsOnly = "affects logs only";
+constexpr const char* kAnswers = "answers are up to the proxies and servers";
+constexpr const char* kConnections = "connection handling is up to the proxies";
+constexpr const char* kProcess = "concerns the HAProxy process only";
 constexpr const char* kServerProbes =
-    "probes connect, or ask by HTTP; until then servers that are checked are only connected to";
+    "probes connect or send an HTTP request; without httpchk, checked servers are only connected "
+    "to";
 constexpr const char* kMonitor =
-    "a request for a sign of life passes like others here: answer it at the proxies";
-constexpr const char* kServerHeaders = "headers for servers are the proxies' own";
-constexpr const char* kSoundRequest = "what a sound request is, is the proxies' matter";
-constexpr const char* kNamesOnly = "names alone count";
-constexpr const char* kStateFile = "the planner starts from the list";
+    "monitoring requests are routed like any others here: answer them at the proxies";
+constexpr const char* kServerHeaders = "headers sent to servers are up to the proxies";
+constexpr const char* kSoundRequest = "validating requests is up to the proxies";
+constexpr const char* kNamesOnly = "only names matter";
+constexpr const char* kStateFile = "the planner starts from the operator's file";
 constexpr const char* kAnswerRules =
-    "what is done to answers does not route; what it refused passes now";
+    "rules on answers do not affect routing; answers that they refused now pass";
 constexpr const char* kListedServers =
-    "an RPC goes to a listed server, never to where its client meant it";
-constexpr const char* kNoFastCgi = "FastCGI is not spoken to servers";
-constexpr const char* kNoMail = "nobody is written to";
-constexpr const char* kNoProgram = "no program is run to probe a server: use httpchk";
+    "RPCs go to listed servers only, never to an address that the client chose";
+constexpr const char* kNoFastCgi = "FastCGI servers are not supported";
+constexpr const char* kNoMail = "no mail is sent";
+constexpr const char* kNoProgram = "no programs are run to probe servers: use httpchk";
 
 // Keywords of frontend, backend, listen and defaults sections.
 const std::map<std::string, FixedVerdict> kKeywords{
@@ -42,10 +43,10 @@
     {"declare", {kNoEffect, kLogsOnly}},
     {"unique-id-format", {kNoEffect, kLogsOnly}},
     {"unique-id-header", {kNoEffect, kLogsOnly}},
-    {"description", {kNoEffect, "a remark"}},
+    {"description", {kNoEffect, "a description only"}},
     {"id", {kNoEffect, kNamesOnly}},
     {"guid", {kNoEffect, kNamesOnly}},
-    {"stats", {kNoEffect, "its pages are the original's own"}},
+    {"stats", {kNoEffect, "the pages are HAProxy's own"}},
     {"errorfile", {kNoEffect, kAnswers}},
     {"errorfiles", {kNoEffect, kAnswers}},
     {"errorloc", {kNoEffect, kAnswers}},
@@ -67,35 +68,37 @@
     {"srvtcpka-idle", {kNoEffect, kConnections}},
     {"srvtcpka-intvl", {kNoEffect, kConnections}},
     {"email-alert", {kNoEffect, kNoMail}},
-    {"grace", {kNoEffect, "how the original stops"}},
+    {"grace", {kNoEffect, "concerns only how HAProxy stops"}},
     {"load-server-state-from-file", {kNoEffect, kStateFile}},
     {"server-state-file-name", {kNoEffect, kStateFile}},
     {"monitor-uri", {kRefused, kMonitor}},
     {"monitor", {kRefused, kMonitor}},
     {"monitor-net", {kRefused, kMonitor}},
     {"rate-limit",
-     {kRefused, "levels follow what the fleet bears, not a rate: limit connections instead"}},
+     {kRefused, "levels follow the capacity of the fleet, not a rate: limit connections instead"}},
     {"hash-balance-factor",
-     {kRefused, "a key's server takes no more than its limit: set maxconn instead"}},
-    {"hash-preserve-affinity", {kRefused, "a key's server is left while it may not be used"}},
-    {"dispatch", {kRefused, "an address without health or weight: write a server line"}},
+     {kRefused, "the server of a key is bounded by its own limit only: set maxconn instead"}},
+    {"hash-preserve-affinity",
+     {kRefused, "a key moves to another server while its own may not be used"}},
+    {"dispatch", {kRefused, "the address has no health or weight: write a server line instead"}},
     {"transparent", {kRefused, kListedServers}},
-    {"source", {kRefused, "the proxies' own addresses are used"}},
-    {"filter", {kRefused, "filters have no equal here"}},
+    {"source", {kRefused, "proxies use their own addresses"}},
+    {"filter", {kRefused, "filters are not supported"}},
     {"external-check", {kRefused, kNoProgram}},
     {"force-persist",
-     {kRefused, "a server that is down is left unless its pool says `option persist`"}},
-    {"ignore-persist", {kRefused, "stickiness is by pool: route these RPCs to a pool without it"}},
-    {"persist", {kRefused, "RDP's cookie is not read"}},
-    {"appsession", {kRefused, "gone from the original: use `cookie` or `balance hdr()`"}},
+     {kRefused, "RPCs leave a server that is down unless its pool has `option persist`"}},
+    {"ignore-persist",
+     {kRefused, "stickiness applies to a whole pool: route these RPCs to a pool without it"}},
+    {"persist", {kRefused, "RDP cookies are not read"}},
+    {"appsession", {kRefused, "removed from HAProxy: use `cookie` or `balance hdr()`"}},
     {"fcgi-app", {kRefused, kNoFastCgi}},
     {"use-fcgi-app", {kRefused, kNoFastCgi}},
     {"http-send-name-header", {kNoEffect, kServerHeaders}},
     {"server-state-file", {kNoEffect, kStateFile}},
     {"bind-process", {kNoEffect, kProcess}},
     {"acl-file", {kRefused, "values from a file are not read"}},
-    {"reqrep", {kRefused, "gone from the original: http-request replace-*"}},
-    {"rspadd", {kRefused, "gone from the original"}},
+    {"reqrep", {kRefused, "removed from HAProxy: use http-request replace-*"}},
+    {"rspadd", {kRefused, "removed from HAProxy"}},
 };
 
 // By the word after `option`.
@@ -113,8 +116,8 @@
     {"forwardfor", {kNoEffect, kServerHeaders}},
     {"originalto", {kNoEffect, kServerHeaders}},
     {"forwarded", {kNoEffect, kServerHeaders}},
-    {"h1-case-adjust-bogus-client", {kNoEffect, "headers are the proxies' own"}},
-    {"h1-case-adjust-bogus-server", {kNoEffect, "headers are the proxies' own"}},
+    {"h1-case-adjust-bogus-client", {kNoEffect, "headers are up to the proxies"}},
+    {"h1-case-adjust-bogus-server", {kNoEffect, "headers are up to the proxies"}},
     {"http-server-close", {kNoEffect, kConnections}},
     {"httpclose", {kNoEffect, kConnections}},
     {"forceclose", {kNoEffect, kConnections}},
@@ -142,7 +145,7 @@
     {"accept-invalid-http-response", {kNoEffect, kAnswers}},
     {"checkcache", {kNoEffect, kAnswers}},
     {"http-restrict-req-hdr-names", {kNoEffect, kSoundRequest}},
-    {"abortonclose", {kNoEffect, "whoever left no longer waits, here always"}},
+    {"abortonclose", {kNoEffect, "always on here: RPCs of clients that left no longer wait"}},
     {"disable-h2-upgrade", {kNoEffect, kConnections}},
     {"http_proxy", {kRefused, kListedServers}},
     {"transparent", {kRefused, kListedServers}},
@@ -158,14 +161,14 @@
 
 // By the word after `timeout`.
 const std::map<std::string, FixedVerdict> kTimeouts{
-    {"client", {kNoEffect, "how long clients may be silent is the proxies' matter"}},
-    {"client-fin", {kNoEffect, "how connections end is the proxies' matter"}},
-    {"client-hs", {kNoEffect, "how connections begin is the proxies' matter"}},
-    {"server-fin", {kNoEffect, "how connections end is the proxies' matter"}},
-    {"http-request", {kNoEffect, "how long a request may take to come is the proxies' matter"}},
-    {"http-keep-alive", {kNoEffect, "how long idle connections stay is the proxies' matter"}},
-    {"tunnel", {kNoEffect, "tunnels are the proxies' matter"}},
-    {"tarpit", {kNoEffect, "nobody is held back: an answer that is final is given at once"}},
+    {"client", {kNoEffect, "client timeouts are up to the proxies"}},
+    {"client-fin", {kNoEffect, "closing connections is up to the proxies"}},
+    {"client-hs", {kNoEffect, "opening connections is up to the proxies"}},
+    {"server-fin", {kNoEffect, "closing connections is up to the proxies"}},
+    {"http-request", {kNoEffect, "request timeouts are up to the proxies"}},
+    {"http-keep-alive", {kNoEffect, "idle timeouts are up to the proxies"}},
+    {"tunnel", {kNoEffect, "tunnels are up to the proxies"}},
+    {"tarpit", {kNoEffect, "clients are not delayed: a final answer is sent at once"}},
 };
 
 // Keywords of the global section that configure HAProxy's process.
@@ -295,31 +298,32 @@
         return {kNoEffect, kProcess};
     }
     if (word == "maxconn") {
-        return {kRefused, "there is no limit of the process: set connections_most at listeners"};
+        return {kRefused,
+                "there is no limit for the whole process: set connections_most at listeners"};
     }
     if (word == "maxconnrate" || word == "maxsessrate") {
-        return {kRefused, "there is no limit by rate: set connections_most at listeners"};
+        return {kRefused, "there is no rate limit: set connections_most at listeners"};
     }
     if (kProcessKeywords.contains(word)) {
         return {kNoEffect, kProcess};
     }
-    return {kRefused, "no keyword of this section that is known here"};
+    return {kRefused, "unknown keyword in the global section"};
 }
 
 FixedVerdict other_section_verdict(const std::string& kind) {
     static const std::map<std::string, FixedVerdict> kSections{
         {"peers", {kNoEffect, "nothing is stored that peers would share: keys are spread by hash"}},
         {"resolvers", {kRefused, "no names are looked up here: list addresses"}},
-        {"userlist", {kNoEffect, "who a client is does not route"}},
-        {"program", {kNoEffect, "other programs are not started from here"}},
-        {"cache", {kNoEffect, "no answers are kept"}},
+        {"userlist", {kNoEffect, "users do not affect routing"}},
+        {"program", {kNoEffect, "no other programs are started"}},
+        {"cache", {kNoEffect, "answers are not cached"}},
         {"ring", {kNoEffect, kLogsOnly}},
         {"log-forward", {kNoEffect, kLogsOnly}},
         {"mailers", {kNoEffect, kNoMail}},
         {"http-errors", {kNoEffect, kAnswers}},
-        {"crt-store", {kNoEffect, "certificates are the proxies' own"}},
+        {"crt-store", {kNoEffect, "certificates are up to the proxies"}},
     };
-    const FixedVerdict unknown{kRefused, "this section has no equal here"};
+    const FixedVerdict unknown{kRefused, "sections of this kind are not supported"};
     return find_verdict(kSections, kind).value_or(unknown);
 }
 
--- a/src/haproxy/lexer.cpp
+++ b/src/haproxy/lexer.cpp
@@ -72,7 +72,7 @@
     [[nodiscard]] bool split() {
         Step step = Step::proceed;
         while (step == Step::proceed && position_ < text_.size()) {
-            step = read_one();
+            step = read_next();
         }
         if (step == Step::continued) {
             return false;
@@ -81,8 +81,7 @@
             return true;
         }
         if (quote_ != Quote::none) {
-            fail(column_ > 0 ? static_cast<std::size_t>(column_ - 1) : 0,
-                 "a quote without its end");
+            fail(column_ > 0 ? static_cast<std::size_t>(column_ - 1) : 0, "unterminated quote");
             return true;
         }
         end_word();
@@ -103,7 +102,7 @@
         return index < text_.size() ? text_[index] : '\0';
     }
 
-    Step read_one() {
+    Step read_next() {
         const char character = text_[position_];
         if (character == '\0') {
             return fail(position_, "a NUL byte");
@@ -362,7 +361,7 @@
     on_line_(std::move(line));
 }
 
-std::string Lexer::value_of(std::string_view name) const {
+std::string Lexer::variable_value(std::string_view name) const {
     if (name == ".FILE") {
         return file_;
     }
@@ -374,7 +373,7 @@
 }
 
 bool Lexer::split(Line& line) const {
-    const auto lookup = [this](std::string_view name) { return value_of(name); };
+    const auto lookup = [this](std::string_view name) { return variable_value(name); };
     return WordSplitter(pending_, lookup, line).split();
 }
 
--- a/src/haproxy/lexer.hpp
+++ b/src/haproxy/lexer.hpp
@@ -68,7 +68,7 @@
     void end_line();
     /// Splits the pending line into words. Returns false if the line continues on the next one.
     [[nodiscard]] bool split(Line& line) const;
-    [[nodiscard]] std::string value_of(std::string_view name) const;
+    [[nodiscard]] std::string variable_value(std::string_view name) const;
 
     std::string file_;
     const Environment& environment_;
--- a/src/haproxy/section.cpp
+++ b/src/haproxy/section.cpp
@@ -30,7 +30,7 @@
             } else if (const auto fixed = fixed_verdict(statement)) {
                 add_verdict(fixed->verdict, fixed->message);
             } else {
-                add_verdict(Verdict::refused, "no keyword of these sections that is known here");
+                add_verdict(Verdict::refused, "unknown keyword in this section");
             }
         }
         return std::move(draft_);
@@ -82,7 +82,7 @@
     void add_setting_verdict(Verdict verdict, const std::string& message = "") {
         add_verdict(verdict, message);
         findings_.set_unused_message(statement_->number,
-                                     "no section goes by it: overridden, or of no use there");
+                                     "not used by any section: overridden, or of no use there");
     }
 
     bool is_defaults() const { return draft_.section->kind == "defaults"; }
@@ -105,7 +105,7 @@
             add_verdict(Verdict::changed,
                         "each connection counts as one RPC; paths, hosts and headers are not seen");
         } else {
-            add_verdict(Verdict::refused, fmt::format("mode '{}' has no equal here", word(1)));
+            add_verdict(Verdict::refused, fmt::format("mode '{}' is not supported", word(1)));
         }
         draft_.settings.mode.set(word(1), statement_->number);
     }
@@ -123,8 +123,8 @@
     void hash_type() {
         add_setting_verdict(
             Verdict::changed,
-            "keys are spread by weighted rendezvous hashing: a server that leaves takes only "
-            "its own keys along");
+            "keys are spread by weighted rendezvous hashing: when a server leaves, only its "
+            "own keys move");
         draft_.settings.hash_type.set(word(1), statement_->number);
     }
 
@@ -135,8 +135,8 @@
         }
         add_setting_verdict(
             Verdict::changed,
-            "without the original's wait of a second before the same server is tried again; "
-            "the planner orders fewer while levels are cut");
+            "without HAProxy's wait of one second before a retry at the same server; "
+            "the planner orders fewer retries while levels are cut");
         draft_.settings.retries.set(*value, statement_->number);
     }
 
@@ -163,8 +163,8 @@
         if (retries_more) {
             add_setting_verdict(
                 Verdict::changed,
-                "after any failure, and only where the RPC is idempotent: nothing that may "
-                "have run takes effect twice");
+                "after any failure, but only if the RPC is idempotent, so that nothing takes "
+                "effect twice");
         } else {
             add_setting_verdict(Verdict::translated);
         }
@@ -206,7 +206,7 @@
         if (redispatch.interval == -1 || redispatch.interval == 1) {
             add_setting_verdict(Verdict::translated);
         } else {
-            add_setting_verdict(Verdict::changed, "only the last try goes to another server");
+            add_setting_verdict(Verdict::changed, "only the last attempt goes to another server");
         }
         draft_.settings.redispatch.set(redispatch, statement_->number);
     }
@@ -235,7 +235,7 @@
         }
         add_setting_verdict(
             name == "server" ? Verdict::changed : Verdict::translated,
-            name == "server" ? "the whole answer is due within it, not each silence of it" : "");
+            name == "server" ? "limits the whole answer, not each pause within it" : "");
         draft_.settings.timeouts[name].set(*value, statement_->number);
     }
 
@@ -255,7 +255,7 @@
         }
         add_setting_verdict(
             Verdict::changed,
-            "limits of servers do not move with the pool's load: each is maxconn at any time");
+            "server limits do not vary with the pool's load: each is always maxconn");
         draft_.settings.full_conn.set(*value, statement_->number);
     }
 
@@ -271,8 +271,8 @@
         if (sets_cookie) {
             add_setting_verdict(
                 Verdict::changed,
-                "an RPC that bears the cookie stays with its server; the proxy, not the "
-                "planner, is to set it");
+                "an RPC that carries the cookie stays with its server; the proxy, not the "
+                "planner, has to set it");
         } else {
             add_setting_verdict(Verdict::translated);
         }
@@ -297,12 +297,13 @@
         if (word(1) == "connect" && statement_->size() == 2) {
             return add_verdict(Verdict::translated, "a connection is a sign of health");
         }
-        add_verdict(Verdict::refused, "probes connect, or ask by HTTP; scripts have no equal here");
+        add_verdict(Verdict::refused,
+                    "probes connect or send an HTTP request; scripts are not supported");
     }
 
     void stick_table() {
         if (word(1) != "type") {
-            return add_verdict(Verdict::refused, "a table is read from its type on");
+            return add_verdict(Verdict::refused, "stick-table must begin with its type");
         }
         add_setting_verdict(
             Verdict::changed,
@@ -331,7 +332,7 @@
         }
         draft_.settings.default_server = words;
         draft_.settings.default_server_lines.push_back(statement_->number);
-        findings_.set_unused_message(statement_->number, "no server goes by it");
+        findings_.set_unused_message(statement_->number, "not used by any server");
     }
 
     // Returns whether the statement is allowed in this section. Refuses the line if the section is
@@ -339,7 +340,7 @@
     bool check_allowed(bool is_allowed, const char* message) {
         if (is_defaults()) {
             add_verdict(Verdict::refused,
-                        "in defaults it is not taken over here: put it into the sections");
+                        "not inherited from defaults here: put it into the sections");
             return false;
         }
         if (!is_allowed) {
@@ -375,15 +376,14 @@
 
     void rule() { keep_in(draft_.rules, true, ""); }
     void use_server() {
-        add_verdict(
-            Verdict::refused,
-            "an RPC is not given to one server by a rule: make a pool of that server and a route "
-            "to it");
+        add_verdict(Verdict::refused,
+                    "rules can't choose a single server: make a pool of that server and a route "
+                    "to it");
     }
 
     void disabled() {
         draft_.disabled = true;
-        add_verdict(Verdict::translated, "the whole section counts as disabled");
+        add_verdict(Verdict::translated, "the whole section is disabled");
     }
 
     void enabled() {
--- a/src/haproxy/section.hpp
+++ b/src/haproxy/section.hpp
@@ -81,8 +81,7 @@
 struct ServerStatement {
     const Statement* statement;
     ServerWords words;
-    std::vector<std::size_t>
-        default_lines;  ///< indices of the findings of its `default-server` lines
+    std::vector<std::size_t> default_lines;  ///< findings of the `default-server` lines
 };
 
 /// A section with its settings. Statements that are translated later are grouped by kind. All
--- a/src/haproxy/translate.cpp
+++ b/src/haproxy/translate.cpp
@@ -88,7 +88,7 @@
     void read_defaults(const Section& section) {
         const Settings* from = inherited(section);
         findings().add_verdict(section.header.number, Verdict::translated,
-                               "its settings stand in the sections that take them over");
+                               "its settings apply to the sections that inherit them");
         all_defaults_.push_back(std::make_unique<Settings>(
             read_section(section, from ? *from : Settings{}, findings()).settings));
         last_defaults_ = all_defaults_.back().get();
@@ -109,7 +109,7 @@
     void read_other(const Section& section) {
         if (section.kind == "global") {
             findings().add_verdict(section.header.number, Verdict::no_effect,
-                                   "how the original's process runs");
+                                   "concerns the HAProxy process only");
             for (const Statement& statement : section.statements) {
                 const FixedVerdict fixed = global_verdict(statement);
                 findings().add_verdict(statement.number, fixed.verdict, fixed.message);
--- a/src/haproxy/tree.cpp
+++ b/src/haproxy/tree.cpp
@@ -153,13 +153,13 @@
     std::string read_word() {
         skip_blanks();
         const std::size_t start = position_;
-        while (position_ < text_.size() && in_word(text_[position_])) {
+        while (position_ < text_.size() && is_word_character(text_[position_])) {
             ++position_;
         }
         return std::string(text_.substr(start, position_ - start));
     }
 
-    static bool in_word(char character) {
+    static bool is_word_character(char character) {
         return std::isalnum(static_cast<unsigned char>(character)) != 0 || character == '_';
     }
 
@@ -210,7 +210,7 @@
         if (function == "version_before") {
             return !version_is_at_least(first);
         }
-        return fail(fmt::format("{}() asks for what only the original knows", function));
+        return fail(fmt::format("{}() depends on the HAProxy process", function));
     }
 
     // Keeps the first error only.
@@ -288,13 +288,14 @@
     if (!value) {
         tree_.findings.add_verdict(
             number, Verdict::refused,
-            fmt::format("the condition can't be told here: {}; keep the branch that is meant",
-                        value.error().message));
+            fmt::format(
+                "the condition can't be evaluated here: {}; keep only the branch that applies",
+                value.error().message));
         return Branch::unknown;
     }
-    tree_.findings.add_verdict(
-        number, Verdict::translated,
-        *value ? "holds: its lines count" : "does not hold: its lines don't count");
+    tree_.findings.add_verdict(number, Verdict::translated,
+                               *value ? "the condition holds: its lines are read"
+                                      : "the condition does not hold: its lines are skipped");
     return *value ? Branch::active : Branch::pending;
 }
 
@@ -313,13 +314,14 @@
     Branch& branch = branches_.back();
     Findings& findings = tree_.findings;
     if (branch == Branch::unknown) {
-        findings.add_verdict(number, Verdict::refused, "of a condition that can't be told here");
+        findings.add_verdict(number, Verdict::refused,
+                             "belongs to a condition that can't be evaluated here");
     } else if (branch != Branch::pending) {
         branch = Branch::done;
         findings.add_verdict(number, Verdict::no_effect, "in a branch that is not taken");
     } else if (line.word(0) == ".else") {
         branch = Branch::active;
-        findings.add_verdict(number, Verdict::translated, "its lines count");
+        findings.add_verdict(number, Verdict::translated, "its lines are read");
     } else {
         branch = branch_for_condition(line, number);
     }
@@ -348,10 +350,10 @@
         return false;
     }
     if (word == ".alert" && in_active_branch()) {
-        fail(location, 1, "the file itself stops here (.alert)");
+        fail(location, 1, ".alert ends the configuration here");
     } else {
         tree_.findings.add_verdict(number, Verdict::no_effect,
-                                   "a message to whoever starts the original");
+                                   "a message that HAProxy prints when it starts");
     }
     return true;
 }
@@ -375,7 +377,7 @@
                       [&kept](const auto& variable) { return !kept.contains(variable.first); });
     }
     tree_.findings.add_verdict(statement.number, Verdict::translated,
-                               "heeded in the quotes of the lines that follow");
+                               "expanded in quoted words of the following lines");
 }
 
 void TreeBuilder::add_line(Line&& line) {
@@ -400,7 +402,7 @@
     }
     if (line.words.size() > kMaxLineWords) {
         fail(location, line.words[kMaxLineWords].column,
-             fmt::format("over {} words in a line, which the original refuses", kMaxLineWords));
+             fmt::format("over {} words in a line, which HAProxy refuses", kMaxLineWords));
         return;
     }
     Statement statement{std::move(line), number, false};
@@ -414,7 +416,7 @@
 void TreeBuilder::skip_line(std::size_t number) {
     if (std::find(branches_.begin(), branches_.end(), Branch::unknown) != branches_.end()) {
         tree_.findings.add_verdict(number, Verdict::refused,
-                                   "behind a condition that can't be told here");
+                                   "depends on a condition that can't be evaluated here");
     } else {
         tree_.findings.add_verdict(number, Verdict::no_effect, "in a branch that is not taken");
     }
@@ -448,10 +450,11 @@
         fail(location, 1, fmt::format("{} without a name", kind));
     } else if (!section.name.empty() && kind != "global" && !is_valid_name(section.name)) {
         fail(location, column(1),
-             fmt::format("'{}' is no name: letters, digits and -_.:, 128 at most", section.name));
+             fmt::format("'{}' is not a valid name: letters, digits and -_.:, 128 at most",
+                         section.name));
     } else if (takes_no_more_words && next < header.size()) {
         fail(location, column(next),
-             fmt::format("'{}' is not known behind {}", header.word(next), kind));
+             fmt::format("'{}' is not known after {}", header.word(next), kind));
     }
 }
 
--- a/src/haproxy/units.cpp
+++ b/src/haproxy/units.cpp
@@ -113,7 +113,7 @@
     }
     std::string_view port = text.substr(close + 1);
     if (!port.empty() && !port.starts_with(':')) {
-        return tl::make_unexpected(std::string_view{"has more behind its ]"});
+        return tl::make_unexpected(std::string_view{"has extra text after its ]"});
     }
     if (!port.empty()) {
         port.remove_prefix(1);
@@ -155,14 +155,14 @@
     const auto address = routing::parse_address(host);
     if (!address) {
         if (!is_host_name(host)) {
-            return tl::make_unexpected(std::string_view{"is no address"});
+            return tl::make_unexpected(std::string_view{"is not an address"});
         }
         return Endpoint::Kind::needs_look_up;
     }
     const bool is_other_family =
         (meaning == Meaning::ipv4 && !address->v4) || (meaning == Meaning::ipv6 && address->v4);
     if (is_other_family) {
-        return tl::make_unexpected(std::string_view{"is of the other family"});
+        return tl::make_unexpected(std::string_view{"is of the wrong address family"});
     }
     return Endpoint::Kind::literal;
 }
@@ -181,7 +181,7 @@
         return failure<std::int64_t>(fmt::format("'{}' is not from {} to {}", text, min, max));
     }
     if (!is_number) {
-        return failure<std::int64_t>(fmt::format("'{}' is no whole number", text));
+        return failure<std::int64_t>(fmt::format("'{}' is not a whole number", text));
     }
     return {number, ""};
 }
@@ -194,7 +194,7 @@
         return failure<Duration>(fmt::format("'{}' is longer than a timer holds", text));
     }
     if (parsed.ec != std::errc{} || number < 0) {
-        return failure<Duration>(fmt::format("'{}' is no time", text));
+        return failure<Duration>(fmt::format("'{}' is not a time", text));
     }
     const auto unit_start = static_cast<std::size_t>(parsed.ptr - begin);
     const auto unit = microseconds_in(text.substr(unit_start));
@@ -239,7 +239,7 @@
         return {endpoint, ""};
     }
     if (address.empty()) {
-        return bad_endpoint(text, "is no address");
+        return bad_endpoint(text, "is not an address");
     }
     const auto parts = split_host_and_port(address);
     if (!parts) {
--- a/tests/command_test.cpp
+++ b/tests/command_test.cpp
@@ -97,7 +97,7 @@
     const std::string bad = folder.file("bad.cfg", "backend web\n server a \"10.0.0.1\n");
     const Ran ran = run({"import", "haproxy", bad, "--out", out});
     CHECK((ran.code == command::kInvalidInput && ran.out.empty() &&
-           ran.err == bad + ":2:11: a quote without its end\n"));
+           ran.err == bad + ":2:11: unterminated quote\n"));
     CHECK(read(out) == "old");
     CHECK(run({"import", "haproxy", folder.at("none.cfg"), "--out", out}).code ==
           command::kInvalidInput);
--- a/tests/haproxy_test.cpp
+++ b/tests/haproxy_test.cpp
@@ -110,11 +110,11 @@
         return import.faults.empty() ? "" : import.faults.front().text();
     };
     CHECK(trouble("server a 1.1.1.1:1\n") == "x.cfg:1:1: 'server' before any section");
-    CHECK(trouble("backend web\n server a \"1.1\n") == "x.cfg:2:11: a quote without its end");
-    CHECK(trouble("backend web\n balance 'x\n") == "x.cfg:2:10: a quote without its end");
+    CHECK(trouble("backend web\n server a \"1.1\n") == "x.cfg:2:11: unterminated quote");
+    CHECK(trouble("backend web\n balance 'x\n") == "x.cfg:2:10: unterminated quote");
     CHECK(trouble("backend\n") == "x.cfg:1:1: backend without a name");
     CHECK(trouble("backend we/b\n") ==
-          "x.cfg:1:9: 'we/b' is no name: letters, digits and -_.:, 128 at most");
+          "x.cfg:1:9: 'we/b' is not a valid name: letters, digits and -_.:, 128 at most");
     CHECK(trouble(std::string("backend web\n id \0 x\n", 20)) == "x.cfg:2:5: a NUL byte");
     CHECK(trouble("backend web\n id \"${A\"\n") == "x.cfg:2:6: ${ without its }");
     CHECK(trouble("backend web\n id \\xZZ\n") == "x.cfg:2:5: \\x without two hexadecimal digits");
@@ -253,7 +253,8 @@
                 if (finding.verdict == haproxy::Verdict::refused && finding.message.empty()) {
                     FAIL(name << " at " << length);
                 }
-                if (finding.message == "nothing here knows this line" && import.faults.empty()) {
+                if (finding.message == "the importer has no rule for this line" &&
+                    import.faults.empty()) {
                     FAIL(name << " at " << length << ", line " << finding.line);
                 }
             }
