--- a/src/haproxy/acl.cpp
+++ b/src/haproxy/acl.cpp
@@ -94,7 +94,7 @@
     acl.lines.push_back(statement.number);
     const TranslatedCondition condition =
         name.empty() ? refuse_condition("its name is missing")
-                     : expression_of(statement.line.words, 2, statement.size(), scope_);
+                     : translate_expression(statement.line.words, 2, statement.size(), scope_);
     if (condition) {
         findings_.say(statement.number, condition->verdict, condition->note);
         acl.alternatives.push_back(condition->match);
@@ -108,7 +108,7 @@
     findings_.set_aside(statement.number, "no rule here goes by it");
 }
 
-TranslatedCondition Acls::condition(const Statement& statement, std::size_t from) {
+TranslatedCondition Acls::translate_condition(const Statement& statement, std::size_t from) {
     if (from >= statement.size()) {
         return TranslatedMatch{Match{AllOf{}}};
     }
@@ -175,7 +175,7 @@
         return refuse_condition("a } is missing");
     }
     term.position = end;
-    return expression_of(words, first, end, scope_);
+    return translate_expression(words, first, end, scope_);
 }
 
 TranslatedCondition Acls::translate_name(const Statement& statement, const std::string& name) {
--- a/src/haproxy/acl.hpp
+++ b/src/haproxy/acl.hpp
@@ -23,7 +23,8 @@
     /// Translates `if a !b or { path /x }`: the words from `from` on, the first of which is "if" or
     /// "unless". Without words it always matches. An ACL may be used only on lines behind its first
     /// declaration.
-    [[nodiscard]] TranslatedCondition condition(const Statement& statement, std::size_t from);
+    [[nodiscard]] TranslatedCondition translate_condition(const Statement& statement,
+                                                          std::size_t from);
 
  private:
     struct Acl {
--- a/src/haproxy/acl_expression.cpp
+++ b/src/haproxy/acl_expression.cpp
@@ -212,7 +212,7 @@
 
 TranslatedCondition translate_nbsrv(const Fetch& fetch, const Pattern& pattern,
                                     const Scope& scope) {
-    const std::string& pool = fetch.argument.empty() ? scope.own : fetch.argument;
+    const std::string& pool = fetch.argument.empty() ? scope.own_pool : fetch.argument;
     if (!scope.pools.contains(pool)) {
         return refuse_condition(fmt::format("there is no backend {}", pool));
     }
@@ -386,8 +386,8 @@
 
 }  // namespace
 
-TranslatedCondition expression_of(const std::vector<Word>& words, std::size_t from, std::size_t to,
-                                  const Scope& scope) {
+TranslatedCondition translate_expression(const std::vector<Word>& words, std::size_t from,
+                                         std::size_t to, const Scope& scope) {
     if (from >= to) {
         return refuse_condition("an expression is missing");
     }
--- a/src/haproxy/acl_expression.hpp
+++ b/src/haproxy/acl_expression.hpp
@@ -41,11 +41,12 @@
 /// The pools that an expression may name.
 struct Scope {
     std::set<std::string> pools;
-    std::string own;  // the one that nbsrv means without a name; empty: none
+    std::string own_pool;  // the one that nbsrv means without a name; empty: none
 };
 
 /// Translates the expression in words [from, to).
-[[nodiscard]] TranslatedCondition expression_of(const std::vector<Word>& words, std::size_t from,
-                                                std::size_t to, const Scope& scope);
+[[nodiscard]] TranslatedCondition translate_expression(const std::vector<Word>& words,
+                                                       std::size_t from, std::size_t to,
+                                                       const Scope& scope);
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/pools.cpp
+++ b/src/haproxy/pools.cpp
@@ -117,7 +117,7 @@
 
 }  // namespace
 
-void PoolMaker::add(const Draft& draft) {
+void PoolBuilder::add(const Draft& draft) {
     const Section& section = *draft.section;
     const Settings& settings = draft.settings;
     const std::size_t header = section.header.number;
@@ -150,7 +150,7 @@
     pools_.push_back(std::move(pool));
 }
 
-std::optional<Duration> PoolMaker::timeout(const Settings& settings, const std::string& name) {
+std::optional<Duration> PoolBuilder::timeout(const Settings& settings, const std::string& name) {
     const auto found = settings.timeouts.find(name);
     if (found == settings.timeouts.end()) {
         return std::nullopt;
@@ -158,7 +158,7 @@
     return found->second.get(findings_);
 }
 
-void PoolMaker::set_timeouts(const Draft& draft, routing::Pool& pool) {
+void PoolBuilder::set_timeouts(const Draft& draft, routing::Pool& pool) {
     const Settings& settings = draft.settings;
     const std::optional<Duration> connect = timeout(settings, "connect");
     const std::optional<Duration> answer = timeout(settings, "server");
@@ -183,7 +183,7 @@
     }
 }
 
-void PoolMaker::set_retries(const Settings& settings, routing::Pool& pool) {
+void PoolBuilder::set_retries(const Settings& settings, routing::Pool& pool) {
     using routing::RetryRule;
     const auto retry_on = settings.retry_on.get_or({true, false}, findings_);
     const bool any_retry = retry_on.first;
@@ -201,7 +201,7 @@
     }
 }
 
-void PoolMaker::set_health_check(const Settings& settings, routing::Pool& pool) {
+void PoolBuilder::set_health_check(const Settings& settings, routing::Pool& pool) {
     if (settings.check) {
         const Check& check = settings.check.get(findings_);
         if (check.http) {
@@ -218,7 +218,7 @@
     }
 }
 
-void PoolMaker::stickiness(const Draft& draft, const Balance& balance, routing::Pool& pool) {
+void PoolBuilder::stickiness(const Draft& draft, const Balance& balance, routing::Pool& pool) {
     const Settings& settings = draft.settings;
     pool.stickiness = stickiness_of(balance);
     bool taken = false;
@@ -241,8 +241,8 @@
     }
 }
 
-bool PoolMaker::stick_on(const Statement& statement, const Settings& settings, bool taken,
-                         routing::Pool& pool) {
+bool PoolBuilder::stick_on(const Statement& statement, const Settings& settings, bool taken,
+                           routing::Pool& pool) {
     if (statement.word(1) != "on") {
         say(statement.number, Verdict::refused,
             "nothing is stored: `stick on` with src, path, hdr() or url_param()");
@@ -274,17 +274,17 @@
     return true;
 }
 
-void PoolMaker::servers(const ServerAt& at, const Draft& draft, routing::Pool& pool) {
+void PoolBuilder::servers(const ServerAt& at, const Draft& draft, routing::Pool& pool) {
     const Statement& statement = *at.statement;
     const bool many = statement.word(0) == "server-template";
     const std::size_t from = many ? 4 : 3;
-    ServerWords words = at.words;
+    ServerParameters words = at.words;
     if (statement.size() < from) {
         return say(statement.number, Verdict::refused,
                    many ? "a prefix, a number and an address are needed"
                         : "a name and an address are needed");
     }
-    read_server_words(statement, from, words, findings_);
+    read_server_parameters(statement, from, words, findings_);
     for (const std::size_t line : at.default_lines) {
         findings_.use(line);
     }
@@ -326,8 +326,8 @@
     }
 }
 
-void PoolMaker::one_server(const ServerAt& at, const ServerWords& words, const std::string& name,
-                           const Draft& draft, routing::Pool& pool) {
+void PoolBuilder::one_server(const ServerAt& at, const ServerParameters& words,
+                             const std::string& name, const Draft& draft, routing::Pool& pool) {
     const Statement& statement = *at.statement;
     const std::size_t line = statement.number;
     const auto leave_out = [&](const std::string& why) {
@@ -384,7 +384,7 @@
 }
 
 // The pool has one rule: that of its first server that is checked.
-void PoolMaker::health(const ServerAt& at, const ServerWords& words, routing::Pool& pool) {
+void PoolBuilder::health(const ServerAt& at, const ServerParameters& words, routing::Pool& pool) {
     routing::HealthRule rule = pool.health;
     const routing::HealthRule usual;
     const bool first = health_by_.try_emplace(pool.name, at.statement->word(1)).second;
@@ -402,7 +402,7 @@
     }
 }
 
-std::vector<routing::Pool> PoolMaker::finish() {
+std::vector<routing::Pool> PoolBuilder::finish() {
     std::map<std::string, const routing::Server*> servers;
     for (const routing::Pool& pool : pools_) {
         for (const routing::Server& server : pool.servers) {
--- a/src/haproxy/pools.hpp
+++ b/src/haproxy/pools.hpp
@@ -14,9 +14,9 @@
 namespace micaroad::haproxy {
 
 /// Makes the pools of one configuration. Not thread-safe; `findings` outlives it.
-class PoolMaker {
+class PoolBuilder {
  public:
-    explicit PoolMaker(Findings& findings) : findings_(findings) {}
+    explicit PoolBuilder(Findings& findings) : findings_(findings) {}
 
     /// Makes the pool of a section with `draft.has_servers()`.
     void add(const Draft& draft);
@@ -33,9 +33,9 @@
     void set_retries(const Settings& settings, routing::Pool& pool);
     void set_health_check(const Settings& settings, routing::Pool& pool);
     void servers(const ServerAt& at, const Draft& draft, routing::Pool& pool);
-    void one_server(const ServerAt& at, const ServerWords& words, const std::string& name,
+    void one_server(const ServerAt& at, const ServerParameters& words, const std::string& name,
                     const Draft& draft, routing::Pool& pool);
-    void health(const ServerAt& at, const ServerWords& words, routing::Pool& pool);
+    void health(const ServerAt& at, const ServerParameters& words, routing::Pool& pool);
     void stickiness(const Draft& draft, const Balance& balance, routing::Pool& pool);
     /// Returns whether the line decides the pool's stickiness.
     bool stick_on(const Statement& statement, const Settings& settings, bool taken,
--- a/src/haproxy/request_rules.cpp
+++ b/src/haproxy/request_rules.cpp
@@ -270,7 +270,8 @@
 
     void turn_away(const Rule& rule) {
         const auto status = read_denial_status(rule);
-        const TranslatedCondition condition = acls_.condition(*rule.statement, rule.condition);
+        const TranslatedCondition condition =
+            acls_.translate_condition(*rule.statement, rule.condition);
         if (!status) {
             return refuse_denial(rule, status.error().reason);
         }
@@ -284,8 +285,8 @@
         const Match match = match_both(not_allowed_, condition->match);
         denials_.push_back({match, *status});
         if (sink_ != nullptr) {
-            sink_->routes.push_back(
-                {sink_->names.next("deny", *rule.statement), match, routing::Reject{*status}});
+            sink_->routes.push_back({sink_->names.unique_name("deny", *rule.statement), match,
+                                     routing::Reject{*status}});
         }
         report_denial(rule, *condition, *status);
     }
@@ -310,7 +311,8 @@
     }
 
     void allow(const Rule& rule) {
-        const TranslatedCondition condition = acls_.condition(*rule.statement, rule.condition);
+        const TranslatedCondition condition =
+            acls_.translate_condition(*rule.statement, rule.condition);
         if (!condition) {
             allow_refused_ = true;
             return report(rule, Verdict::refused,
@@ -323,7 +325,8 @@
 
     void redirect(const Rule& rule) {
         const routing::Redirect target = read_redirect(rule);
-        const TranslatedCondition condition = acls_.condition(*rule.statement, rule.condition);
+        const TranslatedCondition condition =
+            acls_.translate_condition(*rule.statement, rule.condition);
         if (!condition) {
             return refuse_redirect(rule, condition.error().reason);
         }
@@ -333,7 +336,7 @@
         if (target.location.empty() || target.location.find("%[") != std::string::npos) {
             return refuse_redirect(rule, "only a location that stands in the line can be told");
         }
-        sink_->routes.push_back({sink_->names.next("redirect", *rule.statement),
+        sink_->routes.push_back({sink_->names.unique_name("redirect", *rule.statement),
                                  match_both(not_allowed_, condition->match), target});
         report(rule, verdict_behind_allow(*condition), condition->note);
     }
@@ -385,7 +388,7 @@
 
 }  // namespace
 
-std::string RouteNames::next(const std::string& purpose, const Statement& statement) {
+std::string RouteNames::unique_name(const std::string& purpose, const Statement& statement) {
     const std::string name = fmt::format("{}-{}", purpose, statement.line.number);
     const int earlier_uses = uses_[name]++;
     return earlier_uses == 0 ? name : fmt::format("{}.{}", name, earlier_uses + 1);
--- a/src/haproxy/request_rules.hpp
+++ b/src/haproxy/request_rules.hpp
@@ -16,7 +16,7 @@
 
 /// RPCs that a section answers itself with an error.
 struct Denial {
-    routing::Match when;
+    routing::Match match;
     int status;  // of HTTP, 400 to 599
 };
 
@@ -24,7 +24,7 @@
 /// a counter where that pair occurs again.
 class RouteNames {
  public:
-    [[nodiscard]] std::string next(const std::string& purpose, const Statement& statement);
+    [[nodiscard]] std::string unique_name(const std::string& purpose, const Statement& statement);
 
  private:
     std::map<std::string, int> uses_;
--- a/src/haproxy/routes.cpp
+++ b/src/haproxy/routes.cpp
@@ -51,7 +51,8 @@
 
 }  // namespace
 
-RouteMaker::RouteMaker(const std::vector<Draft>& drafts, Findings& findings) : findings_(findings) {
+ListenerBuilder::ListenerBuilder(const std::vector<Draft>& drafts, Findings& findings)
+    : findings_(findings) {
     for (const Draft& draft : drafts) {
         if (draft.has_servers()) {
             pools_.insert(draft.section->name);
@@ -67,7 +68,7 @@
     }
 }
 
-routing::Listener RouteMaker::listener(const Draft& draft) {
+routing::Listener ListenerBuilder::make_listener(const Draft& draft) {
     const Section& section = *draft.section;
     routing::Listener listener;
     listener.name = section.name;
@@ -90,7 +91,7 @@
     return listener;
 }
 
-void RouteMaker::translate_bind(const Statement& statement, routing::Listener& listener) {
+void ListenerBuilder::translate_bind(const Statement& statement, routing::Listener& listener) {
     const BindAddresses addresses = read_bind_addresses(statement.word(1));
     listener.addresses.insert(listener.addresses.end(), addresses.usable.begin(),
                               addresses.usable.end());
@@ -107,14 +108,15 @@
            has_options ? "how proxies listen there (TLS, options) is theirs" : "");
 }
 
-void RouteMaker::translate_use_backend(const Statement& statement, Acls& acls, RouteSink& sink) {
+void ListenerBuilder::translate_use_backend(const Statement& statement, Acls& acls,
+                                            RouteSink& sink) {
     const std::string& pool = statement.word(1);
     if (pool.find("%[") != std::string::npos) {
         return report(statement, Verdict::refused,
                       "a pool's name can't be made from the RPC: write a line for each pool; what "
                       "it took goes on to the routes behind it");
     }
-    const TranslatedCondition condition = acls.condition(statement, 2);
+    const TranslatedCondition condition = acls.translate_condition(statement, 2);
     if (!pools_.contains(pool)) {
         return report(statement, Verdict::refused, fmt::format("there is no backend {}", pool));
     }
@@ -127,17 +129,18 @@
     report(statement, condition->verdict, condition->note);
 }
 
-void RouteMaker::add_pool_routes(const std::string& pool, const routing::Match& when,
-                                 const Statement& statement, RouteSink& sink) {
+void ListenerBuilder::add_pool_routes(const std::string& pool, const routing::Match& match,
+                                      const Statement& statement, RouteSink& sink) {
     for (const Denial& denial : denials_by_pool_[pool]) {
-        sink.routes.push_back({sink.names.next("deny-" + pool, statement),
-                               match_both(when, denial.when), routing::Reject{denial.status}});
+        sink.routes.push_back({sink.names.unique_name("deny-" + pool, statement),
+                               match_both(match, denial.match), routing::Reject{denial.status}});
     }
-    sink.routes.push_back({sink.names.next("to-" + pool, statement), when, routing::ToPool{pool}});
+    sink.routes.push_back(
+        {sink.names.unique_name("to-" + pool, statement), match, routing::ToPool{pool}});
 }
 
-void RouteMaker::translate_default_pool(const Draft& draft, routing::Listener& listener,
-                                        RouteNames& names) {
+void ListenerBuilder::translate_default_pool(const Draft& draft, routing::Listener& listener,
+                                             RouteNames& names) {
     const Section& section = *draft.section;
     const Setting<std::string>& default_backend = draft.settings.default_backend;
     if (!default_backend) {
@@ -154,7 +157,7 @@
     }
     listener.default_pool = pool;
     for (const Denial& denial : denials_by_pool_[pool]) {
-        listener.routes.push_back({names.next("deny-" + pool, section.header), denial.when,
+        listener.routes.push_back({names.unique_name("deny-" + pool, section.header), denial.match,
                                    routing::Reject{denial.status}});
     }
 }
--- a/src/haproxy/routes.hpp
+++ b/src/haproxy/routes.hpp
@@ -15,21 +15,21 @@
 namespace micaroad::haproxy {
 
 /// Makes the listeners of one configuration. Not thread-safe; `findings` outlives it.
-class RouteMaker {
+class ListenerBuilder {
  public:
     /// Translates the denials of all backends in `drafts`: each route that leads to a pool comes
     /// behind those of the pool.
-    RouteMaker(const std::vector<Draft>& drafts, Findings& findings);
+    ListenerBuilder(const std::vector<Draft>& drafts, Findings& findings);
 
     /// Makes the listener of a section with `draft.listens()`, and records the verdicts of its
     /// `bind`, rule and `use_backend` lines.
-    [[nodiscard]] routing::Listener listener(const Draft& draft);
+    [[nodiscard]] routing::Listener make_listener(const Draft& draft);
 
  private:
     void translate_bind(const Statement& statement, routing::Listener& listener);
     void translate_use_backend(const Statement& statement, Acls& acls, RouteSink& sink);
     void translate_default_pool(const Draft& draft, routing::Listener& listener, RouteNames& names);
-    void add_pool_routes(const std::string& pool, const routing::Match& when,
+    void add_pool_routes(const std::string& pool, const routing::Match& match,
                          const Statement& statement, RouteSink& sink);
     void report(const Statement& statement, Verdict verdict, const std::string& text) {
         findings_.say(statement.number, verdict, text);
--- a/src/haproxy/section.cpp
+++ b/src/haproxy/section.cpp
@@ -320,8 +320,8 @@
     }
 
     void default_server() {
-        ServerWords words = draft_.settings.default_server;
-        read_server_words(*statement_, 1, words, findings_);
+        ServerParameters words = draft_.settings.default_server;
+        read_server_parameters(*statement_, 1, words, findings_);
         if (words.left_out) {
             return;  // its line says so; servers go by what was set before
         }
--- a/src/haproxy/section.hpp
+++ b/src/haproxy/section.hpp
@@ -73,14 +73,14 @@
     Setting<std::string> stick_table;
     std::map<std::string, Setting<Duration>> timeouts;  ///< by the name behind `timeout`
     Setting<std::string> default_backend;
-    ServerWords default_server;
+    ServerParameters default_server;
     std::vector<std::size_t> default_server_lines;  ///< numbers of their findings
 };
 
 /// A server's line with the defaults that hold where it stands.
 struct ServerAt {
     const Statement* statement;
-    ServerWords words;
+    ServerParameters words;
     std::vector<std::size_t> default_lines;  ///< numbers of the findings of its defaults
 };
 
--- a/src/haproxy/server_line.cpp
+++ b/src/haproxy/server_line.cpp
@@ -119,7 +119,7 @@
 /// tells whether the keyword belongs to its group, and consumes the keyword's values if so.
 class ServerLineReader {
  public:
-    ServerLineReader(const Statement& statement, std::size_t first, ServerWords& words,
+    ServerLineReader(const Statement& statement, std::size_t first, ServerParameters& words,
                      Findings& findings)
         : statement_(statement), position_(first), words_(words), findings_(findings) {}
 
@@ -321,14 +321,14 @@
 
     const Statement& statement_;
     std::size_t position_;  // of the word being read
-    ServerWords& words_;
+    ServerParameters& words_;
     Findings& findings_;
 };
 
 }  // namespace
 
-void read_server_words(const Statement& statement, std::size_t from, ServerWords& words,
-                       Findings& findings) {
+void read_server_parameters(const Statement& statement, std::size_t from, ServerParameters& words,
+                            Findings& findings) {
     ServerLineReader(statement, from, words, findings).read();
 }
 
--- a/src/haproxy/server_line.hpp
+++ b/src/haproxy/server_line.hpp
@@ -13,7 +13,7 @@
 
 /// The parameters of one server. Those of a `default-server` line are the starting values of the
 /// servers that follow it. An absent optional means that the line does not set the parameter.
-struct ServerWords {
+struct ServerParameters {
     int weight = 1;  // 0 to 256
     bool backup = false;
     bool disabled = false;
@@ -39,7 +39,7 @@
 /// Reads the parameters from word number `from` to the end of the line into `words`, on top of the
 /// values there, and records the line's verdict in `findings`. A parameter with a bad value sets
 /// `left_out`; reading goes on behind it.
-void read_server_words(const Statement& statement, std::size_t from, ServerWords& words,
-                       Findings& findings);
+void read_server_parameters(const Statement& statement, std::size_t from, ServerParameters& words,
+                            Findings& findings);
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/translate.cpp
+++ b/src/haproxy/translate.cpp
@@ -33,7 +33,7 @@
         }
         import.troubles = std::move(tree_.troubles);
         if (import.troubles.empty()) {
-            PoolMaker pools(findings());
+            PoolBuilder pools(findings());
             add_pools(pools);
             make_listeners(import);
             import.plan.pools = pools.finish();
@@ -44,7 +44,7 @@
     }
 
  private:
-    void add_pools(PoolMaker& pools) {
+    void add_pools(PoolBuilder& pools) {
         for (const Draft& draft : drafts_) {
             if (draft.has_servers()) {
                 pools.add(draft);
@@ -53,13 +53,13 @@
     }
 
     void make_listeners(Import& import) {
-        RouteMaker routes(drafts_, findings());
+        ListenerBuilder routes(drafts_, findings());
         for (const Draft& draft : drafts_) {
             if (!draft.listens()) {
                 continue;
             }
             // A disabled section has its verdicts too, but no listener.
-            routing::Listener listener = routes.listener(draft);
+            routing::Listener listener = routes.make_listener(draft);
             if (!draft.disabled) {
                 import.plan.listeners.push_back(std::move(listener));
             }
