--- a/src/haproxy/acl.cpp
+++ b/src/haproxy/acl.cpp
@@ -25,8 +25,8 @@
     return Match{loopback};
 }
 
-/// The ACLs that HAProxy's manual lists as always defined.
-std::optional<Match> predefined(const std::string& name) {
+/// Returns the match of an ACL that HAProxy predefines; absent: there is none of that name.
+std::optional<Match> predefined_acl(const std::string& name) {
     static const std::map<std::string, std::vector<std::string>> kMethods{
         {"METH_CONNECT", {"CONNECT"}}, {"METH_DELETE", {"DELETE"}},   {"METH_GET", {"GET", "HEAD"}},
         {"METH_HEAD", {"HEAD"}},       {"METH_OPTIONS", {"OPTIONS"}}, {"METH_POST", {"POST"}},
@@ -59,11 +59,11 @@
 
 }  // namespace
 
-/// One term of a condition while it is read: `!name` or `! { path /x }`.
+/// A term of a condition, such as `!name` or `! { path /x }`.
 struct Acls::Term {
     bool negated = false;
     std::string word;          // a name or "{"
-    std::size_t position = 0;  // of its word; once it is translated, of its last word
+    std::size_t position = 0;  // of its word; after translation, of its last word
 
     Term(const std::vector<Word>& words, std::size_t from)
         : word(words[from].text), position(from) {
@@ -101,11 +101,11 @@
     } else {
         const std::string& reason = condition.error().reason;
         findings_.say(statement.number, Verdict::refused, reason);
-        if (acl.refused.empty()) {
-            acl.refused = fmt::format("ACL {} of line {}: {}", name, statement.line.number, reason);
+        if (acl.refusal.empty()) {
+            acl.refusal = fmt::format("ACL {} of line {}: {}", name, statement.line.number, reason);
         }
     }
-    findings_.set_aside(statement.number, "no rule here goes by it");
+    findings_.set_aside(statement.number, "no condition in this section uses it");
 }
 
 TranslatedCondition Acls::translate_condition(const Statement& statement, std::size_t from) {
@@ -114,22 +114,23 @@
     }
     const std::string& keyword = statement.word(from);
     if (keyword != "if" && keyword != "unless") {
-        return refuse_condition(fmt::format("'{}' is not understood: if or unless", keyword));
+        return refuse_condition(
+            fmt::format("'{}' is not understood; expected 'if' or 'unless'", keyword));
     }
     if (from + 1 >= statement.size()) {
         return refuse_condition("a condition is missing");
     }
-    TranslatedCondition result = any_of_terms(statement, from + 1);
+    TranslatedCondition result = translate_terms(statement, from + 1);
     if (result && keyword == "unless") {
         result->match = Match{Not{{result->match}}};
     }
     return result;
 }
 
-TranslatedCondition Acls::any_of_terms(const Statement& statement, std::size_t from) {
+TranslatedCondition Acls::translate_terms(const Statement& statement, std::size_t from) {
     const std::vector<Word>& words = statement.line.words;
     Matches alternatives;
-    Matches terms;  // of the alternative that is being read
+    Matches terms;  // of the alternative being read
     TranslatedMatch result;
     for (std::size_t position = from; position < words.size(); ++position) {
         const std::string& word = words[position].text;
@@ -181,22 +182,22 @@
 TranslatedCondition Acls::translate_name(const Statement& statement, const std::string& name) {
     const auto found = acls_.find(name);
     if (found == acls_.end()) {
-        if (const auto match = predefined(name)) {
+        if (const auto match = predefined_acl(name)) {
             return TranslatedMatch{*match};
         }
         return refuse_condition(fmt::format("there is no ACL {}", name));
     }
     const Acl& acl = found->second;
     if (acl.lines.front() > statement.number) {
-        return refuse_condition(
-            fmt::format("ACL {} is declared only on line {}, which the original refuses", name,
-                        acl.first_line));
+        return refuse_condition(fmt::format(
+            "ACL {} is declared only on line {}; HAProxy rejects a use before the declaration",
+            name, acl.first_line));
     }
     for (const std::size_t line : acl.lines) {
         findings_.use(line);
     }
-    if (!acl.refused.empty()) {
-        return refuse_condition(acl.refused);
+    if (!acl.refusal.empty()) {
+        return refuse_condition(acl.refusal);
     }
     return TranslatedMatch{any_of(acl.alternatives)};
 }
--- a/src/haproxy/acl_expression.cpp
+++ b/src/haproxy/acl_expression.cpp
@@ -28,11 +28,11 @@
 
 constexpr std::int64_t kMaxServers = 1'000'000;
 
-const std::map<std::string, TextMatchKind> kWaysBySuffix{{"", TextMatchKind::exact},
-                                                         {"_str", TextMatchKind::exact},
-                                                         {"_beg", TextMatchKind::prefix},
-                                                         {"_end", TextMatchKind::suffix},
-                                                         {"_sub", TextMatchKind::contains}};
+const std::map<std::string, TextMatchKind> kMatchKindsBySuffix{{"", TextMatchKind::exact},
+                                                               {"_str", TextMatchKind::exact},
+                                                               {"_beg", TextMatchKind::prefix},
+                                                               {"_end", TextMatchKind::suffix},
+                                                               {"_sub", TextMatchKind::contains}};
 
 /// A sample fetch with its converters: `hdr(host),lower`.
 struct Fetch {
@@ -75,33 +75,33 @@
     return fetch;
 }
 
-/// The flags of an expression and the values behind them.
+/// The flags of an expression and the values after them.
 struct Pattern {
-    bool any_case = false;
-    bool found = false;                // -m found: whether there is a sample at all
-    std::optional<TextMatchKind> way;  // as -m asks for
-    std::string refused;               // why a flag has no translation; empty: none
+    bool ignore_case = false;
+    bool found = false;                       // -m found: matches if the sample exists
+    std::optional<TextMatchKind> match_kind;  // set by -m; absent: the fetch's suffix decides
+    std::string refusal;                      // why a flag can't be translated; empty: all can
     std::vector<std::string> values;
 };
 
 void read_match_method(const std::string& method, Pattern& pattern) {
-    const auto known = kWaysBySuffix.find("_" + method);
+    const auto known = kMatchKindsBySuffix.find("_" + method);
     if (method == "found") {
         pattern.found = true;
-    } else if (known != kWaysBySuffix.end()) {
-        pattern.way = known->second;
+    } else if (known != kMatchKindsBySuffix.end()) {
+        pattern.match_kind = known->second;
     } else if (method != "ip" && method != "int" && method != "bool") {
-        pattern.refused = fmt::format("matching by -m {} has no equal here", method);
+        pattern.refusal = fmt::format("matching by -m {} is not supported", method);
     }
 }
 
-/// Reads the flag at `position` and returns how many words it has; 0: the word is a value.
+/// Reads the flag at `position` and returns the number of its words, or 0 if the word is a value.
 std::size_t read_flag(const std::vector<Word>& words, std::size_t position, std::size_t to,
                       Pattern& pattern) {
     const std::string& flag = words[position].text;
     const bool has_argument = position + 1 < to;
     if (flag == "-i") {
-        pattern.any_case = true;
+        pattern.ignore_case = true;
         return 1;
     }
     if (flag == "-n" || flag == "-M") {
@@ -111,7 +111,7 @@
         return 2;
     }
     if (flag == "-f") {
-        pattern.refused = "values from a file are not read: put them in the line";
+        pattern.refusal = "values are not read from a file: list them on the line";
         return 2;
     }
     if (flag == "-m" && has_argument) {
@@ -146,29 +146,29 @@
     return number_of(text, 0, kMaxServers);
 }
 
-/// "1:4", "1:" or ":4".
+/// Translates a range such as "1:4", "1:" or ":4".
 TranslatedCondition translate_count_range(const std::string& text, std::size_t colon,
                                           UsableServers usable) {
     if (colon > 0) {
-        const auto least = read_server_count(text.substr(0, colon));
-        if (!least) {
-            return refuse_condition(least.wrong);
+        const auto min_count = read_server_count(text.substr(0, colon));
+        if (!min_count) {
+            return refuse_condition(min_count.wrong);
         }
-        usable.min_count = static_cast<int>(*least);
+        usable.min_count = static_cast<int>(*min_count);
     }
     if (colon + 1 < text.size()) {
-        const auto most = read_server_count(text.substr(colon + 1));
-        if (!most) {
-            return refuse_condition(most.wrong);
+        const auto max_count = read_server_count(text.substr(colon + 1));
+        if (!max_count) {
+            return refuse_condition(max_count.wrong);
         }
-        usable.max_count = static_cast<int>(*most);
+        usable.max_count = static_cast<int>(*max_count);
     }
     return TranslatedMatch{Match{usable}};
 }
 
 TranslatedMatch compare_count(const std::string& comparison, int count, UsableServers usable) {
     if (comparison == "lt" && count == 0) {
-        return {Match{AnyOf{}}, Verdict::translated, "never holds"};
+        return {Match{AnyOf{}}, Verdict::translated, "never matches"};
     }
     if (comparison == "eq" || comparison == "ge") {
         usable.min_count = count;
@@ -185,7 +185,7 @@
     return TranslatedMatch{Match{usable}};
 }
 
-/// "lt 2", "ge 1", "3" or "1:4": one range of whole numbers.
+/// Translates a number of servers such as "lt 2", "ge 1", "3" or "1:4" to one range of integers.
 TranslatedCondition translate_server_count(const std::vector<std::string>& values,
                                            const std::string& pool) {
     static const std::set<std::string> kComparisons{"eq", "ge", "gt", "le", "lt"};
@@ -195,7 +195,7 @@
     const bool has_comparison = kComparisons.contains(values[0]);
     const std::size_t expected_size = has_comparison ? 2 : 1;
     if (values.size() != expected_size) {
-        return refuse_condition("one number or range is read here");
+        return refuse_condition("exactly one number or range is expected");
     }
     const std::string& text = values.back();
     const auto colon = text.find(':');
@@ -220,7 +220,7 @@
 }
 
 /// Matches paths that have `value` as a whole directory or as their end.
-Match directory_of(std::string value) {
+Match match_directory(std::string value) {
     while (value.starts_with('/')) {
         value.erase(0, 1);
     }
@@ -231,35 +231,35 @@
                    Match{PathIs{{TextMatchKind::suffix, {"/" + value}, false}}}}}};
 }
 
-TranslatedCondition translate_directories(const Pattern& pattern, bool any_case) {
-    if (any_case) {
-        return refuse_condition("directories are matched in their case alone");
+TranslatedCondition translate_directories(const Pattern& pattern, bool ignore_case) {
+    if (ignore_case) {
+        return refuse_condition("path_dir can be matched only with regard to case");
     }
     AnyOf any;
     for (const std::string& value : pattern.values) {
-        any.conditions.push_back(directory_of(value));
+        any.conditions.push_back(match_directory(value));
     }
     return TranslatedMatch{Match{any}};
 }
 
-/// How the fetch `name` compares texts, by its suffix behind `stem` or by -m; absent: it is another
-/// fetch.
-std::optional<TextMatchKind> text_way(const std::string& name, const std::string& stem,
-                                      const Pattern& pattern) {
+/// Returns how the fetch `name` compares texts: as -m says, else by the suffix of `name` after
+/// `stem`. Absent if `name` is not `stem` with a known suffix.
+std::optional<TextMatchKind> text_match_kind(const std::string& name, const std::string& stem,
+                                             const Pattern& pattern) {
     if (!name.starts_with(stem)) {
         return std::nullopt;
     }
-    const auto suffix = kWaysBySuffix.find(name.substr(stem.size()));
-    if (suffix == kWaysBySuffix.end()) {
+    const auto suffix = kMatchKindsBySuffix.find(name.substr(stem.size()));
+    if (suffix == kMatchKindsBySuffix.end()) {
         return std::nullopt;
     }
-    return pattern.way ? pattern.way : suffix->second;
+    return pattern.match_kind ? pattern.match_kind : suffix->second;
 }
 
-std::optional<TextMatchKind> header_text_way(const std::string& name, const Pattern& pattern) {
+std::optional<TextMatchKind> header_match_kind(const std::string& name, const Pattern& pattern) {
     for (const char* const stem : {"req.hdr", "req.fhdr", "hdr"}) {
-        if (const auto way = text_way(name, stem, pattern)) {
-            return way;
+        if (const auto kind = text_match_kind(name, stem, pattern)) {
+            return kind;
         }
     }
     return std::nullopt;
@@ -272,76 +272,77 @@
     });
 }
 
-/// The name in "name" or "name,occurrence"; only the first and the last occurrence pass.
+/// Returns the name from "name" or "name,occurrence". Only occurrences 1 (the first) and -1 (the
+/// last) are accepted.
 tl::expected<std::string, ConditionRefusal> read_header_name(const std::string& argument) {
     std::string name = argument;
     if (const auto comma = name.find(','); comma != std::string::npos) {
         const std::string occurrence = name.substr(comma + 1);
         if (occurrence != "1" && occurrence != "-1") {
             return tl::unexpected(
-                ConditionRefusal{"one occurrence of a header can't be told apart"});
+                ConditionRefusal{"only occurrences 1 and -1 of a header are supported"});
         }
         name.resize(comma);
     }
     if (!is_header_name(name)) {
-        return tl::unexpected(ConditionRefusal{fmt::format("'{}' is no header's name", name)});
+        return tl::unexpected(ConditionRefusal{fmt::format("'{}' is not a header name", name)});
     }
     return name;
 }
 
-TranslatedMatch match_host(TextMatchKind way, const Pattern& pattern, bool any_case) {
+TranslatedMatch match_host(TextMatchKind kind, const Pattern& pattern, bool ignore_case) {
     std::vector<std::string> hosts;
     hosts.reserve(pattern.values.size());
     for (const std::string& value : pattern.values) {
         hosts.push_back(to_lower(value));
     }
-    const Match match{HostIs{{way, hosts, false}}};
-    if (any_case) {
+    const Match match{HostIs{{kind, hosts, false}}};
+    if (ignore_case) {
         return TranslatedMatch{match};
     }
-    return {match, Verdict::changed, "hosts are compared in any case"};
+    return {match, Verdict::changed, "hosts are compared without regard to case"};
 }
 
 /// Compares the values of the header field `name`, which is in lower case.
 TranslatedCondition translate_header_text(const std::string& name, const Fetch& fetch,
                                           const Pattern& pattern) {
-    const std::optional<TextMatchKind> way = header_text_way(fetch.name, pattern);
-    if (!way) {
-        return refuse_condition(fmt::format("{} has no equal here", fetch.name));
+    const std::optional<TextMatchKind> kind = header_match_kind(fetch.name, pattern);
+    if (!kind) {
+        return refuse_condition(fmt::format("{} is not supported", fetch.name));
     }
     if (pattern.values.empty()) {
         return refuse_condition("a value is missing");
     }
-    bool any_case = pattern.any_case;
+    bool ignore_case = pattern.ignore_case;
     bool without_port = false;
     for (const std::string& converter : fetch.converters) {
         if (converter == "lower") {
-            any_case = true;
+            ignore_case = true;
         } else if (name == "host" && (converter == "host_only" || converter == "field(1,:)")) {
             without_port = true;
         } else {
-            return refuse_condition(fmt::format("the converter {} has no equal here", converter));
+            return refuse_condition(fmt::format("the converter {} is not supported", converter));
         }
     }
     if (without_port) {
-        return match_host(*way, pattern, any_case);
+        return match_host(*kind, pattern, ignore_case);
     }
-    return TranslatedMatch{Match{HeaderIs{name, {*way, pattern.values, any_case}}}};
+    return TranslatedMatch{Match{HeaderIs{name, {*kind, pattern.values, ignore_case}}}};
 }
 
 TranslatedCondition translate_header(const Fetch& fetch, const Pattern& pattern) {
-    const bool counts = fetch.name.ends_with("_cnt");
-    const std::vector<std::string> over_zero{"gt", "0"};
+    const bool is_count = fetch.name.ends_with("_cnt");
+    const std::vector<std::string> above_zero{"gt", "0"};
     const std::vector<std::string> at_least_one{"ge", "1"};
-    if (counts && pattern.values != over_zero && pattern.values != at_least_one) {
-        return refuse_condition("headers are counted for 'gt 0' alone");
+    if (is_count && pattern.values != above_zero && pattern.values != at_least_one) {
+        return refuse_condition("a header count can be compared only with 'gt 0' or 'ge 1'");
     }
     const auto given_name = read_header_name(fetch.argument);
     if (!given_name) {
         return tl::unexpected(given_name.error());
     }
     const std::string name = to_lower(*given_name);
-    if (counts || pattern.found) {
+    if (is_count || pattern.found) {
         return TranslatedMatch{Match{HeaderIs{name, {TextMatchKind::present, {}, false}}}};
     }
     return translate_header_text(name, fetch, pattern);
@@ -352,16 +353,16 @@
     for (const std::string& value : pattern.values) {
         const auto network = routing::parse_network(value);
         if (!network) {
-            return refuse_condition(fmt::format("'{}' is no network", value));
+            return refuse_condition(fmt::format("'{}' is not a network", value));
         }
         source.networks.push_back(*network);
     }
     return TranslatedMatch{Match{source}};
 }
 
-/// The fetches that need values and take no argument.
+/// Translates a fetch that needs values and takes no argument.
 TranslatedCondition translate_values(const std::string& name, const Pattern& pattern,
-                                     bool any_case) {
+                                     bool ignore_case) {
     if (pattern.values.empty()) {
         return refuse_condition("a value is missing");
     }
@@ -371,16 +372,16 @@
     if (name == "src") {
         return translate_source(pattern);
     }
-    if (name == "path_dir" && !pattern.way) {
-        return translate_directories(pattern, any_case);
+    if (name == "path_dir" && !pattern.match_kind) {
+        return translate_directories(pattern, ignore_case);
     }
-    if (const auto way = text_way(name, "path", pattern)) {
-        return TranslatedMatch{Match{PathIs{{*way, pattern.values, any_case}}}};
+    if (const auto kind = text_match_kind(name, "path", pattern)) {
+        return TranslatedMatch{Match{PathIs{{*kind, pattern.values, ignore_case}}}};
     }
-    return refuse_condition(fmt::format("{} has no equal here", name));
+    return refuse_condition(fmt::format("{} is not supported", name));
 }
 
-bool reads_header(const std::string& name) {
+bool is_header_fetch(const std::string& name) {
     return name.starts_with("hdr") || name.starts_with("req.hdr") || name.starts_with("req.fhdr");
 }
 
@@ -396,18 +397,18 @@
     if (!fetch.closed) {
         return refuse_condition("a ) is missing");
     }
-    if (!pattern.refused.empty()) {
-        return refuse_condition(pattern.refused);
+    if (!pattern.refusal.empty()) {
+        return refuse_condition(pattern.refusal);
     }
-    if (reads_header(fetch.name)) {
+    if (is_header_fetch(fetch.name)) {
         return translate_header(fetch, pattern);
     }
     for (const std::string& converter : fetch.converters) {
         if (converter != "lower") {
-            return refuse_condition(fmt::format("the converter {} has no equal here", converter));
+            return refuse_condition(fmt::format("the converter {} is not supported", converter));
         }
     }
-    const bool any_case = pattern.any_case || !fetch.converters.empty();
+    const bool ignore_case = pattern.ignore_case || !fetch.converters.empty();
     if (fetch.name == "always_true") {
         return TranslatedMatch{Match{AllOf{}}};
     }
@@ -417,7 +418,7 @@
     if (fetch.name == "nbsrv") {
         return translate_nbsrv(fetch, pattern, scope);
     }
-    return translate_values(fetch.name, pattern, any_case);
+    return translate_values(fetch.name, pattern, ignore_case);
 }
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/acl_expression.hpp
+++ b/src/haproxy/acl_expression.hpp
@@ -15,19 +15,19 @@
 
 namespace micaroad::haproxy {
 
-/// A condition that could be translated, and what to tell the operator about it.
+/// A translated condition with its verdict and a note for the operator.
 struct TranslatedMatch {
     TranslatedMatch() = default;
     explicit TranslatedMatch(routing::Match condition) : match(std::move(condition)) {}
-    TranslatedMatch(routing::Match condition, Verdict how, std::string text)
-        : match(std::move(condition)), verdict(how), note(std::move(text)) {}
+    TranslatedMatch(routing::Match condition, Verdict condition_verdict, std::string remark)
+        : match(std::move(condition)), verdict(condition_verdict), note(std::move(remark)) {}
 
     routing::Match match;
     Verdict verdict = Verdict::translated;
-    std::string note;  // may be empty
+    std::string note;  // empty: none
 };
 
-/// Why a condition has no translation.
+/// Why a condition can't be translated.
 struct ConditionRefusal {
     std::string reason;
 };
@@ -41,7 +41,7 @@
 /// The pools that an expression may name.
 struct Scope {
     std::set<std::string> pools;
-    std::string own_pool;  // the one that nbsrv means without a name; empty: none
+    std::string own_pool;  // the pool that nbsrv without an argument counts; empty: none
 };
 
 /// Translates the expression in words [from, to).
--- a/src/haproxy/pools.cpp
+++ b/src/haproxy/pools.cpp
@@ -10,23 +10,23 @@
 namespace micaroad::haproxy {
 namespace {
 
-constexpr int kRetries = 3;      // of the original, where nothing is said
-constexpr int kErrorLimit = 10;  // likewise
-constexpr int kMostTemplated = 100'000;
+constexpr int kDefaultRetries = 3;            // HAProxy's default
+constexpr int kDefaultErrorLimit = 10;        // HAProxy's default
+constexpr int kMaxTemplateServers = 100'000;  // of one `server-template` line
 constexpr std::size_t kMaxNameLength = 128;
 
-bool by_hash(const Balance& balance) {
+bool is_hash_balance(const Balance& balance) {
     return balance.kind == "source" || balance.kind == "uri" || balance.kind == "url_param" ||
            balance.kind == "hdr";
 }
 
-/// HAProxy waits without end where a timeout is absent or 0.
+/// HAProxy waits without limit if a timeout is absent or 0.
 bool is_unlimited(std::optional<Duration> timeout) {
     return !timeout || *timeout == Duration{};
 }
 
-// What `stick on` and `balance` name, as the planner's stickiness; absent: no equal.
-std::optional<routing::Stickiness> sticky_by(const std::string& expression) {
+// Parses the key of `stick on`, such as "src" or "hdr(name)"; absent: it is not supported.
+std::optional<routing::Stickiness> parse_stickiness_key(const std::string& expression) {
     using By = routing::Stickiness::By;
     const std::string text = expression.substr(0, expression.find(','));
     const auto open = text.find('(');
@@ -59,12 +59,13 @@
            });
 }
 
-/// Why a server can't have an address.
+/// Why an address can't be that of a server.
 struct AddressError {
     std::string reason;
 };
 
-/// `address` is the text that `endpoint` was read from.
+/// Returns an error unless `endpoint` is an IP address with a port. `address` is the text that it
+/// was read from.
 std::optional<AddressError> check_server_address(const Endpoint& endpoint,
                                                  const std::string& address) {
     switch (endpoint.kind) {
@@ -74,18 +75,20 @@
             return AddressError{
                 fmt::format("'{}' needs a look-up, which is not done: write its address", address)};
         case Endpoint::Kind::any_host:
-            return AddressError{fmt::format("'{}' is wherever the client meant to go", address)};
+            return AddressError{fmt::format(
+                "'{}' means the client's own destination, which is not supported", address)};
         case Endpoint::Kind::unix_path:
         case Endpoint::Kind::other:
-            return AddressError{fmt::format("'{}' is no TCP address", address)};
+            return AddressError{fmt::format("'{}' is not a TCP address", address)};
     }
     if (endpoint.relative_port || endpoint.port == 0) {
-        return AddressError{fmt::format("'{}' takes its port from the client's", address)};
+        return AddressError{
+            fmt::format("'{}' takes its port from the client's connection", address)};
     }
     return std::nullopt;
 }
 
-/// The stickiness that a hashing `balance` amounts to.
+/// Returns the stickiness that corresponds to a hashing `balance`, or none for other algorithms.
 routing::Stickiness stickiness_of(const Balance& balance) {
     using By = routing::Stickiness::By;
     routing::Stickiness stickiness;
@@ -123,7 +126,7 @@
     const std::size_t header = section.header.number;
     routing::Pool pool;
     pool.name = section.name;
-    say(header, Verdict::translated, fmt::format("pool {}", pool.name));
+    report(header, Verdict::translated, fmt::format("pool {}", pool.name));
     set_timeouts(draft, pool);
 
     const Balance balance = settings.balance.get_or(Balance{}, findings_);
@@ -131,16 +134,16 @@
     pool.all_backups = settings.all_backups.get_or(false, findings_);
     set_retries(settings, pool);
     set_health_check(settings, pool);
-    stickiness(draft, balance, pool);
-    if (settings.hash_type && by_hash(balance)) {
+    set_stickiness(draft, balance, pool);
+    if (settings.hash_type && is_hash_balance(balance)) {
         settings.hash_type.get(findings_);
     }
-    names_.clear();
+    server_names_.clear();
     for (const ServerAt& at : draft.servers) {
-        servers(at, draft, pool);
+        add_servers(at, draft, pool);
     }
     if (pool.servers.empty()) {
-        say(header, Verdict::changed, "the pool has no servers: what is sent there is turned away");
+        report(header, Verdict::changed, "the pool has no servers: RPCs routed to it are rejected");
     }
     if (draft.disabled) {
         for (routing::Server& server : pool.servers) {
@@ -150,7 +153,8 @@
     pools_.push_back(std::move(pool));
 }
 
-std::optional<Duration> PoolBuilder::timeout(const Settings& settings, const std::string& name) {
+std::optional<Duration> PoolBuilder::find_timeout(const Settings& settings,
+                                                  const std::string& name) {
     const auto found = settings.timeouts.find(name);
     if (found == settings.timeouts.end()) {
         return std::nullopt;
@@ -160,24 +164,24 @@
 
 void PoolBuilder::set_timeouts(const Draft& draft, routing::Pool& pool) {
     const Settings& settings = draft.settings;
-    const std::optional<Duration> connect = timeout(settings, "connect");
-    const std::optional<Duration> answer = timeout(settings, "server");
-    const std::optional<Duration> queue = timeout(settings, "queue");
-    if (is_unlimited(connect) || is_unlimited(answer)) {
-        say(draft.section->header.number, Verdict::changed,
-            "without `timeout connect` or `timeout server` the original waits without end; here 5 "
-            "s and 30 s");
+    const std::optional<Duration> connect = find_timeout(settings, "connect");
+    const std::optional<Duration> response = find_timeout(settings, "server");
+    const std::optional<Duration> queue = find_timeout(settings, "queue");
+    if (is_unlimited(connect) || is_unlimited(response)) {
+        report(draft.section->header.number, Verdict::changed,
+               "without `timeout connect` or `timeout server` HAProxy waits without limit; the "
+               "limits here are 5 s and 30 s");
     }
     if (connect && !is_unlimited(connect)) {
         pool.connect_timeout = *connect;
         pool.queue_timeout = *connect;
     }
-    if (answer && !is_unlimited(answer)) {
-        pool.response_timeout = *answer;
+    if (response && !is_unlimited(response)) {
+        pool.response_timeout = *response;
     }
     if (queue && is_unlimited(queue)) {
-        say(settings.timeouts.at("queue").line(), Verdict::changed,
-            "nobody waits without end: as long as for a connection");
+        report(settings.timeouts.at("queue").line(), Verdict::changed,
+               "queued RPCs do not wait without limit: the connect timeout applies to them");
     } else if (queue) {
         pool.queue_timeout = *queue;
     }
@@ -189,7 +193,8 @@
     const bool any_retry = retry_on.first;
     const bool after_any_failure = retry_on.second;
     const Redispatch redispatch = settings.redispatch.get_or(Redispatch{}, findings_);
-    pool.retry_rule.max_retries = any_retry ? settings.retries.get_or(kRetries, findings_) : 0;
+    pool.retry_rule.max_retries =
+        any_retry ? settings.retries.get_or(kDefaultRetries, findings_) : 0;
     pool.retry_rule.condition =
         after_any_failure ? RetryRule::Condition::any_failure : RetryRule::Condition::no_connection;
     if (!redispatch.on) {
@@ -213,91 +218,94 @@
             pool.health.max_status = check.status_most;
         }
     }
-    if (const std::optional<Duration> patience = timeout(settings, "check")) {
-        pool.health.timeout = *patience;
+    if (const std::optional<Duration> check_timeout = find_timeout(settings, "check")) {
+        pool.health.timeout = *check_timeout;
     }
 }
 
-void PoolBuilder::stickiness(const Draft& draft, const Balance& balance, routing::Pool& pool) {
+void PoolBuilder::set_stickiness(const Draft& draft, const Balance& balance, routing::Pool& pool) {
     const Settings& settings = draft.settings;
     pool.stickiness = stickiness_of(balance);
-    bool taken = false;
+    bool has_key = false;
     if (settings.cookie) {
         if (pool.stickiness.by != routing::Stickiness::By::none) {
-            say(settings.balance.line(), Verdict::changed,
-                fmt::format("in pool {} the cookie decides; RPCs without it spread by weight",
-                            pool.name));
+            report(settings.balance.line(), Verdict::changed,
+                   fmt::format("in pool {} the cookie selects the server; RPCs without it are "
+                               "spread by weight",
+                               pool.name));
         }
         pool.stickiness = {};
         pool.stickiness.by = routing::Stickiness::By::cookie;
         pool.stickiness.name = settings.cookie.get(findings_).name;
         pool.stickiness.stay_when_down = settings.persist.get_or(false, findings_);
-        taken = true;
+        has_key = true;
     }
     for (const Statement* stick : draft.sticks) {
-        if (stick_on(*stick, settings, taken, pool)) {
-            taken = true;
+        if (read_stick_rule(*stick, settings, has_key, pool)) {
+            has_key = true;
         }
     }
 }
 
-bool PoolBuilder::stick_on(const Statement& statement, const Settings& settings, bool taken,
-                           routing::Pool& pool) {
+bool PoolBuilder::read_stick_rule(const Statement& statement, const Settings& settings,
+                                  bool has_key, routing::Pool& pool) {
     if (statement.word(1) != "on") {
-        say(statement.number, Verdict::refused,
-            "nothing is stored: `stick on` with src, path, hdr() or url_param()");
+        report(
+            statement.number, Verdict::refused,
+            "only `stick on` with src, path, hdr() or url_param() is supported; nothing is stored");
         return false;
     }
     const std::string& expression = statement.word(2);
-    const std::optional<routing::Stickiness> by = sticky_by(expression);
+    const std::optional<routing::Stickiness> by = parse_stickiness_key(expression);
     if (!by) {
-        say(statement.number, Verdict::refused,
-            fmt::format("'{}' is nothing that RPCs are kept together by here", expression));
+        report(statement.number, Verdict::refused,
+               fmt::format("'{}' is not supported as a key of stickiness", expression));
         return false;
     }
     if (has_condition(statement, 3)) {
-        say(statement.number, Verdict::refused, "stickiness is by pool, without conditions");
+        report(statement.number, Verdict::refused,
+               "stickiness is a setting of the whole pool: conditions are not supported");
         return false;
     }
-    if (taken) {
-        say(statement.number, Verdict::refused,
-            "a pool keeps RPCs together by one thing, and it has one");
+    if (has_key) {
+        report(statement.number, Verdict::refused,
+               "another line already sets the stickiness key of this pool");
         return false;
     }
     pool.stickiness = *by;
     if (settings.stick_table) {
         settings.stick_table.get(findings_);
     }
-    say(statement.number, Verdict::changed,
-        "one key keeps to one server by its hash while that may be used, also before anything was "
-        "learnt of it");
+    report(statement.number, Verdict::changed,
+           "each key goes to a server chosen by its hash while that server is usable, even on its "
+           "first RPC");
     return true;
 }
 
-void PoolBuilder::servers(const ServerAt& at, const Draft& draft, routing::Pool& pool) {
+void PoolBuilder::add_servers(const ServerAt& at, const Draft& draft, routing::Pool& pool) {
     const Statement& statement = *at.statement;
-    const bool many = statement.word(0) == "server-template";
-    const std::size_t from = many ? 4 : 3;
-    ServerParameters words = at.words;
+    const bool is_template = statement.word(0) == "server-template";
+    const std::size_t from = is_template ? 4 : 3;
+    ServerParameters parameters = at.words;
     if (statement.size() < from) {
-        return say(statement.number, Verdict::refused,
-                   many ? "a prefix, a number and an address are needed"
-                        : "a name and an address are needed");
+        return report(statement.number, Verdict::refused,
+                      is_template ? "a prefix, a number and an address are needed"
+                                  : "a name and an address are needed");
     }
-    read_server_parameters(statement, from, words, findings_);
+    read_server_parameters(statement, from, parameters, findings_);
     for (const std::size_t line : at.default_lines) {
         findings_.use(line);
     }
-    if (words.left_out) {
+    if (parameters.left_out) {
         return;
     }
-    if (words.min_conn > 0 && draft.settings.full_conn) {
+    if (parameters.min_conn > 0 && draft.settings.full_conn) {
         draft.settings.full_conn.get(findings_);
     }
-    if (!many) {
-        return one_server(at, words, statement.word(1), draft, pool);
+    if (!is_template) {
+        return add_server(at, parameters, statement.word(1), draft, pool);
     }
-    // "5" is 1 to 5, "3-7" as it says.
+    // "5" means 1 to 5, "3-7" means 3 to 7.
     const std::string& range = statement.word(2);
     const auto dash = range.find('-');
     const auto low = dash == std::string::npos ? Or<std::int64_t>{1, ""}
@@ -305,37 +313,38 @@
     const auto high =
         number_of(dash == std::string::npos ? range : range.substr(dash + 1), 0, 2'147'483'647);
     if (!low || !high) {
-        return say(statement.number, Verdict::refused, low ? high.wrong : low.wrong);
+        return report(statement.number, Verdict::refused, low ? high.wrong : low.wrong);
     }
     if (*low > *high) {
-        return say(statement.number, Verdict::refused, fmt::format("the range {} is empty", range));
+        return report(statement.number, Verdict::refused,
+                      fmt::format("the range {} is empty", range));
     }
-    if (*high - *low >= kMostTemplated) {
-        return say(statement.number, Verdict::refused,
-                   fmt::format("{} servers at most", kMostTemplated));
+    if (*high - *low >= kMaxTemplateServers) {
+        return report(statement.number, Verdict::refused,
+                      fmt::format("{} servers at most", kMaxTemplateServers));
     }
     const auto endpoint = endpoint_of(statement.word(3));
     if (endpoint && endpoint->kind == Endpoint::Kind::needs_look_up) {
-        return say(
+        return report(
             statement.number, Verdict::refused,
             fmt::format("'{}' needs a look-up, which is not done: list the addresses as servers",
                         statement.word(3)));
     }
     for (std::int64_t n = *low; n <= *high; ++n) {
-        one_server(at, words, fmt::format("{}{}", statement.word(1), n), draft, pool);
+        add_server(at, parameters, fmt::format("{}{}", statement.word(1), n), draft, pool);
     }
 }
 
-void PoolBuilder::one_server(const ServerAt& at, const ServerParameters& words,
+void PoolBuilder::add_server(const ServerAt& at, const ServerParameters& parameters,
                              const std::string& name, const Draft& draft, routing::Pool& pool) {
     const Statement& statement = *at.statement;
     const std::size_t line = statement.number;
     const auto leave_out = [&](const std::string& why) {
-        say(line, Verdict::refused, fmt::format("{}: the server is left out", why));
+        report(line, Verdict::refused, fmt::format("{}: the server is left out", why));
     };
     const std::string& address = statement.word(statement.word(0) == "server" ? 2 : 3);
     if (!is_server_name(name)) {
-        return leave_out(fmt::format("'{}' is no name", name));
+        return leave_out(fmt::format("'{}' is not a server name", name));
     }
     const auto endpoint = endpoint_of(address);
     if (!endpoint) {
@@ -344,61 +353,64 @@
     if (const auto error = check_server_address(*endpoint, address)) {
         return leave_out(error->reason);
     }
-    if (!names_.insert(name).second) {
+    if (!server_names_.insert(name).second) {
         return leave_out(fmt::format("a second server {} in {}", name, pool.name));
     }
 
     routing::Server server;
     server.name = name;
     server.address = endpoint->text();
-    server.weight = words.weight;
-    server.tier = words.backup ? routing::Tier::backup : routing::Tier::active;
-    if (words.disabled) {
+    server.weight = parameters.weight;
+    server.tier = parameters.backup ? routing::Tier::backup : routing::Tier::active;
+    if (parameters.disabled) {
         server.state = routing::State::disabled;
-    } else if (words.weight == 0) {
+    } else if (parameters.weight == 0) {
         server.state = routing::State::draining;
-        say(line, Verdict::changed,
-            "weight 0: nothing new is sent, what is stuck to it stays until the drain's grace "
-            "ends; in the "
-            "original without end");
+        report(line, Verdict::changed,
+               "weight 0: the server gets no new RPCs; those that stickiness keeps there stay "
+               "until the drain's grace ends (in HAProxy, without limit)");
     }
-    server.max_connections = words.max_conn > 0 ? words.max_conn : words.min_conn;
-    server.max_queued = words.max_queue;
+    server.max_connections = parameters.max_conn > 0 ? parameters.max_conn : parameters.min_conn;
+    server.max_queued = parameters.max_queue;
     const Balance balance = draft.settings.balance.get_or(Balance{}, findings_);
-    const bool moves =
+    const bool has_slow_start =
         balance.kind == "roundrobin" || balance.kind == "leastconn" || balance.kind == "random";
-    if (moves) {
-        server.slow_start = words.slow_start;
+    if (has_slow_start) {
+        server.slow_start = parameters.slow_start;
     }
-    server.cookie_value = words.cookie;
-    server.health_source = words.track;
+    server.cookie_value = parameters.cookie;
+    server.health_source = parameters.track;
     if (!server.health_source.empty() && server.health_source.find('/') == std::string::npos) {
         server.health_source = pool.name + "/" + server.health_source;
     }
-    server.health_checked = words.check && words.track.empty();
+    server.health_checked = parameters.check && parameters.track.empty();
     if (server.health_checked) {
-        health(at, words, pool);
+        set_server_health(at, parameters, pool);
     }
-    line_of_[pool.name + "/" + name] = line;
+    finding_by_server_[pool.name + "/" + name] = line;
     pool.servers.push_back(std::move(server));
 }
 
-// The pool has one rule: that of its first server that is checked.
-void PoolBuilder::health(const ServerAt& at, const ServerParameters& words, routing::Pool& pool) {
+// A pool has one health rule: that of its first checked server. Another server's rule that differs
+// is reported as changed.
+void PoolBuilder::set_server_health(const ServerAt& at, const ServerParameters& parameters,
+                                    routing::Pool& pool) {
     routing::HealthRule rule = pool.health;
-    const routing::HealthRule usual;
-    const bool first = health_by_.try_emplace(pool.name, at.statement->word(1)).second;
-    rule.interval = words.inter.value_or(usual.interval);
-    rule.transition_interval = words.fast_inter.value_or(Duration{});
-    rule.down_interval = words.down_inter.value_or(Duration{});
-    rule.rise = words.rise.value_or(usual.rise);
-    rule.fall = words.fall.value_or(usual.fall);
-    rule.max_consecutive_errors = words.observes ? words.error_limit.value_or(kErrorLimit) : 0;
-    if (first) {
+    const routing::HealthRule defaults;
+    const bool is_first = health_rule_servers_.try_emplace(pool.name, at.statement->word(1)).second;
+    rule.interval = parameters.interval.value_or(defaults.interval);
+    rule.transition_interval = parameters.transition_interval.value_or(Duration{});
+    rule.down_interval = parameters.down_interval.value_or(Duration{});
+    rule.rise = parameters.rise.value_or(defaults.rise);
+    rule.fall = parameters.fall.value_or(defaults.fall);
+    rule.max_consecutive_errors =
+        parameters.observes ? parameters.error_limit.value_or(kDefaultErrorLimit) : 0;
+    if (is_first) {
         pool.health = rule;
     } else if (rule != pool.health) {
-        say(at.statement->number, Verdict::changed,
-            fmt::format("a pool has one health rule: that of server {}", health_by_.at(pool.name)));
+        report(at.statement->number, Verdict::changed,
+               fmt::format("a pool has one health rule: that of server {}",
+                           health_rule_servers_.at(pool.name)));
     }
 }
 
@@ -409,29 +421,31 @@
             servers[pool.name + "/" + server.name] = &server;
         }
     }
-    std::map<std::string, std::string> out;  // and why
+    std::map<std::string, std::string> left_out;  // reasons by "pool/server"
     for (const auto& [name, server] : servers) {
-        std::set<std::string> passed{name};
-        std::string at = name;
-        while (out.count(name) == 0 && !servers.at(at)->health_source.empty()) {
-            const std::string& next = servers.at(at)->health_source;
+        std::set<std::string> visited{name};
+        std::string tracked = name;
+        while (left_out.count(name) == 0 && !servers.at(tracked)->health_source.empty()) {
+            const std::string& next = servers.at(tracked)->health_source;
             if (!servers.contains(next)) {
-                out[name] = fmt::format("it tracks {}, which is not there", next);
-            } else if (!passed.insert(next).second) {
-                out[name] = fmt::format("its tracks go in a circle by {}", next);
+                left_out[name] = fmt::format("it tracks {}, which is not there", next);
+            } else if (!visited.insert(next).second) {
+                left_out[name] =
+                    fmt::format("its `track` parameters form a circle through {}", next);
             }
-            at = next;
+            tracked = next;
         }
-        if (out.count(name) == 0 && at != name && !servers.at(at)->health_checked) {
-            out[name] = fmt::format("it tracks {}, which is not checked", at);
+        if (left_out.count(name) == 0 && tracked != name && !servers.at(tracked)->health_checked) {
+            left_out[name] = fmt::format("it tracks {}, which is not checked", tracked);
         }
     }
-    for (const auto& [name, why] : out) {
-        say(line_of_.at(name), Verdict::refused, fmt::format("{}: the server is left out", why));
+    for (const auto& [name, reason] : left_out) {
+        report(finding_by_server_.at(name), Verdict::refused,
+               fmt::format("{}: the server is left out", reason));
     }
     for (routing::Pool& pool : pools_) {
         std::erase_if(pool.servers, [&](const routing::Server& server) {
-            return out.contains(pool.name + "/" + server.name);
+            return left_out.contains(pool.name + "/" + server.name);
         });
     }
     return std::move(pools_);
--- a/src/haproxy/pools.hpp
+++ b/src/haproxy/pools.hpp
@@ -13,44 +13,47 @@
 
 namespace micaroad::haproxy {
 
-/// Makes the pools of one configuration. Not thread-safe; `findings` outlives it.
+/// Builds the pools of one configuration. Not thread-safe; `findings` must outlive it.
 class PoolBuilder {
  public:
     explicit PoolBuilder(Findings& findings) : findings_(findings) {}
 
-    /// Makes the pool of a section with `draft.has_servers()`.
+    /// Adds the pool of a section for which `draft.has_servers()` holds.
     void add(const Draft& draft);
-    /// Returns the pools in the order of their `add`; to be called once, after the last. Leaves out
-    /// servers whose chain of `track` is circular, or ends at a server that is missing or has no
-    /// health check: that can be told only once all pools are there.
+    /// Returns the pools in the order in which they were added. To be called once, after the last
+    /// `add`. Leaves out each server whose chain of `track` is circular, or ends at a server that
+    /// is missing or has no health check; this is checked here because a server may track one of a
+    /// pool that is added later.
     [[nodiscard]] std::vector<routing::Pool> finish();
-    /// The `balance` algorithm of each pool, by its name.
+    /// The `balance` algorithm of each pool, by pool name.
     [[nodiscard]] const std::map<std::string, std::string>& balance() const { return balance_; }
 
  private:
-    std::optional<Duration> timeout(const Settings& settings, const std::string& name);
+    std::optional<Duration> find_timeout(const Settings& settings, const std::string& name);
     void set_timeouts(const Draft& draft, routing::Pool& pool);
     void set_retries(const Settings& settings, routing::Pool& pool);
     void set_health_check(const Settings& settings, routing::Pool& pool);
-    void servers(const ServerAt& at, const Draft& draft, routing::Pool& pool);
-    void one_server(const ServerAt& at, const ServerParameters& words, const std::string& name,
+    void add_servers(const ServerAt& at, const Draft& draft, routing::Pool& pool);
+    void add_server(const ServerAt& at, const ServerParameters& parameters, const std::string& name,
                     const Draft& draft, routing::Pool& pool);
-    void health(const ServerAt& at, const ServerParameters& words, routing::Pool& pool);
-    void stickiness(const Draft& draft, const Balance& balance, routing::Pool& pool);
-    /// Returns whether the line decides the pool's stickiness.
-    bool stick_on(const Statement& statement, const Settings& settings, bool taken,
-                  routing::Pool& pool);
-    void say(std::size_t line, Verdict verdict, const std::string& says) {
+    void set_server_health(const ServerAt& at, const ServerParameters& parameters,
+                           routing::Pool& pool);
+    void set_stickiness(const Draft& draft, const Balance& balance, routing::Pool& pool);
+    /// Reads a `stick` line and returns whether it sets the pool's stickiness. `has_key`: the
+    /// cookie or an earlier line has set it.
+    bool read_stick_rule(const Statement& statement, const Settings& settings, bool has_key,
+                         routing::Pool& pool);
+    void report(std::size_t line, Verdict verdict, const std::string& says) {
         findings_.say(line, verdict, says);
     }
 
     Findings& findings_;
     std::vector<routing::Pool> pools_;
     std::map<std::string, std::string> balance_;
-    std::map<std::string, std::size_t> line_of_;  // by server's full name
+    std::map<std::string, std::size_t> finding_by_server_;  // by "pool/server"
     std::map<std::string, std::string>
-        health_by_;                // pool to the server whose health words are the pool's
-    std::set<std::string> names_;  // of the pool that is being made
+        health_rule_servers_;  // by pool name: the server whose health parameters the pool has
+    std::set<std::string> server_names_;  // of the pool being built
 };
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/request_rules.cpp
+++ b/src/haproxy/request_rules.cpp
@@ -16,21 +16,21 @@
 using routing::Match;
 using routing::Not;
 
-constexpr int kDenyStatus = 403;      // HAProxy's own where the rule names none
-constexpr int kTarpitStatus = 500;    // likewise
-constexpr int kReturnStatus = 200;    // likewise
-constexpr int kRedirectStatus = 302;  // likewise
-constexpr int kLeastErrorStatus = 400;
+constexpr int kDefaultDenyStatus = 403;      // HAProxy's default if the rule names none
+constexpr int kDefaultTarpitStatus = 500;    // likewise
+constexpr int kDefaultReturnStatus = 200;    // likewise
+constexpr int kDefaultRedirectStatus = 302;  // likewise
+constexpr int kMinErrorStatus = 400;
 
 const std::set<std::string> kDenyingActions{"deny", "tarpit", "reject", "silent-drop", "return"};
-/// They change the address, path or query of the request.
+/// Actions that change the addresses, method, path or query of the request.
 const std::set<std::string> kRewritingActions{
     "set-path",     "set-pathq",     "set-uri",     "set-query",     "set-method",
     "replace-path", "replace-pathq", "replace-uri", "normalize-uri", "set-src",
     "set-src-port", "set-dst",       "set-dst-port"};
 const std::set<std::string> kHeaderActions{"set-header", "add-header", "del-header",
                                            "replace-header", "replace-value"};
-/// Only the answer, a log or a counter depends on them.
+/// Actions that do not affect routing: they concern responses, logs, counters and the like.
 const std::set<std::string> kActionsWithoutEffect{"capture",
                                                   "set-log-level",
                                                   "set-mark",
@@ -73,7 +73,7 @@
 enum class Phase { connection, session, content, block, http_request, redirect };
 
 enum class ActionKind {
-    turn_away,
+    deny,
     allow,
     redirect,
     authenticate,
@@ -87,11 +87,11 @@
     const Statement* statement;
     Phase phase;
     std::string action;
-    std::size_t arguments;  // the number of the first word behind the action
-    std::size_t condition;  // the number of "if" or "unless"; the line's size if there is none
+    std::size_t arguments;  // index of the first word after the action
+    std::size_t condition;  // index of "if" or "unless"; the line's size if there is none
 };
 
-/// A status that a denial can't have.
+/// Why the status of a denial can't be read.
 struct StatusError {
     std::string reason;
 };
@@ -157,9 +157,9 @@
            action.starts_with("set-map(");
 }
 
-ActionKind kind_of(const std::string& action) {
+ActionKind action_kind(const std::string& action) {
     if (kDenyingActions.contains(action)) {
-        return ActionKind::turn_away;
+        return ActionKind::deny;
     }
     if (action == "allow" || action == "accept") {
         return ActionKind::allow;
@@ -179,16 +179,16 @@
     return has_no_effect(action) ? ActionKind::no_effect : ActionKind::unknown;
 }
 
-int usual_status(const std::string& action) {
+int default_status(const std::string& action) {
     if (action == "tarpit") {
-        return kTarpitStatus;
+        return kDefaultTarpitStatus;
     }
-    return action == "return" ? kReturnStatus : kDenyStatus;
+    return action == "return" ? kDefaultReturnStatus : kDefaultDenyStatus;
 }
 
 tl::expected<int, StatusError> read_denial_status(const Rule& rule) {
     const Statement& statement = *rule.statement;
-    int status = usual_status(rule.action);
+    int status = default_status(rule.action);
     std::optional<StatusError> error;
     for (std::size_t position = rule.arguments; position + 1 < rule.condition; ++position) {
         const std::string& word = statement.word(position);
@@ -210,7 +210,7 @@
 
 routing::Redirect read_redirect(const Rule& rule) {
     const Statement& statement = *rule.statement;
-    routing::Redirect redirect{"", kRedirectStatus};
+    routing::Redirect redirect{"", kDefaultRedirectStatus};
     for (std::size_t position = rule.arguments; position + 1 < rule.condition; ++position) {
         const std::string& word = statement.word(position);
         const std::string& argument = statement.word(position + 1);
@@ -218,13 +218,13 @@
             redirect.location = argument;
         } else if (word == "code") {
             const auto status = number_of(argument, 301, 308);
-            redirect.status = status ? static_cast<int>(*status) : kRedirectStatus;
+            redirect.status = status ? static_cast<int>(*status) : kDefaultRedirectStatus;
         }
     }
     return redirect;
 }
 
-/// Goes through the rules of one section.
+/// Translates the rules of one section.
 class RequestRuleTranslator {
  public:
     RequestRuleTranslator(const Draft& draft, Acls& acls, Findings& findings, RouteSink* sink)
@@ -234,7 +234,7 @@
         std::optional<Phase> phase;
         for (const Rule& rule : rules_by_phase(draft_.rules)) {
             if (phase != rule.phase) {
-                // An `allow` ends the evaluation of its own phase alone.
+                // An `allow` ends only the evaluation of its own phase.
                 not_allowed_ = Match{AllOf{}};
                 allow_refused_ = false;
                 phase = rule.phase;
@@ -246,29 +246,30 @@
 
  private:
     void translate_rule(const Rule& rule) {
-        switch (kind_of(rule.action)) {
-            case ActionKind::turn_away:
-                return turn_away(rule);
+        switch (action_kind(rule.action)) {
+            case ActionKind::deny:
+                return translate_denial(rule);
             case ActionKind::allow:
-                return allow(rule);
+                return translate_allow(rule);
             case ActionKind::redirect:
-                return redirect(rule);
+                return translate_redirect(rule);
             case ActionKind::authenticate:
-                return report(rule, Verdict::refused,
-                              "who a client is, is not asked here: what it kept out passes now");
+                return report(
+                    rule, Verdict::refused,
+                    "clients are not authenticated here: RPCs that this rule kept out pass now");
             case ActionKind::rewrite:
                 return report_rewrite(rule);
             case ActionKind::change_header:
                 return report_header_change(rule);
             case ActionKind::no_effect:
-                return report(rule, Verdict::no_effect, "it does not route");
+                return report(rule, Verdict::no_effect, "it does not affect routing");
             case ActionKind::unknown:
                 return report(rule, Verdict::refused,
-                              fmt::format("'{}' has no equal here", rule.action));
+                              fmt::format("'{}' is not supported", rule.action));
         }
     }
 
-    void turn_away(const Rule& rule) {
+    void translate_denial(const Rule& rule) {
         const auto status = read_denial_status(rule);
         const TranslatedCondition condition =
             acls_.translate_condition(*rule.statement, rule.condition);
@@ -278,9 +279,9 @@
         if (!condition) {
             return refuse_denial(rule, condition.error().reason);
         }
-        if (*status < kLeastErrorStatus) {
+        if (*status < kMinErrorStatus) {
             return refuse_denial(
-                rule, fmt::format("an answer of status {} is the proxies' own", *status));
+                rule, fmt::format("an answer of status {} has to come from the proxies", *status));
         }
         const Match match = match_both(not_allowed_, condition->match);
         denials_.push_back({match, *status});
@@ -293,37 +294,40 @@
 
     void refuse_denial(const Rule& rule, const std::string& reason) {
         report(rule, Verdict::refused,
-               fmt::format("{}; what it answered passes now: answer it at the proxies", reason));
+               fmt::format("{}; RPCs that this rule answered pass now: answer them at the proxies",
+                           reason));
     }
 
     void report_denial(const Rule& rule, const TranslatedMatch& condition, int status) {
-        Verdict verdict = verdict_behind_allow(condition);
-        std::string text =
-            allow_refused_ ? "also what an `allow` before it let past" : condition.note;
+        Verdict verdict = verdict_after_allow(condition);
+        std::string text = allow_refused_
+                               ? "also rejects RPCs that a refused `allow` before it would let pass"
+                               : condition.note;
         if (rule.action != "deny") {
             verdict = std::max(verdict, Verdict::changed);
-            text =
-                fmt::format("turned away at once with {}: nobody is held back or cut off", status);
+            text = fmt::format(
+                "rejected at once with status {}, without a delay or a dropped connection", status);
         } else if (sink_ == nullptr && text.empty()) {
-            text = "as a route before each that leads to this pool";
+            text = "added as a route before each route to this pool";
         }
         report(rule, verdict, text);
     }
 
-    void allow(const Rule& rule) {
+    void translate_allow(const Rule& rule) {
         const TranslatedCondition condition =
             acls_.translate_condition(*rule.statement, rule.condition);
         if (!condition) {
             allow_refused_ = true;
-            return report(rule, Verdict::refused,
-                          fmt::format("{}; what it let past is turned away by the rules behind it",
-                                      condition.error().reason));
+            return report(
+                rule, Verdict::refused,
+                fmt::format("{}; the rules after it can reject RPCs that this rule let pass",
+                            condition.error().reason));
         }
         not_allowed_ = match_both(not_allowed_, Match{Not{{condition->match}}});
         report(rule, condition->verdict, condition->note);
     }
 
-    void redirect(const Rule& rule) {
+    void translate_redirect(const Rule& rule) {
         const routing::Redirect target = read_redirect(rule);
         const TranslatedCondition condition =
             acls_.translate_condition(*rule.statement, rule.condition);
@@ -331,19 +335,21 @@
             return refuse_redirect(rule, condition.error().reason);
         }
         if (sink_ == nullptr) {
-            return refuse_redirect(rule, "a backend's redirect has no equal here");
+            return refuse_redirect(rule, "a redirect in a backend is not supported");
         }
         if (target.location.empty() || target.location.find("%[") != std::string::npos) {
-            return refuse_redirect(rule, "only a location that stands in the line can be told");
+            return refuse_redirect(rule, "only `location` with a fixed text is supported");
         }
         sink_->routes.push_back({sink_->names.unique_name("redirect", *rule.statement),
                                  match_both(not_allowed_, condition->match), target});
-        report(rule, verdict_behind_allow(*condition), condition->note);
+        report(rule, verdict_after_allow(*condition), condition->note);
     }
 
     void refuse_redirect(const Rule& rule, const std::string& reason) {
-        report(rule, Verdict::refused,
-               fmt::format("{}; what it redirected passes now: redirect at the proxies", reason));
+        report(
+            rule, Verdict::refused,
+            fmt::format("{}; RPCs that this rule redirected pass now: redirect them at the proxies",
+                        reason));
     }
 
     void report_rewrite(const Rule& rule) {
@@ -352,10 +358,10 @@
         if (seen_by_rules) {
             return report(
                 rule, Verdict::refused,
-                "routes and hashes go by the RPC as it came: rewrite it before it is routed");
+                "routes and hashes use the RPC as received: rewrite it before it is routed");
         }
         report(rule, Verdict::no_effect,
-               "how an RPC is rewritten is the proxies' own; nothing here routes by it");
+               "the proxies rewrite RPCs; no rule of this section depends on it");
     }
 
     void report_header_change(const Rule& rule) {
@@ -364,12 +370,12 @@
             return acl->word(2).find(call) != std::string::npos;
         });
         if (seen_by_acl) {
-            return report(rule, Verdict::refused, "routes go by the header as it came");
+            return report(rule, Verdict::refused, "routes use the header as received");
         }
-        report(rule, Verdict::no_effect, "headers for servers are the proxies' own");
+        report(rule, Verdict::no_effect, "the proxies set the headers that servers get");
     }
 
-    [[nodiscard]] Verdict verdict_behind_allow(const TranslatedMatch& condition) const {
+    [[nodiscard]] Verdict verdict_after_allow(const TranslatedMatch& condition) const {
         return std::max(condition.verdict, allow_refused_ ? Verdict::changed : Verdict::translated);
     }
 
@@ -382,7 +388,7 @@
     Findings& findings_;
     RouteSink* sink_;
     std::vector<Denial> denials_;
-    Match not_allowed_{AllOf{}};  // matches what no `allow` of the phase let past
+    Match not_allowed_{AllOf{}};  // matches RPCs that no `allow` of the phase lets pass
     bool allow_refused_ = false;  // an `allow` of the phase could not be translated
 };
 
--- a/src/haproxy/request_rules.hpp
+++ b/src/haproxy/request_rules.hpp
@@ -1,7 +1,6 @@
 /// \file
 /// Translates the rules that act on requests (`tcp-request`, `http-request`, `block` and
-/// `redirect`; configuration manual 2.8, section 4.2) to routes that turn RPCs away or redirect
-/// them.
+/// `redirect`; configuration manual 2.8, section 4.2) to routes that reject or redirect RPCs.
 #pragma once
 
 #include <map>
@@ -14,14 +13,14 @@
 
 namespace micaroad::haproxy {
 
-/// RPCs that a section answers itself with an error.
+/// A rule by which a section itself answers RPCs with an error.
 struct Denial {
     routing::Match match;
-    int status;  // of HTTP, 400 to 599
+    int status;  // HTTP status, 400 to 599
 };
 
-/// Makes the names of one listener's routes: a purpose and the line number of the statement, with
-/// a counter where that pair occurs again.
+/// Makes the names of one listener's routes, such as "deny-12": a purpose and the line number of
+/// the statement, with a counter if that pair occurs again.
 class RouteNames {
  public:
     [[nodiscard]] std::string unique_name(const std::string& purpose, const Statement& statement);
@@ -30,13 +29,13 @@
     std::map<std::string, int> uses_;
 };
 
-/// Where the routes of a listener go. Both objects outlive this one.
+/// Receives the routes of a listener. Both referenced objects must outlive it.
 struct RouteSink {
     std::vector<routing::Route>& routes;
     RouteNames& names;
 };
 
-/// Matches what both match.
+/// Returns a match that holds if both do.
 [[nodiscard]] routing::Match match_both(const routing::Match& first, const routing::Match& second);
 
 /// Translates the rules of `draft` in the order in which HAProxy evaluates them, and records a
--- a/src/haproxy/routes.cpp
+++ b/src/haproxy/routes.cpp
@@ -12,7 +12,7 @@
 
 struct BindAddresses {
     std::vector<std::string> usable;
-    std::string refused;  // why the last of the others can't be used; empty: all are usable
+    std::string refusal;  // why the last unusable address is refused; empty: all are usable
 };
 
 bool is_tcp_address(const Endpoint& endpoint) {
@@ -21,7 +21,7 @@
     return has_host && endpoint.port > 0 && !endpoint.relative_port;
 }
 
-/// Reads the addresses of a `bind` line, which commas part.
+/// Reads the comma-separated addresses of a `bind` line.
 BindAddresses read_bind_addresses(const std::string& text) {
     BindAddresses addresses;
     for (std::size_t from = 0; from <= text.size();) {
@@ -29,11 +29,11 @@
         const std::string address = text.substr(from, end - from);
         const auto endpoint = endpoint_of(address);
         if (!endpoint) {
-            addresses.refused = endpoint.wrong;
+            addresses.refusal = endpoint.wrong;
         } else if (is_tcp_address(*endpoint)) {
             addresses.usable.push_back(endpoint->text());
         } else {
-            addresses.refused = fmt::format("'{}' is no address and one port", address);
+            addresses.refusal = fmt::format("'{}' is not an address with one port", address);
         }
         from = end + 1;
     }
@@ -82,7 +82,7 @@
     RouteSink sink{listener.routes, names};
     const std::string own_pool = section.kind == "listen" ? section.name : "";
     Acls acls(draft.acls, {pools_, own_pool}, findings_);
-    // The denials are among the listener's routes; nobody else asks for them.
+    // The denials are already among the listener's routes, so the result is not needed.
     std::ignore = translate_request_rules(draft, acls, findings_, &sink);
     for (const Statement* statement : draft.use_backends) {
         translate_use_backend(*statement, acls, sink);
@@ -95,17 +95,19 @@
     const BindAddresses addresses = read_bind_addresses(statement.word(1));
     listener.addresses.insert(listener.addresses.end(), addresses.usable.begin(),
                               addresses.usable.end());
-    if (!addresses.refused.empty()) {
-        const char* const rest = addresses.usable.empty() ? "" : "; the others stand";
-        return report(statement, Verdict::refused, addresses.refused + rest);
+    if (!addresses.refusal.empty()) {
+        const char* const rest = addresses.usable.empty() ? "" : "; the other addresses are kept";
+        return report(statement, Verdict::refused, addresses.refusal + rest);
     }
     if (has_word(statement, 2, "maxconn")) {
         return report(statement, Verdict::refused,
-                      "maxconn is by section: `maxconn` on a line of its own; the address stands");
+                      "maxconn is a setting of the section: write it on a line of its own; the "
+                      "address is kept");
     }
     const bool has_options = statement.size() > 2;
-    report(statement, Verdict::translated,
-           has_options ? "how proxies listen there (TLS, options) is theirs" : "");
+    report(
+        statement, Verdict::translated,
+        has_options ? "how proxies listen there (TLS, options) is configured at the proxies" : "");
 }
 
 void ListenerBuilder::translate_use_backend(const Statement& statement, Acls& acls,
@@ -113,8 +115,8 @@
     const std::string& pool = statement.word(1);
     if (pool.find("%[") != std::string::npos) {
         return report(statement, Verdict::refused,
-                      "a pool's name can't be made from the RPC: write a line for each pool; what "
-                      "it took goes on to the routes behind it");
+                      "a pool's name can't be made from the RPC: write a line for each pool; RPCs "
+                      "that this line matched go on to the routes after it");
     }
     const TranslatedCondition condition = acls.translate_condition(statement, 2);
     if (!pools_.contains(pool)) {
@@ -122,7 +124,7 @@
     }
     if (!condition) {
         return report(statement, Verdict::refused,
-                      fmt::format("{}; what it took goes on to the routes behind it",
+                      fmt::format("{}; RPCs that this line matched go on to the routes after it",
                                   condition.error().reason));
     }
     add_pool_routes(pool, condition->match, statement, sink);
--- a/src/haproxy/routes.hpp
+++ b/src/haproxy/routes.hpp
@@ -14,15 +14,15 @@
 
 namespace micaroad::haproxy {
 
-/// Makes the listeners of one configuration. Not thread-safe; `findings` outlives it.
+/// Builds the listeners of one configuration. Not thread-safe; `findings` must outlive it.
 class ListenerBuilder {
  public:
-    /// Translates the denials of all backends in `drafts`: each route that leads to a pool comes
-    /// behind those of the pool.
+    /// Translates the denials of all backends in `drafts`. They become routes ahead of each route
+    /// that leads to the pool of their backend.
     ListenerBuilder(const std::vector<Draft>& drafts, Findings& findings);
 
-    /// Makes the listener of a section with `draft.listens()`, and records the verdicts of its
-    /// `bind`, rule and `use_backend` lines.
+    /// Makes the listener of a section for which `draft.listens()` holds, and records the verdicts
+    /// of its `bind`, rule and `use_backend` lines.
     [[nodiscard]] routing::Listener make_listener(const Draft& draft);
 
  private:
@@ -37,7 +37,7 @@
 
     Findings& findings_;
     std::map<std::string, std::vector<Denial>> denials_by_pool_;
-    std::set<std::string> pools_;  // all that exist
+    std::set<std::string> pools_;  // names of all pools
 };
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/server_line.cpp
+++ b/src/haproxy/server_line.cpp
@@ -12,7 +12,7 @@
 namespace micaroad::haproxy {
 namespace {
 
-/// What the importer makes of a keyword that it does not translate into a setting.
+/// How the importer treats a keyword that it does not translate to a setting.
 struct KeywordEffect {
     int word_count;  // the keyword itself and its values
     Verdict verdict;
@@ -24,90 +24,91 @@
     KeywordEffect effect;
 };
 
-constexpr int kMaxProbesInARow = 1'000;
+constexpr int kMaxConsecutiveProbes = 1'000;
 constexpr int kMaxWeight = 256;
 constexpr std::int64_t kMaxInt = std::numeric_limits<std::int32_t>::max();
 
-constexpr const char* kTls =
-    "TLS to servers is the proxies' own matter: tables name addresses alone; set it there";
-constexpr const char* kProxyLine =
-    "the PROXY line has no equal here: proxies send RPCs as they are; let the servers take the "
-    "address from "
-    "a header";
-constexpr const char* kLookUp = "no names are looked up here";
+constexpr const char* kTlsReason =
+    "TLS to servers is configured at the proxies: tables hold only addresses";
+constexpr const char* kProxyProtocolReason =
+    "the PROXY protocol is not supported: proxies send RPCs as they are; let the servers take the "
+    "client's address from a header";
+constexpr const char* kNameLookupReason = "no names are looked up here";
 
 constexpr auto kFixedKeywords = std::to_array<FixedKeyword>({
-    {"send-proxy", {1, Verdict::refused, kProxyLine}},
-    {"send-proxy-v2", {1, Verdict::refused, kProxyLine}},
-    {"send-proxy-v2-ssl", {1, Verdict::refused, kProxyLine}},
-    {"send-proxy-v2-ssl-cn", {1, Verdict::refused, kProxyLine}},
-    {"proxy-v2-options", {2, Verdict::refused, kProxyLine}},
-    {"set-proxy-v2-tlv-fmt", {2, Verdict::refused, kProxyLine}},
-    {"check-send-proxy", {1, Verdict::refused, kProxyLine}},
-    {"ssl", {1, Verdict::refused, kTls}},
-    {"ca-file", {2, Verdict::refused, kTls}},
-    {"crt", {2, Verdict::refused, kTls}},
-    {"crl-file", {2, Verdict::refused, kTls}},
-    {"verify", {2, Verdict::refused, kTls}},
-    {"verifyhost", {2, Verdict::refused, kTls}},
-    {"sni", {2, Verdict::refused, kTls}},
-    {"alpn", {2, Verdict::refused, kTls}},
-    {"npn", {2, Verdict::refused, kTls}},
-    {"ciphers", {2, Verdict::refused, kTls}},
-    {"ciphersuites", {2, Verdict::refused, kTls}},
-    {"ssl-min-ver", {2, Verdict::refused, kTls}},
-    {"ssl-max-ver", {2, Verdict::refused, kTls}},
-    {"no-ssl-reuse", {1, Verdict::refused, kTls}},
+    {"send-proxy", {1, Verdict::refused, kProxyProtocolReason}},
+    {"send-proxy-v2", {1, Verdict::refused, kProxyProtocolReason}},
+    {"send-proxy-v2-ssl", {1, Verdict::refused, kProxyProtocolReason}},
+    {"send-proxy-v2-ssl-cn", {1, Verdict::refused, kProxyProtocolReason}},
+    {"proxy-v2-options", {2, Verdict::refused, kProxyProtocolReason}},
+    {"set-proxy-v2-tlv-fmt", {2, Verdict::refused, kProxyProtocolReason}},
+    {"check-send-proxy", {1, Verdict::refused, kProxyProtocolReason}},
+    {"ssl", {1, Verdict::refused, kTlsReason}},
+    {"ca-file", {2, Verdict::refused, kTlsReason}},
+    {"crt", {2, Verdict::refused, kTlsReason}},
+    {"crl-file", {2, Verdict::refused, kTlsReason}},
+    {"verify", {2, Verdict::refused, kTlsReason}},
+    {"verifyhost", {2, Verdict::refused, kTlsReason}},
+    {"sni", {2, Verdict::refused, kTlsReason}},
+    {"alpn", {2, Verdict::refused, kTlsReason}},
+    {"npn", {2, Verdict::refused, kTlsReason}},
+    {"ciphers", {2, Verdict::refused, kTlsReason}},
+    {"ciphersuites", {2, Verdict::refused, kTlsReason}},
+    {"ssl-min-ver", {2, Verdict::refused, kTlsReason}},
+    {"ssl-max-ver", {2, Verdict::refused, kTlsReason}},
+    {"no-ssl-reuse", {1, Verdict::refused, kTlsReason}},
     {"no-ssl", {1, Verdict::no_effect, ""}},
     {"no-verifyhost", {1, Verdict::no_effect, ""}},
     {"no-send-proxy", {1, Verdict::no_effect, ""}},
     {"no-send-proxy-v2", {1, Verdict::no_effect, ""}},
     {"no-check-ssl", {1, Verdict::no_effect, ""}},
-    {"check-ssl", {1, Verdict::refused, kTls}},
-    {"check-sni", {2, Verdict::refused, kTls}},
-    {"check-alpn", {2, Verdict::refused, kTls}},
+    {"check-ssl", {1, Verdict::refused, kTlsReason}},
+    {"check-sni", {2, Verdict::refused, kTlsReason}},
+    {"check-alpn", {2, Verdict::refused, kTlsReason}},
     {"check-proto", {2, Verdict::refused, "probes speak HTTP/1.1 or only connect"}},
-    {"check-via-socks4", {1, Verdict::refused, "no SOCKS is spoken here"}},
-    {"socks4", {2, Verdict::refused, "no SOCKS is spoken here"}},
+    {"check-via-socks4", {1, Verdict::refused, "SOCKS is not supported"}},
+    {"socks4", {2, Verdict::refused, "SOCKS is not supported"}},
     {"agent-check",
      {1, Verdict::refused,
-      "agents are not asked: list the server as draining or with another weight instead"}},
+      "agent checks are not supported: list the server as draining or with another weight "
+      "instead"}},
     {"no-agent-check", {1, Verdict::no_effect, ""}},
-    {"agent-inter", {2, Verdict::refused, "agents are not asked"}},
-    {"agent-port", {2, Verdict::refused, "agents are not asked"}},
-    {"agent-addr", {2, Verdict::refused, "agents are not asked"}},
-    {"agent-send", {2, Verdict::refused, "agents are not asked"}},
+    {"agent-inter", {2, Verdict::refused, "agent checks are not supported"}},
+    {"agent-port", {2, Verdict::refused, "agent checks are not supported"}},
+    {"agent-addr", {2, Verdict::refused, "agent checks are not supported"}},
+    {"agent-send", {2, Verdict::refused, "agent checks are not supported"}},
     {"port", {2, Verdict::refused, "probes go to the server's own address"}},
     {"addr", {2, Verdict::refused, "probes go to the server's own address"}},
-    {"resolvers", {2, Verdict::refused, kLookUp}},
-    {"resolve-prefer", {2, Verdict::refused, kLookUp}},
-    {"resolve-net", {2, Verdict::refused, kLookUp}},
-    {"resolve-opts", {2, Verdict::refused, kLookUp}},
-    {"init-addr", {2, Verdict::no_effect, "addresses stand in the file"}},
+    {"resolvers", {2, Verdict::refused, kNameLookupReason}},
+    {"resolve-prefer", {2, Verdict::refused, kNameLookupReason}},
+    {"resolve-net", {2, Verdict::refused, kNameLookupReason}},
+    {"resolve-opts", {2, Verdict::refused, kNameLookupReason}},
+    {"init-addr", {2, Verdict::no_effect, "addresses are listed in the file"}},
     {"redir", {2, Verdict::refused, "RPCs are sent, not redirected, to servers"}},
-    {"source", {2, Verdict::refused, "the proxies' own addresses are used"}},
-    {"interface", {2, Verdict::refused, "the proxies' own addresses are used"}},
-    {"usesrc", {2, Verdict::refused, "the proxies' own addresses are used"}},
-    {"namespace", {2, Verdict::refused, "proxies dial in their own namespace"}},
-    {"on-marked-up", {2, Verdict::refused, "sessions are not shut down from here"}},
+    {"source", {2, Verdict::refused, "proxies connect from their own addresses"}},
+    {"interface", {2, Verdict::refused, "proxies connect from their own addresses"}},
+    {"usesrc", {2, Verdict::refused, "proxies connect from their own addresses"}},
+    {"namespace", {2, Verdict::refused, "proxies connect in their own network namespace"}},
+    {"on-marked-up", {2, Verdict::refused, "the planner does not shut sessions down"}},
     {"on-marked-down",
-     {2, Verdict::refused, "sessions are not shut down from here; proxies stop at once"}},
-    {"proto", {2, Verdict::no_effect, "how proxies speak with servers is theirs"}},
-    {"ws", {2, Verdict::no_effect, "how proxies speak with servers is theirs"}},
-    {"tfo", {1, Verdict::no_effect, "how proxies dial is theirs"}},
+     {2, Verdict::refused,
+      "the planner does not shut sessions down; proxies stop sending to the server at once"}},
+    {"proto", {2, Verdict::no_effect, "the protocol to servers is configured at the proxies"}},
+    {"ws", {2, Verdict::no_effect, "the protocol to servers is configured at the proxies"}},
+    {"tfo", {1, Verdict::no_effect, "connecting is configured at the proxies"}},
     {"no-tfo", {1, Verdict::no_effect, ""}},
-    {"tcp-ut", {2, Verdict::no_effect, "how proxies dial is theirs"}},
-    {"pool-max-conn", {2, Verdict::no_effect, "how proxies keep connections is theirs"}},
-    {"pool-low-conn", {2, Verdict::no_effect, "how proxies keep connections is theirs"}},
-    {"pool-purge-delay", {2, Verdict::no_effect, "how proxies keep connections is theirs"}},
-    {"max-reuse", {2, Verdict::no_effect, "how proxies keep connections is theirs"}},
-    {"log-proto", {2, Verdict::no_effect, "for logs alone"}},
-    {"log-bufsize", {2, Verdict::no_effect, "for logs alone"}},
-    {"id", {2, Verdict::no_effect, "names alone count"}},
-    {"guid", {2, Verdict::no_effect, "names alone count"}},
+    {"tcp-ut", {2, Verdict::no_effect, "connecting is configured at the proxies"}},
+    {"pool-max-conn", {2, Verdict::no_effect, "connection reuse is configured at the proxies"}},
+    {"pool-low-conn", {2, Verdict::no_effect, "connection reuse is configured at the proxies"}},
+    {"pool-purge-delay", {2, Verdict::no_effect, "connection reuse is configured at the proxies"}},
+    {"max-reuse", {2, Verdict::no_effect, "connection reuse is configured at the proxies"}},
+    {"log-proto", {2, Verdict::no_effect, "it concerns only logs"}},
+    {"log-bufsize", {2, Verdict::no_effect, "it concerns only logs"}},
+    {"id", {2, Verdict::no_effect, "servers are identified by name"}},
+    {"guid", {2, Verdict::no_effect, "servers are identified by name"}},
     {"hash-key", {2, Verdict::changed, "keys are hashed over the servers' names"}},
-    {"stick", {1, Verdict::no_effect, "the usual"}},
-    {"non-stick", {1, Verdict::refused, "stickiness is by pool"}},
+    {"stick", {1, Verdict::no_effect, "it is the default"}},
+    {"non-stick", {1, Verdict::refused, "stickiness is a setting of the whole pool"}},
 });
 
 const KeywordEffect* find_fixed_keyword(std::string_view keyword) {
@@ -119,9 +120,9 @@
 /// tells whether the keyword belongs to its group, and consumes the keyword's values if so.
 class ServerLineReader {
  public:
-    ServerLineReader(const Statement& statement, std::size_t first, ServerParameters& words,
+    ServerLineReader(const Statement& statement, std::size_t first, ServerParameters& parameters,
                      Findings& findings)
-        : statement_(statement), position_(first), words_(words), findings_(findings) {}
+        : statement_(statement), position_(first), parameters_(parameters), findings_(findings) {}
 
     void read() {
         report(Verdict::translated, "");
@@ -142,17 +143,17 @@
 
     bool read_switch(const std::string& keyword) {
         if (keyword == "backup") {
-            words_.backup = true;
+            parameters_.backup = true;
         } else if (keyword == "no-backup") {
-            words_.backup = false;
+            parameters_.backup = false;
         } else if (keyword == "disabled") {
-            words_.disabled = true;
+            parameters_.disabled = true;
         } else if (keyword == "enabled") {
-            words_.disabled = false;
+            parameters_.disabled = false;
         } else if (keyword == "check") {
-            words_.check = true;
+            parameters_.check = true;
         } else if (keyword == "no-check") {
-            words_.check = false;
+            parameters_.check = false;
         } else {
             return false;
         }
@@ -161,15 +162,15 @@
 
     bool read_probe_setting(const std::string& keyword) {
         if (keyword == "inter") {
-            words_.inter = read_positive_time(keyword);
+            parameters_.interval = read_positive_time(keyword);
         } else if (keyword == "fastinter") {
-            words_.fast_inter = read_positive_time(keyword);
+            parameters_.transition_interval = read_positive_time(keyword);
         } else if (keyword == "downinter") {
-            words_.down_inter = read_positive_time(keyword);
+            parameters_.down_interval = read_positive_time(keyword);
         } else if (keyword == "rise") {
-            words_.rise = read_probes_in_a_row(keyword);
+            parameters_.rise = read_consecutive_probes(keyword);
         } else if (keyword == "fall") {
-            words_.fall = read_probes_in_a_row(keyword);
+            parameters_.fall = read_consecutive_probes(keyword);
         } else {
             return false;
         }
@@ -178,20 +179,20 @@
 
     bool read_limit(const std::string& keyword) {
         if (keyword == "weight") {
-            words_.weight = read_number(keyword, 0, kMaxWeight).value_or(0);
+            parameters_.weight = read_number(keyword, 0, kMaxWeight).value_or(0);
         } else if (keyword == "slowstart") {
             // HAProxy counts it in whole seconds, rounded up.
             const Duration given = read_time(keyword).value_or(Duration{});
-            words_.slow_start = std::chrono::ceil<std::chrono::seconds>(given);
+            parameters_.slow_start = std::chrono::ceil<std::chrono::seconds>(given);
         } else if (keyword == "maxconn") {
-            words_.max_conn = read_number(keyword, 0, kMaxInt).value_or(0);
+            parameters_.max_conn = read_number(keyword, 0, kMaxInt).value_or(0);
         } else if (keyword == "minconn") {
-            words_.min_conn = read_number(keyword, 0, kMaxInt).value_or(0);
+            parameters_.min_conn = read_number(keyword, 0, kMaxInt).value_or(0);
             report(Verdict::changed,
-                   "its limit is maxconn (or minconn alone) whatever the load: it does not shrink "
-                   "to minconn while the pool is idle");
+                   "the limit is maxconn (minconn if there is no maxconn) at any load: it does not "
+                   "shrink to minconn while the pool is idle");
         } else if (keyword == "maxqueue") {
-            words_.max_queue = read_number(keyword, 0, kMaxInt).value_or(0);
+            parameters_.max_queue = read_number(keyword, 0, kMaxInt).value_or(0);
         } else {
             return false;
         }
@@ -200,9 +201,9 @@
 
     bool read_name(const std::string& keyword) {
         if (keyword == "track") {
-            words_.track = next_word();
+            parameters_.track = next_word();
         } else if (keyword == "cookie") {
-            words_.cookie = next_word();
+            parameters_.cookie = next_word();
         } else {
             return false;
         }
@@ -211,14 +212,15 @@
 
     bool read_error_setting(const std::string& keyword) {
         if (keyword == "error-limit") {
-            words_.error_limit = read_number(keyword, 1, kMaxInt);
+            parameters_.error_limit = read_number(keyword, 1, kMaxInt);
         } else if (keyword == "observe") {
             read_observed_layer();
         } else if (keyword == "on-error") {
-            words_.on_error = next_word();
-            if (words_.on_error != "mark-down") {
+            parameters_.on_error = next_word();
+            if (parameters_.on_error != "mark-down") {
                 report(Verdict::changed,
-                       "errors in a row put the server down at once; probes bring it back");
+                       "consecutive errors mark the server down at once; successful probes mark it "
+                       "up again");
             }
         } else {
             return false;
@@ -228,13 +230,13 @@
 
     void read_observed_layer() {
         const std::string& layer = next_word();
-        words_.observes = layer == "layer4" || layer == "layer7";
-        if (!words_.observes) {
+        parameters_.observes = layer == "layer4" || layer == "layer7";
+        if (!parameters_.observes) {
             leave_out(fmt::format("observe '{}' is neither layer4 nor layer7", layer));
             return;
         }
         report(Verdict::changed,
-               "RPCs that failed count, whatever the layer; the limit is the pool's");
+               "failed RPCs count at either layer; the limit is that of the pool");
     }
 
     bool read_fixed_keyword(const std::string& keyword) {
@@ -254,7 +256,7 @@
     }
 
     void report_fixed_keyword(const std::string& keyword, const KeywordEffect& effect) {
-        // A single keyword without effect does not make the whole server line one.
+        // A keyword without effect does not make the whole server line one without effect.
         const Verdict verdict =
             effect.verdict == Verdict::no_effect ? Verdict::translated : effect.verdict;
         std::string text;
@@ -269,9 +271,9 @@
         return statement_.word(position_);
     }
 
-    std::optional<int> read_number(const std::string& keyword, std::int64_t least,
-                                   std::int64_t most) {
-        const auto value = number_of(next_word(), least, most);
+    std::optional<int> read_number(const std::string& keyword, std::int64_t min_value,
+                                   std::int64_t max_value) {
+        const auto value = number_of(next_word(), min_value, max_value);
         if (!value) {
             leave_out(fmt::format("{} {}", keyword, value.wrong));
             return std::nullopt;
@@ -291,23 +293,24 @@
     std::optional<Duration> read_positive_time(const std::string& keyword) {
         const std::optional<Duration> value = read_time(keyword);
         if (value == Duration{}) {
-            leave_out(fmt::format("{} is no time at all", keyword));
+            leave_out(fmt::format("{} has to be over 0", keyword));
             return std::nullopt;
         }
         return value;
     }
 
-    /// Limited to what the settings file takes: a higher number is as good as never.
-    std::optional<int> read_probes_in_a_row(const std::string& keyword) {
+    /// Reads a number of probes, limited to what the operator's file accepts. A higher one
+    /// would practically never be reached.
+    std::optional<int> read_consecutive_probes(const std::string& keyword) {
         const std::optional<int> value = read_number(keyword, 1, kMaxInt);
         if (!value) {
             return std::nullopt;
         }
-        if (*value > kMaxProbesInARow) {
-            report(Verdict::changed,
-                   fmt::format("{} probes in a row are enough, not {}", kMaxProbesInARow, *value));
+        if (*value > kMaxConsecutiveProbes) {
+            report(Verdict::changed, fmt::format("the limit is {} consecutive probes, not {}",
+                                                 kMaxConsecutiveProbes, *value));
         }
-        return std::min(*value, kMaxProbesInARow);
+        return std::min(*value, kMaxConsecutiveProbes);
     }
 
     void report(Verdict verdict, const std::string& text) {
@@ -315,21 +318,21 @@
     }
 
     void leave_out(const std::string& reason) {
-        words_.left_out = true;
+        parameters_.left_out = true;
         report(Verdict::refused, fmt::format("{}: the server is left out", reason));
     }
 
     const Statement& statement_;
     std::size_t position_;  // of the word being read
-    ServerParameters& words_;
+    ServerParameters& parameters_;
     Findings& findings_;
 };
 
 }  // namespace
 
-void read_server_parameters(const Statement& statement, std::size_t from, ServerParameters& words,
-                            Findings& findings) {
-    ServerLineReader(statement, from, words, findings).read();
+void read_server_parameters(const Statement& statement, std::size_t from,
+                            ServerParameters& parameters, Findings& findings) {
+    ServerLineReader(statement, from, parameters, findings).read();
 }
 
 }  // namespace micaroad::haproxy
--- a/src/haproxy/server_line.hpp
+++ b/src/haproxy/server_line.hpp
@@ -18,13 +18,13 @@
     bool backup = false;
     bool disabled = false;
     bool check = false;
-    std::optional<Duration> inter;       // between probes
-    std::optional<Duration> fast_inter;  // between probes while the server changes its state
-    std::optional<Duration> down_inter;  // between probes while the server is down
-    std::optional<int> rise;             // successful probes in a row until it is up
-    std::optional<int> fall;             // failed probes in a row until it is down
-    std::optional<int> error_limit;      // failed RPCs in a row until `on_error` applies
-    bool observes = false;               // whether failed RPCs count against the server
+    std::optional<Duration> interval;             // between probes
+    std::optional<Duration> transition_interval;  // between probes while the state changes
+    std::optional<Duration> down_interval;        // between probes while the server is down
+    std::optional<int> rise;                      // successful probes in a row until it is up
+    std::optional<int> fall;                      // failed probes in a row until it is down
+    std::optional<int> error_limit;               // failed RPCs in a row until `on_error` applies
+    bool observes = false;                        // whether failed RPCs count against the server
     std::string on_error;
     Duration slow_start{};  // in whole seconds
     int max_conn = 0;       // 0: no limit
@@ -32,14 +32,14 @@
     int max_queue = 0;
     std::string track;  // "server" or "backend/server" whose health this server shares
     std::string cookie;
-    /// A value is one that HAProxy itself rejects; the line creates no server.
+    /// HAProxy itself rejects a value of the line, so the line creates no server.
     bool left_out = false;
 };
 
-/// Reads the parameters from word number `from` to the end of the line into `words`, on top of the
-/// values there, and records the line's verdict in `findings`. A parameter with a bad value sets
-/// `left_out`; reading goes on behind it.
-void read_server_parameters(const Statement& statement, std::size_t from, ServerParameters& words,
-                            Findings& findings);
+/// Reads the parameters from word number `from` to the end of the line into `parameters`, on top of
+/// the values there, and records the line's verdict in `findings`. A parameter with a bad value
+/// sets `left_out`; reading continues after it.
+void read_server_parameters(const Statement& statement, std::size_t from,
+                            ServerParameters& parameters, Findings& findings);
 
 }  // namespace micaroad::haproxy
