--- a/src/haproxy/routes.cpp
+++ b/src/haproxy/routes.cpp
@@ -12,7 +12,7 @@
 
 struct BindAddresses {
     std::vector<std::string> usable;
-    std::string refused;  // why the last of the others can't be used; empty: all are usable
+    std::string refusal;  // why the last unusable address is refused; empty: all are usable
 };
 
 bool is_tcp_address(const Endpoint& endpoint) {
@@ -21,7 +21,7 @@
     return has_host && endpoint.port > 0 && !endpoint.relative_port;
 }
 
-/// Reads the addresses of a `bind` line, which commas part.
+/// Reads the comma-separated addresses of a `bind` line.
 BindAddresses read_bind_addresses(const std::string& text) {
     BindAddresses addresses;
     for (std::size_t from = 0; from <= text.size();) {
@@ -29,11 +29,11 @@
         const std::string address = text.substr(from, end - from);
         const auto endpoint = parse_endpoint(address);
         if (!endpoint) {
-            addresses.refused = endpoint.error;
+            addresses.refusal = endpoint.error;
         } else if (is_tcp_address(*endpoint)) {
             addresses.usable.push_back(endpoint->text());
         } else {
-            addresses.refused = fmt::format("'{}' is no address and one port", address);
+            addresses.refusal = fmt::format("'{}' is not an address with one port", address);
         }
         from = end + 1;
     }
@@ -51,7 +51,8 @@
 
 }  // namespace
 
-RouteMaker::RouteMaker(const std::vector<Draft>& drafts, Findings& findings) : findings_(findings) {
+ListenerBuilder::ListenerBuilder(const std::vector<Draft>& drafts, Findings& findings)
+    : findings_(findings) {
     for (const Draft& draft : drafts) {
         if (draft.has_servers()) {
             pools_.insert(draft.section->name);
@@ -67,7 +68,7 @@
     }
 }
 
-routing::Listener RouteMaker::listener(const Draft& draft) {
+routing::Listener ListenerBuilder::make_listener(const Draft& draft) {
     const Section& section = *draft.section;
     routing::Listener listener;
     listener.name = section.name;
@@ -81,7 +82,7 @@
     RouteSink sink{listener.routes, names};
     const std::string own_pool = section.kind == "listen" ? section.name : "";
     Acls acls(draft.acls, {pools_, own_pool}, findings_);
-    // The denials are among the listener's routes; nobody else asks for them.
+    // The denials are already among the listener's routes, so the result is not needed.
     std::ignore = translate_request_rules(draft, acls, findings_, &sink);
     for (const Statement* statement : draft.use_backends) {
         translate_use_backend(*statement, acls, sink);
@@ -90,54 +91,58 @@
     return listener;
 }
 
-void RouteMaker::translate_bind(const Statement& statement, routing::Listener& listener) {
+void ListenerBuilder::translate_bind(const Statement& statement, routing::Listener& listener) {
     const BindAddresses addresses = read_bind_addresses(statement.word(1));
     listener.addresses.insert(listener.addresses.end(), addresses.usable.begin(),
                               addresses.usable.end());
-    if (!addresses.refused.empty()) {
-        const char* const rest = addresses.usable.empty() ? "" : "; the others stand";
-        return report(statement, Verdict::refused, addresses.refused + rest);
+    if (!addresses.refusal.empty()) {
+        const char* const rest = addresses.usable.empty() ? "" : "; the other addresses are kept";
+        return report(statement, Verdict::refused, addresses.refusal + rest);
     }
     if (has_word(statement, 2, "maxconn")) {
         return report(statement, Verdict::refused,
-                      "maxconn is by section: `maxconn` on a line of its own; the address stands");
+                      "maxconn is a setting of the section: write it on a line of its own; the "
+                      "address is kept");
     }
     const bool has_options = statement.size() > 2;
-    report(statement, Verdict::translated,
-           has_options ? "how proxies listen there (TLS, options) is theirs" : "");
+    report(
+        statement, Verdict::translated,
+        has_options ? "how proxies listen there (TLS, options) is configured at the proxies" : "");
 }
 
-void RouteMaker::translate_use_backend(const Statement& statement, Acls& acls, RouteSink& sink) {
+void ListenerBuilder::translate_use_backend(const Statement& statement, Acls& acls,
+                                            RouteSink& sink) {
     const std::string& pool = statement.word(1);
     if (pool.find("%[") != std::string::npos) {
         return report(statement, Verdict::refused,
-                      "a pool's name can't be made from the RPC: write a line for each pool; what "
-                      "it took goes on to the routes behind it");
+                      "a pool's name can't be made from the RPC: write a line for each pool; RPCs "
+                      "that this line matched go on to the routes after it");
     }
-    const TranslatedCondition condition = acls.condition(statement, 2);
+    const TranslatedCondition condition = acls.translate_condition(statement, 2);
     if (!pools_.contains(pool)) {
         return report(statement, Verdict::refused, fmt::format("there is no backend {}", pool));
     }
     if (!condition) {
         return report(statement, Verdict::refused,
-                      fmt::format("{}; what it took goes on to the routes behind it",
+                      fmt::format("{}; RPCs that this line matched go on to the routes after it",
                                   condition.error().reason));
     }
     add_pool_routes(pool, condition->match, statement, sink);
     report(statement, condition->verdict, condition->note);
 }
 
-void RouteMaker::add_pool_routes(const std::string& pool, const routing::Match& when,
-                                 const Statement& statement, RouteSink& sink) {
+void ListenerBuilder::add_pool_routes(const std::string& pool, const routing::Match& match,
+                                      const Statement& statement, RouteSink& sink) {
     for (const Denial& denial : denials_by_pool_[pool]) {
-        sink.routes.push_back({sink.names.next("deny-" + pool, statement),
-                               match_both(when, denial.when), routing::Reject{denial.status}});
+        sink.routes.push_back({sink.names.unique_name("deny-" + pool, statement),
+                               match_both(match, denial.match), routing::Reject{denial.status}});
     }
-    sink.routes.push_back({sink.names.next("to-" + pool, statement), when, routing::ToPool{pool}});
+    sink.routes.push_back(
+        {sink.names.unique_name("to-" + pool, statement), match, routing::ToPool{pool}});
 }
 
-void RouteMaker::translate_default_pool(const Draft& draft, routing::Listener& listener,
-                                        RouteNames& names) {
+void ListenerBuilder::translate_default_pool(const Draft& draft, routing::Listener& listener,
+                                             RouteNames& names) {
     const Section& section = *draft.section;
     const Setting<std::string>& default_backend = draft.settings.default_backend;
     if (!default_backend) {
@@ -154,7 +159,7 @@
     }
     listener.default_pool = pool;
     for (const Denial& denial : denials_by_pool_[pool]) {
-        listener.routes.push_back({names.next("deny-" + pool, section.header), denial.when,
+        listener.routes.push_back({names.unique_name("deny-" + pool, section.header), denial.match,
                                    routing::Reject{denial.status}});
     }
 }
--- a/src/haproxy/section.hpp
+++ b/src/haproxy/section.hpp
@@ -73,14 +73,14 @@
     Setting<std::string> stick_table;
     std::map<std::string, Setting<Duration>> timeouts;  ///< by the word after `timeout`
     Setting<std::string> default_backend;
-    ServerWords default_server;
+    ServerParameters default_server;
     std::vector<std::size_t> default_server_lines;  ///< indices of their findings
 };
 
 /// A `server` line with the `default-server` settings in effect at that line.
 struct ServerStatement {
     const Statement* statement;
-    ServerWords words;
+    ServerParameters words;
     std::vector<std::size_t> default_lines;  ///< findings of the `default-server` lines
 };
 
--- a/src/haproxy/translate.cpp
+++ b/src/haproxy/translate.cpp
@@ -34,7 +34,7 @@
         }
         import.faults = std::move(tree_.faults);
         if (import.faults.empty()) {
-            PoolMaker pools(findings());
+            PoolBuilder pools(findings());
             add_pools(pools);
             add_listeners(import);
             import.plan.pools = pools.finish();
@@ -45,7 +45,7 @@
     }
 
  private:
-    void add_pools(PoolMaker& pools) {
+    void add_pools(PoolBuilder& pools) {
         for (const Draft& draft : drafts_) {
             if (draft.has_servers()) {
                 pools.add(draft);
@@ -54,13 +54,13 @@
     }
 
     void add_listeners(Import& import) {
-        RouteMaker routes(drafts_, findings());
+        ListenerBuilder routes(drafts_, findings());
         for (const Draft& draft : drafts_) {
             if (!draft.listens()) {
                 continue;
             }
             // The lines of a disabled section get verdicts too, but the section gets no listener.
-            routing::Listener listener = routes.listener(draft);
+            routing::Listener listener = routes.make_listener(draft);
             if (!draft.disabled) {
                 import.plan.listeners.push_back(std::move(listener));
             }
