--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -25,7 +25,7 @@
     return got;
 }
 
-struct Entrance : Base {
+struct Entrance : NetFixture {
     Acceptor acceptor;
     explicit Entrance(std::size_t connections = 40, std::size_t unidentified = 20)
         : acceptor(context(), connections, unidentified) {
@@ -35,7 +35,7 @@
 };
 
 // Two connections of one event loop, without the kernel's small windows between.
-struct Two : Base {
+struct Two : NetFixture {
     ConnectionContext shared = context();
     EventLoop loop{shared, [](StreamId) {}};
     ThreadGroup threads{1};
@@ -63,42 +63,43 @@
 TEST_CASE_METHOD(Entrance,
                  "a joining that came in time is heard, however late this process gets to it") {
     const Socket busy = enter();
-    sync.hold(SyncPoint::connection_ready);
+    sync.block_at(SyncPoint::connection_ready);
     busy.send_all("probe\r\n");
     sync.await(SyncPoint::connection_ready);
     const Socket proxy = enter();
     proxy.send_all(hello(5));
     std::this_thread::sleep_for(Connection::kJoinTimeout + 100ms);  // the date itself has to pass
-    sync.let_go(SyncPoint::connection_ready);
-    CHECK(next<core_event::StreamOpened>().joined.proxy == ProxyId{5});
-    CHECK(ended(busy));  // it only asked, and its date is over
+    sync.release(SyncPoint::connection_ready);
+    CHECK(expect_next<core_event::StreamOpened>().joined.proxy == ProxyId{5});
+    CHECK(wait_for_close(busy));  // it only asked, and its date is over
 }
 
 TEST_CASE_METHOD(
     Entrance, "a connection whose date passes before it is watched ends, and nobody else by it") {
-    sync.hold(SyncPoint::connection_listed);
+    sync.block_at(SyncPoint::connection_listed);
     const Socket slow = enter();
     sync.await(SyncPoint::connection_listed);
-    CHECK(ended(slow));  // the event loop ends it while the acceptor stands between two lines
-    sync.let_go(SyncPoint::connection_listed);
-    CHECK(alive(enter()));
+    CHECK(wait_for_close(
+        slow));  // the event loop ends it while the acceptor stands between two lines
+    sync.release(SyncPoint::connection_listed);
+    CHECK(answers_probe(enter()));
 }
 
 TEST_CASE_METHOD(Entrance,
                  "who is accepted in the instant of the shutdown is ended with the others") {
     const Socket before = enter();
-    REQUIRE(alive(before));
-    sync.hold(SyncPoint::connection_accepted);
+    REQUIRE(answers_probe(before));
+    sync.block_at(SyncPoint::connection_accepted);
     const Socket late = enter();
     late.send_all(hello(5));
     sync.await(SyncPoint::connection_accepted);
     acceptor.begin_shutdown();
-    sync.let_go(SyncPoint::connection_accepted);
+    sync.release(SyncPoint::connection_accepted);
     acceptor.shutdown();
-    CHECK(ended(before));
-    CHECK(ended(late));
+    CHECK(wait_for_close(before));
+    CHECK(wait_for_close(late));
     inbox.put(core_event::StopRequested{});
-    next<core_event::StopRequested>();  // and it never joined
+    expect_next<core_event::StopRequested>();  // and it never joined
 }
 
 TEST_CASE_METHOD(Entrance, "bytes that come in the instant of the shutdown hold nothing up") {
@@ -107,20 +108,20 @@
         peers.push_back(enter()), peers.back().send_all(hello(i));
     }
     for (int i = 0; i < 8; ++i) {
-        next<core_event::StreamOpened>();
+        expect_next<core_event::StreamOpened>();
     }
-    sync.hold(SyncPoint::bytes_received);
+    sync.block_at(SyncPoint::bytes_received);
     for (int i = 0; i < 8; ++i) {
-        peers[i].send_all(usage(i) + answer(i, 1));
+        peers[i].send_all(demand_report(i) + acknowledgement(i, 1));
     }
     sync.await(SyncPoint::bytes_received);
     acceptor.begin_shutdown();
-    sync.let_go(SyncPoint::bytes_received);
+    sync.release(SyncPoint::bytes_received);
     const auto begun = steady_clock::now();
     acceptor.shutdown();
     CHECK(steady_clock::now() - begun < 600ms);  // the event loop looks up every 200 ms
     for (const Socket& peer : peers) {
-        CHECK(ended(peer));
+        CHECK(wait_for_close(peer));
     }
 }
 
@@ -128,13 +129,13 @@
                  "who is in the middle of sending when the shutdown comes is told of it") {
     const Socket peer = enter();
     peer.send_all(hello(5));
-    next<core_event::StreamOpened>();
-    sync.hold(SyncPoint::bytes_received);
+    expect_next<core_event::StreamOpened>();
+    sync.block_at(SyncPoint::bytes_received);
     const std::string much(16 << 20, ' ');  // more than the kernel holds for it
-    const auto sends = beside([&] { return peer.send_all(much); });
+    const auto sends = run_async([&] { return peer.send_all(much); });
     sync.await(SyncPoint::bytes_received);
     acceptor.begin_shutdown();
-    sync.let_go(SyncPoint::bytes_received);
+    sync.release(SyncPoint::bytes_received);
     acceptor.shutdown();
     CHECK(sends.wait_for(5s) == std::future_status::ready);
     peer.shut_down();  // else a failing test could not end
@@ -143,26 +144,26 @@
 TEST_CASE("who has been read and not been taken yet is not shed") {
     Entrance entrance(2, 1);
     const Socket proxy = entrance.enter();
-    entrance.sync.hold(SyncPoint::bytes_received);
+    entrance.sync.block_at(SyncPoint::bytes_received);
     proxy.send_all(hello(5));
     entrance.sync.await(SyncPoint::bytes_received);
     const Socket newcomer = entrance.enter();
-    CHECK(ended(newcomer));  // it finds nobody to go for it
-    entrance.sync.let_go(SyncPoint::bytes_received);
-    CHECK(entrance.next<core_event::StreamOpened>().joined.proxy == ProxyId{5});
+    CHECK(wait_for_close(newcomer));  // it finds nobody to go for it
+    entrance.sync.release(SyncPoint::bytes_received);
+    CHECK(entrance.expect_next<core_event::StreamOpened>().joined.proxy == ProxyId{5});
 }
 
 TEST_CASE("a proxy in the middle of its joining goes after those that say nothing") {
     Entrance entrance(12, 10);
     const Socket collector = entrance.enter();
     collector.send_all("agent az=a\r\n");
-    REQUIRE(alive(collector));
+    REQUIRE(answers_probe(collector));
     // Comes in, and has what it says read: what lay there before the collector's question is.
     const auto says = [&](const std::string& text) {
         Socket socket = entrance.enter();
-        REQUIRE(alive(socket));
+        REQUIRE(answers_probe(socket));
         socket.send_all(text);
-        REQUIRE(alive(collector));
+        REQUIRE(answers_probe(collector));
         return socket;
     };
     const Socket slow = says(hello(5).substr(0, 12));
@@ -170,9 +171,9 @@
     for (int i = 0; i < 30; ++i) {
         silent.push_back(says(""));
     }
-    CHECK(ended(silent.front()));
+    CHECK(wait_for_close(silent.front()));
     slow.send_all(hello(5).substr(12));
-    CHECK(entrance.next<core_event::StreamOpened>().joined.proxy == ProxyId{5});
+    CHECK(entrance.expect_next<core_event::StreamOpened>().joined.proxy == ProxyId{5});
     // Where all are in the middle of it, the oldest goes: hundreds that send half a message keep
     // nobody out.
     for (int i = 0; i < 30; ++i) {
@@ -180,8 +181,8 @@
     }
     const Socket proxy = entrance.enter();
     proxy.send_all(hello(6));
-    CHECK(entrance.next<core_event::StreamOpened>().joined.proxy == ProxyId{6});
-    CHECK(ended(halves.front()));
+    CHECK(entrance.expect_next<core_event::StreamOpened>().joined.proxy == ProxyId{6});
+    CHECK(wait_for_close(halves.front()));
 }
 
 TEST_CASE_METHOD(
@@ -194,9 +195,9 @@
         slow.send_all({&c, 1}), never.send_all("h");
         std::this_thread::sleep_for(step);
     }
-    CHECK(next<core_event::StreamOpened>().joined.proxy == ProxyId{5});
+    CHECK(expect_next<core_event::StreamOpened>().joined.proxy == ProxyId{5});
     CHECK(steady_clock::now() > begun + Connection::kJoinTimeout);
-    CHECK(ended(never));
+    CHECK(wait_for_close(never));
     CHECK(steady_clock::now() < begun + 3s);  // the platform's date
 }
 
@@ -205,7 +206,7 @@
     "`error` comes through although more was sent than anybody read, and an orderly end after it") {
     const Socket peer = enter();
     peer.send_all(std::string(20'000, 'x'));
-    CHECK(read_some(peer, 7) == "error\r\n");
+    CHECK(receive_bytes(peer, 7) == "error\r\n");
     // It goes on for a moment, as it has not read that yet: nothing resets it.
     for (int i = 0; i < 10; ++i) {
         CHECK(peer.send_all(std::string(1'000, 'x')));
@@ -232,11 +233,11 @@
     Entrance narrow(2, 1);
     const Socket collector = narrow.enter();
     collector.send_all("agent az=a\r\n");
-    REQUIRE(alive(collector));
+    REQUIRE(answers_probe(collector));
     const Socket refused = narrow.enter();
     refused.send_all("x\r\n");
-    CHECK(read_some(refused, 7) == "error\r\n");
-    narrow.sync.hold(SyncPoint::connection_ready);
+    CHECK(receive_bytes(refused, 7) == "error\r\n");
+    narrow.sync.block_at(SyncPoint::connection_ready);
     collector.send_all("probe\r\n");
     narrow.sync.await(SyncPoint::connection_ready);
     refused.send_all("and more, which nobody has read");
@@ -246,8 +247,8 @@
         taken = refused.send_now("x");
     }
     CHECK(!taken);
-    narrow.sync.let_go(SyncPoint::connection_ready);
-    CHECK(alive(newcomer));
+    narrow.sync.release(SyncPoint::connection_ready);
+    CHECK(answers_probe(newcomer));
 }
 
 TEST_CASE_METHOD(Entrance,
@@ -255,42 +256,43 @@
     const Socket proxy = enter();
     proxy.send_all(hello(5) + "demand sidecar=5 kind=lookup" + std::string(3'000, ' ') +
                    "n=4 bad=0 window=500\r\n");
-    next<core_event::StreamOpened>();
-    next<core_event::ReportReceived>();
+    expect_next<core_event::StreamOpened>();
+    expect_next<core_event::ReportReceived>();
 }
 
 TEST_CASE_METHOD(
     Entrance, "joining, answer and usage in one segment count, whether an end or a reset follows") {
     const bool by_reset = GENERATE(false, true);
     Socket proxy = enter();
-    sync.hold(SyncPoint::connection_ready);
-    proxy.send_all(hello(5) + answer(5, 3) + usage(5));
+    sync.block_at(SyncPoint::connection_ready);
+    proxy.send_all(hello(5) + acknowledgement(5, 3) + demand_report(5));
     sync.await(SyncPoint::connection_ready);
-    by_reset ? reset(std::move(proxy)) : (void)(proxy = Socket());
-    sync.let_go(SyncPoint::connection_ready);
-    const StreamId stream = next<core_event::StreamOpened>().stream;
-    CHECK(next<core_event::StreamAcknowledged>().stream == stream);
-    next<core_event::ReportReceived>();
-    CHECK(next<core_event::StreamClosed>().reason == (by_reset ? "reset" : "closed by peer"));
+    by_reset ? close_with_reset(std::move(proxy)) : (void)(proxy = Socket());
+    sync.release(SyncPoint::connection_ready);
+    const StreamId stream = expect_next<core_event::StreamOpened>().stream;
+    CHECK(expect_next<core_event::StreamAcknowledged>().stream == stream);
+    expect_next<core_event::ReportReceived>();
+    CHECK(expect_next<core_event::StreamClosed>().reason ==
+          (by_reset ? "reset" : "closed by peer"));
     acceptor.write(stream, "push nonce_out=1\r\n");  // behind its end: nobody minds
-    CHECK(alive(enter()));
+    CHECK(answers_probe(enter()));
 }
 
 TEST_CASE_METHOD(Two,
                  "a flood of answers costs its stream the rest of them, and no other stream one") {
     constexpr int kFlood = 50'000;
     flood.send_all(hello(5));
-    const StreamId flooding = next<core_event::StreamOpened>().stream;
+    const StreamId flooding = expect_next<core_event::StreamOpened>().stream;
     other.send_all(hello(6));
-    const StreamId good = next<core_event::StreamOpened>().stream;
+    const StreamId good = expect_next<core_event::StreamOpened>().stream;
     std::string lines;
     for (int i = 0; i < kFlood; ++i) {
-        lines += i % 2 ? answer(5, i % 1000) : usage(5);
+        lines += i % 2 ? acknowledgement(5, i % 1000) : demand_report(5);
     }
     flood.send_all(lines);
-    other.send_all(answer(6, 1) + usage(6));
-    REQUIRE(alive(other));
-    REQUIRE(alive(flood));  // all of it has been read
+    other.send_all(acknowledgement(6, 1) + demand_report(6));
+    REQUIRE(answers_probe(other));
+    REQUIRE(answers_probe(flood));  // all of it has been read
     std::size_t of_flood = 0, of_other = 0;
     inbox.put(core_event::StopRequested{});
     for (const auto& item : inbox.wait({})) {
@@ -305,8 +307,8 @@
     }
     CHECK(of_flood == Connection::kMaxAcknowledgements);
     CHECK(of_other == 2);
-    flood.send_all(answer(5, 7));  // once the core has taken all it is heard again
-    CHECK(next<core_event::StreamAcknowledged>().stream == flooding);
+    flood.send_all(acknowledgement(5, 7));  // once the core has taken all it is heard again
+    CHECK(expect_next<core_event::StreamAcknowledged>().stream == flooding);
 }
 
 TEST_CASE_METHOD(Two, "one collector that floods leaves room for what another reports") {
@@ -317,9 +319,9 @@
         lines += report;
     }
     flood.send_all(lines);
-    REQUIRE(alive(flood));
+    REQUIRE(answers_probe(flood));
     other.send_all("outcomes az=b host=s-1 n=9 bad=1 avg=30 window=500\r\n");
-    REQUIRE(alive(other));
+    REQUIRE(answers_probe(other));
     const auto items = inbox.wait({});
     CHECK(items.size() == Inbox::kMaxReportsPerPeer + 1);
     CHECK(std::get<event::EndpointLoadReport>(
@@ -344,30 +346,30 @@
     return answer.substr(0, answer.size() - 60) + "!";
 }
 
-struct Watched : Base {
+struct Watched : NetFixture {
     WatchTimeouts timeouts;
     Watched() {
         timeouts.initial_backoff = 1ms, timeouts.max_backoff = 20ms, timeouts.fetch_interval = 5ms;
     }
-    std::unique_ptr<DiscoveryWatch> watch(Discovery& discovery) {
+    std::unique_ptr<DiscoveryWatch> watch(FakeHttpServer& discovery) {
         return std::make_unique<DiscoveryWatch>("d", discovery.listener.local(), names, 41,
-                                                kListBytes, pool, inbox, quiet.log, timeouts,
-                                                &sync);
+                                                kMaxListBytes, read_buffers, inbox, quiet.log,
+                                                timeouts, &sync);
     }
     // The next list, past whatever else is said.
     core_event::EndpointListReceived list() {
         const TimePoint limit = clock_now()() + Duration{100'000};
         for (;;) {
-            while (!held.empty()) {
-                const CoreEvent first = held.front();
-                held.erase(held.begin());
+            while (!pending.empty()) {
+                const CoreEvent first = pending.front();
+                pending.erase(pending.begin());
                 if (const auto* told = std::get_if<core_event::EndpointListReceived>(&first)) {
                     return *told;
                 }
             }
             REQUIRE(clock_now()() < limit);
             for (auto& item : inbox.wait(limit)) {
-                held.push_back(std::move(item.event));
+                pending.push_back(std::move(item.event));
             }
         }
     }
@@ -380,51 +382,52 @@
     const std::string bad = GENERATE(as<std::string>{}, half(whole(30)),
                                      "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
                                      "HTTP/1.1 200 OK\r\n\r\n" + kList.substr(0, 90) + "!", "!");
-    Discovery discovery(
-        {kWatch + chunk(version(42)), bad, bad, whole(30), kWatch + chunk(version(31))});
+    FakeHttpServer discovery({kWatchHeader + chunk(empty_update(42)), bad, bad, whole(30),
+                              kWatchHeader + chunk(empty_update(31))});
     const auto watching = watch(discovery);
-    discovery.begin();
+    discovery.start();
     REQUIRE(watching->start());
     CHECK(list().message.version == 42);
     watching->fetch();
     CHECK(list().message.version == 30);
     CHECK(list().message.version == 31);
     watching->stop();
-    const auto& asked = discovery.all_asked();
+    const auto& requests = discovery.stop_and_get_requests();
     for (int n = 1; n <= 3; ++n) {
-        CHECK(asked.at(n) == "GET /catalog/members HTTP/1.1");
+        CHECK(requests.at(n) == "GET /catalog/members HTTP/1.1");
     }
     // Versions count anew, and the watch with them: not from 42, which may never come.
-    CHECK(asked.at(4) == "GET /catalog/members?stream=1&index=30 HTTP/1.1");
+    CHECK(requests.at(4) == "GET /catalog/members?stream=1&index=30 HTTP/1.1");
 }
 
 TEST_CASE_METHOD(Watched,
                  "where the whole list never comes, the watch goes on from the first version") {
-    std::vector<std::string> answers{kWatch + chunk(version(42))};
+    std::vector<std::string> answers{kWatchHeader + chunk(empty_update(42))};
     for (int i = 0; i < 3; ++i) {
         answers.push_back(half(whole(30)));
     }
-    answers.push_back(kWatch + chunk(version(31)));
-    Discovery discovery(answers);
+    answers.push_back(kWatchHeader + chunk(empty_update(31)));
+    FakeHttpServer discovery(answers);
     const auto watching = watch(discovery);
-    discovery.begin();
+    discovery.start();
     REQUIRE(watching->start());
     CHECK(list().message.version == 42);
     watching->fetch();
     CHECK(list().message.version == 31);
     watching->stop();
-    CHECK(discovery.all_asked().at(4) == "GET /catalog/members?stream=1&index=0 HTTP/1.1");
+    CHECK(discovery.stop_and_get_requests().at(4) ==
+          "GET /catalog/members?stream=1&index=0 HTTP/1.1");
 }
 
 TEST_CASE_METHOD(Watched, "a discovery whose versions never fit is asked for its list at a pace") {
     timeouts.fetch_interval = 50ms;
-    std::vector<std::string> answers{kWatch + chunk(version(42))};
+    std::vector<std::string> answers{kWatchHeader + chunk(empty_update(42))};
     for (int i = 0; i < 6; ++i) {
-        answers.push_back(whole(50)), answers.push_back(kWatch + chunk(version(7)));
+        answers.push_back(whole(50)), answers.push_back(kWatchHeader + chunk(empty_update(7)));
     }
-    Discovery discovery(answers);
+    FakeHttpServer discovery(answers);
     const auto watching = watch(discovery);
-    discovery.begin();
+    discovery.start();
     REQUIRE(watching->start());
     list();
     const auto begun = steady_clock::now();
@@ -440,35 +443,36 @@
 TEST_CASE_METHOD(Watched, "a fetch that is asked for between any two lines of the watch is made") {
     const SyncPoint point = GENERATE(from_range(kWatchPoints));
     timeouts.idle = 100ms;  // of the second answer, which is no whole list
-    Discovery discovery({kWatch + chunk(version(42)) + "!", kWatch + chunk(version(43)), whole(50),
-                         whole(50), kWatch});
+    FakeHttpServer discovery({kWatchHeader + chunk(empty_update(42)) + "!",
+                              kWatchHeader + chunk(empty_update(43)), whole(50), whole(50),
+                              kWatchHeader});
     const auto watching = watch(discovery);
-    sync.hold(point);
-    discovery.begin();
+    sync.block_at(point);
+    discovery.start();
     REQUIRE(watching->start());
     sync.await(point);
     watching->fetch();
-    sync.let_go(point);
+    sync.release(point);
     while (list().message.list.form != event::EndpointListUpdate::Form::complete) {
         continue;
     }
     watching->stop();
-    discovery.all_asked();
+    discovery.stop_and_get_requests();
 }
 
 TEST_CASE_METHOD(Watched, "the end is heard between any two lines of the watch, whatever hangs") {
     const SyncPoint point = GENERATE(from_range(kWatchPoints));
     // One that takes and never speaks; at the last point one that has spoken and broken off.
-    Discovery discovery(point == SyncPoint::watch_responded ? std::vector<std::string>{"!"}
-                                                            : std::vector<std::string>{""});
+    FakeHttpServer discovery(point == SyncPoint::watch_responded ? std::vector<std::string>{"!"}
+                                                                 : std::vector<std::string>{""});
     const auto watching = watch(discovery);
-    sync.hold(point);
-    discovery.begin();
+    sync.block_at(point);
+    discovery.start();
     REQUIRE(watching->start());
     sync.await(point);
     watching->begin_stop();
     const auto begun = steady_clock::now();
-    sync.let_go(point);
+    sync.release(point);
     watching->stop();
     CHECK(steady_clock::now() - begun < 300ms);  // of the 700 that the platform grants
 }
@@ -476,15 +480,16 @@
 TEST_CASE_METHOD(Watched,
                  "a new address that is told between any two lines of the watch is followed") {
     const SyncPoint point = GENERATE(from_range(kWatchPoints));
-    Discovery old({kWatch + chunk(version(42)) + "!", kWatch + chunk(version(42))});
-    Discovery moved({kWatch + chunk(version(43)), ""});
+    FakeHttpServer old(
+        {kWatchHeader + chunk(empty_update(42)) + "!", kWatchHeader + chunk(empty_update(42))});
+    FakeHttpServer moved({kWatchHeader + chunk(empty_update(43)), ""});
     const auto watching = watch(old);
-    sync.hold(point);
-    old.begin(), moved.begin();
+    sync.block_at(point);
+    old.start(), moved.start();
     REQUIRE(watching->start());
     sync.await(point);
     watching->follow("moved", moved.listener.local());
-    sync.let_go(point);
+    sync.release(point);
     while (list().message.version != 43) {
         continue;
     }
@@ -497,12 +502,13 @@
 
 TEST_CASE_METHOD(Watched,
                  "of more addresses than there are threads for, the one told last is followed") {
-    Discovery old({kWatch + chunk(version(42))}), last({kWatch + chunk(version(60))});
+    FakeHttpServer old({kWatchHeader + chunk(empty_update(42))}),
+        last({kWatchHeader + chunk(empty_update(60))});
     const auto watching = watch(old);
-    old.begin(), last.begin();
+    old.start(), last.start();
     REQUIRE(watching->start());
     list();
-    sync.hold(SyncPoint::watch_registered);
+    sync.block_at(SyncPoint::watch_registered);
     watching->follow("n-1", *address_of("127.0.0.1:1"));
     sync.await(SyncPoint::watch_registered);
     watching->follow("n-2", *address_of("127.0.0.1:1"));
@@ -511,29 +517,29 @@
         watching->follow("n-" + std::to_string(n), *address_of("127.0.0.1:1"));
     }
     watching->follow("last", last.listener.local());
-    sync.let_go(SyncPoint::watch_registered);
+    sync.release(SyncPoint::watch_registered);
     while (list().message.version != 60) {
         continue;
     }
-    CHECK(ended(old.connection(0)));
+    CHECK(wait_for_close(old.connection(0)));
     watching->stop();
 }
 
 TEST_CASE_METHOD(Watched, "an address that never speaks takes nothing from the one that does") {
-    Discovery old({kWatch + chunk(version(42))});
+    FakeHttpServer old({kWatchHeader + chunk(empty_update(42))});
     const auto watching = watch(old);
-    old.begin();
+    old.start();
     REQUIRE(watching->start());
-    CHECK(next<core_event::EndpointListReceived>().message.version == 42);
-    sync.hold(SyncPoint::watch_responded);
+    CHECK(expect_next<core_event::EndpointListReceived>().message.version == 42);
+    sync.block_at(SyncPoint::watch_responded);
     watching->follow("mute", *address_of("127.0.0.1:1"));
     sync.await(SyncPoint::watch_responded);  // it came to nothing, and nothing was made of that yet
-    sync.let_go(SyncPoint::watch_responded);
-    sync.hold(SyncPoint::watch_responded);
+    sync.release(SyncPoint::watch_responded);
+    sync.block_at(SyncPoint::watch_responded);
     sync.await(SyncPoint::watch_responded);  // and now it was
-    sync.let_go(SyncPoint::watch_responded);
-    old.connection(0).send_all(chunk("\n") + chunk(version(43)));
-    CHECK(next<core_event::EndpointListReceived>().message.version ==
+    sync.release(SyncPoint::watch_responded);
+    old.connection(0).send_all(chunk("\n") + chunk(empty_update(43)));
+    CHECK(expect_next<core_event::EndpointListReceived>().message.version ==
           43);  // and no word of a lost list before it
     watching->stop();
 }
@@ -542,21 +548,22 @@
                  "answers that drip, never end or break off anywhere are left in time, and nothing "
                  "of them is believed") {
     timeouts.idle = 300ms, timeouts.line = 150ms;
-    const std::string good = kWatch + chunk(version(42));
+    const std::string good = kWatchHeader + chunk(empty_update(42));
     const std::string bad = GENERATE_COPY(
         as<std::string>{},
-        kWatch + chunk(version(42)).substr(0, 1) + "!",           // a chunk cut in its length line
-        kWatch + "zzz\r\n", "HTTP/1.1 2",                         // a status line that never ends
+        kWatchHeader + chunk(empty_update(42)).substr(0, 1) +
+            "!",                                                  // a chunk cut in its length line
+        kWatchHeader + "zzz\r\n", "HTTP/1.1 2",                   // a status line that never ends
         "HTTP/1.1 200 OK\r\nX-Long: " + std::string(9'000, 'x'),  // nor a header
-        "HTTP/1.1 200 OK\r\n\r\n" + version(42).substr(0, 20) + "!",   // no length, and cut
-        kWatch + chunk(kList.substr(0, kList.find("},{") + 1)) + "!",  // between two servers
+        "HTTP/1.1 200 OK\r\n\r\n" + empty_update(42).substr(0, 20) + "!",    // no length, and cut
+        kWatchHeader + chunk(kList.substr(0, kList.find("},{") + 1)) + "!",  // between two servers
         "HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + kList.substr(0, 80));
-    Discovery discovery({bad, kWatch + chunk(version(77))});
+    FakeHttpServer discovery({bad, kWatchHeader + chunk(empty_update(77))});
     const auto watching = watch(discovery);
-    discovery.begin();
+    discovery.start();
     const auto begun = steady_clock::now();
     REQUIRE(watching->start());
-    const auto drips = beside([&] {
+    const auto drips = run_async([&] {
         for (int i = 0; i < 60 && discovery.connection(0).send_now("0"); ++i) {
             std::this_thread::sleep_for(10ms);
         }
@@ -565,51 +572,52 @@
     CHECK(list().message.version == 77);
     CHECK(steady_clock::now() - begun < 2s);
     watching->stop();
-    CHECK(discovery.all_asked().at(1) == "GET /catalog/members?stream=1&index=41 HTTP/1.1");
+    CHECK(discovery.stop_and_get_requests().at(1) ==
+          "GET /catalog/members?stream=1&index=41 HTTP/1.1");
 }
 
 // ---- probes
 
-TEST_CASE_METHOD(Base, "the end is heard between any two lines of a probe, whatever hangs") {
+TEST_CASE_METHOD(NetFixture, "the end is heard between any two lines of a probe, whatever hangs") {
     const SyncPoint point =
         GENERATE(SyncPoint::health_check_registered, SyncPoint::health_check_connected);
-    Discovery mute({""});
-    mute.begin();
-    HealthCheckRunner health_checks(pool, inbox, clock_now(), &sync);
-    sync.hold(point);
+    FakeHttpServer mute({""});
+    mute.start();
+    HealthCheckRunner health_checks(read_buffers, inbox, clock_now(), &sync);
+    sync.block_at(point);
     health_checks.start_check({"s-1"}, text_of(mute.listener.local()));
     sync.await(point);
     health_checks.begin_stop();
     const auto begun = steady_clock::now();
-    sync.let_go(point);
+    sync.release(point);
     health_checks.stop();
     CHECK(steady_clock::now() - begun < 300ms);
-    CHECK(!next<core_event::HealthCheckCompleted>().result.healthy);
+    CHECK(!expect_next<core_event::HealthCheckCompleted>().result.healthy);
 }
 
 // ---- the whole program
 
 TEST_CASE("the program is gone well before it is killed, whatever hangs, floods and dials") {
-    Discovery mute({"", ""});
-    mute.begin();
-    Running planner(text_of(mute.listener.local()));
-    const Address address = planner.program.address();
+    FakeHttpServer mute({"", ""});
+    mute.start();
+    RunningPlanner planner(text_of(mute.listener.local()));
+    const Address address = planner.process.address();
     std::atomic<bool> over{false};
     const Socket flood = dial(address);
     flood.send_all(hello(3));
-    while (planner.heard.all().empty()) {
+    while (planner.recorder.all().empty()) {
         std::this_thread::yield();
     }
-    const auto floods = beside([&] {
+    const auto floods = run_async([&] {
         std::string lines;
         for (int i = 0; i < 500; ++i) {
-            lines += usage(3) + answer(3, 9'999);
+            lines += demand_report(3) + acknowledgement(3, 9'999);
         }
         while (!over && flood.send_all(lines)) {
             continue;
         }
     });
-    const auto dials = beside([&] {
+    const auto dials = run_async([&] {
         for (int i = 0; i < 100 && !over; ++i) {
             Socket socket = Socket::unconnected(address);
             if (!socket.connect(address, 1s)) {
@@ -618,7 +626,7 @@
             socket.send_now(hello(i % 8));
         }
     });
-    while (planner.heard.all().size() < 3) {
+    while (planner.recorder.all().size() < 3) {
         std::this_thread::yield();  // some of them have joined
     }
     const auto took = planner.stop();
@@ -628,27 +636,27 @@
 }
 
 TEST_CASE("what arrives between the core's end and the drivers' is not waited for") {
-    Running planner;
-    const Socket proxy = dial(planner.program.address());
+    RunningPlanner planner;
+    const Socket proxy = dial(planner.process.address());
     proxy.send_all(hello(3));
-    REQUIRE(read_mark(proxy) >= 0);
-    planner.sync.hold(SyncPoint::core_stopped);
-    planner.program.stop();
+    REQUIRE(read_nonce(proxy) >= 0);
+    planner.sync.block_at(SyncPoint::core_stopped);
+    planner.process.stop();
     planner.sync.await(SyncPoint::core_stopped);
-    const Socket late = dial(planner.program.address());
+    const Socket late = dial(planner.process.address());
     late.send_all(hello(4));
-    planner.program.reload([](const char*) -> const char* { return nullptr; });
-    proxy.send_all(usage(3) + answer(3, 1));
-    planner.program.handle(*protocol::EndpointListReader(names()).read(kList));
-    planner.sync.let_go(SyncPoint::core_stopped);
+    planner.process.reload([](const char*) -> const char* { return nullptr; });
+    proxy.send_all(demand_report(3) + acknowledgement(3, 1));
+    planner.process.handle(*protocol::EndpointListReader(names()).read(kList));
+    planner.sync.release(SyncPoint::core_stopped);
     CHECK(planner.stop() < 600ms);
-    CHECK(ended(proxy));
-    CHECK(ended(late));
+    CHECK(wait_for_close(proxy));
+    CHECK(wait_for_close(late));
 }
 
 TEST_CASE("the end that is told before the program has begun is heard") {
     DiscardingLog quiet;
-    PlannerProcess program(start_file(""), clock_now(), quiet.log);
+    PlannerProcess program(start_configuration(""), clock_now(), quiet.log);
     program.stop();
     CHECK(program.run() == 0);
     CHECK(program.state() == LifecycleState::stopped);
@@ -657,32 +665,32 @@
 TEST_CASE(
     "a proxy's new stream and its old one cross: one joining at a time, answers of the old one "
     "count no more") {
-    Running planner;
-    const Socket old = dial(planner.program.address());
+    RunningPlanner planner;
+    const Socket old = dial(planner.process.address());
     old.send_all(hello(3));
-    const int mark = read_mark(old);
+    const int mark = read_nonce(old);
     REQUIRE(mark >= 0);
-    const Socket fresh = dial(planner.program.address());
+    const Socket fresh = dial(planner.process.address());
     SECTION("the new one comes while an answer on the old one has been read and not been taken") {
-        planner.sync.hold(SyncPoint::bytes_received);
+        planner.sync.block_at(SyncPoint::bytes_received);
         fresh.send_all(hello(3));
         planner.sync.await(SyncPoint::bytes_received);
-        old.send_all(answer(3, mark));  // heard behind the joining
-        planner.sync.let_go(SyncPoint::bytes_received);
-        REQUIRE(read_mark(fresh) >= 0);
-        CHECK(ended(old));
+        old.send_all(acknowledgement(3, mark));  // heard behind the joining
+        planner.sync.release(SyncPoint::bytes_received);
+        REQUIRE(read_nonce(fresh) >= 0);
+        CHECK(wait_for_close(old));
         fresh.send_all("probe\r\n");
-        CHECK(planner.heard.all() == std::vector<std::string>{"joined", "left", "joined"});
+        CHECK(planner.recorder.all() == std::vector<std::string>{"joined", "left", "joined"});
     }
     SECTION("the old one has answered and ended, and nobody has read it, when the new one comes") {
-        planner.sync.hold(SyncPoint::connection_ready);
-        old.send_all(answer(3, mark));
+        planner.sync.block_at(SyncPoint::connection_ready);
+        old.send_all(acknowledgement(3, mark));
         planner.sync.await(SyncPoint::connection_ready);
         old.shut_down();
         fresh.send_all(hello(3));
-        planner.sync.let_go(SyncPoint::connection_ready);
-        REQUIRE(read_mark(fresh) >= 0);
-        const auto events = planner.heard.all();
-        CHECK(events == std::vector<std::string>{"joined", "answered", "left", "joined"});
+        planner.sync.release(SyncPoint::connection_ready);
+        REQUIRE(read_nonce(fresh) >= 0);
+        const auto events = planner.recorder.all();
+        CHECK(events == std::vector<std::string>{"joined", "acknowledged", "left", "joined"});
     }
 }
--- a/tests/fake_proxy.hpp
+++ b/tests/fake_proxy.hpp
@@ -136,7 +136,7 @@
             ejected_.erase(server);
         }
         if (const std::string& nonce = words["nonce_out"]; !nonce.empty()) {
-            socket_.send_all(answer(number_, std::stoi(nonce)));
+            socket_.send_all(acknowledgement(number_, std::stoi(nonce)));
         }
         Order order{steady_clock::now(), line, {}};
         for (const auto& [method, table] : tables_) {
--- a/tests/large_list_test.cpp
+++ b/tests/large_list_test.cpp
@@ -78,23 +78,24 @@
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list;
 }
 
-struct LargeWatch : Base {
+struct LargeWatch : NetFixture {
     WatchTimeouts timeouts;
     std::size_t list_bytes = bound_at(kPlannerMemoryMb);
     LargeWatch() { timeouts.initial_backoff = 1ms, timeouts.max_backoff = 2ms; }
-    std::unique_ptr<DiscoveryWatch> watch(Discovery& discovery) {
+    std::unique_ptr<DiscoveryWatch> watch(FakeHttpServer& discovery) {
         return std::make_unique<DiscoveryWatch>("d", discovery.listener.local(), names, 41,
-                                                list_bytes, pool, inbox, quiet.log, timeouts);
+                                                list_bytes, read_buffers, inbox, quiet.log,
+                                                timeouts);
     }
     EndpointListMessage next_list() {
         for (;;) {
             for (auto& item : inbox.wait(clock_now()() + Duration{200'000})) {
-                held.push_back(std::move(item.event));
+                pending.push_back(std::move(item.event));
             }
-            REQUIRE(!held.empty());
-            while (!held.empty()) {
-                CoreEvent first = std::move(held.front());
-                held.erase(held.begin());
+            REQUIRE(!pending.empty());
+            while (!pending.empty()) {
+                CoreEvent first = std::move(pending.front());
+                pending.erase(pending.begin());
                 if (auto* told = std::get_if<core_event::EndpointListReceived>(&first)) {
                     return std::move(told->message);
                 }
@@ -182,11 +183,11 @@
 
 TEST_CASE_METHOD(LargeWatch,
                  "a whole list of 56,000 is taken from the watch and from a fetch, and twice") {
-    const std::string on_watch = kWatch + chunk(whole_list());
-    Discovery discovery(
-        {on_watch, answer_of(whole_list()), kWatch + chunk(version(44)) + chunk(whole_list())});
+    const std::string on_watch = kWatchHeader + chunk(whole_list());
+    FakeHttpServer discovery({on_watch, answer_of(whole_list()),
+                              kWatchHeader + chunk(empty_update(44)) + chunk(whole_list())});
     const auto watching = watch(discovery);
-    discovery.begin();
+    discovery.start();
     REQUIRE(watching->start());
     CHECK(is_whole(next_list()));
     watching->fetch();
@@ -194,21 +195,21 @@
     CHECK(next_list().version == 44);
     CHECK(is_whole(next_list()));
     watching->stop();
-    CHECK(discovery.all_asked().at(1) == "GET /catalog/members HTTP/1.1");
+    CHECK(discovery.stop_and_get_requests().at(1) == "GET /catalog/members HTTP/1.1");
 }
 
 TEST_CASE_METHOD(LargeWatch,
                  "a whole list that breaks off midway is asked for again, and is then whole") {
     const std::string half = whole_list().substr(0, whole_list().size() / 2);
-    const std::string told = kWatch + chunk(version(42));
+    const std::string told = kWatchHeader + chunk(empty_update(42));
     const bool by_fetch = GENERATE(false, true);
     const std::string cut = by_fetch ? answer_of(whole_list()).substr(0, half.size()) + "!"
-                                     : kWatch + chunk(half) + "!";
-    Discovery discovery({told + (by_fetch ? "" : "!"), cut,
-                         by_fetch ? answer_of(whole_list()) : kWatch + chunk(whole_list()),
-                         kWatch});
+                                     : kWatchHeader + chunk(half) + "!";
+    FakeHttpServer discovery(
+        {told + (by_fetch ? "" : "!"), cut,
+         by_fetch ? answer_of(whole_list()) : kWatchHeader + chunk(whole_list()), kWatchHeader});
     const auto watching = watch(discovery);
-    discovery.begin();
+    discovery.start();
     REQUIRE(watching->start());
     CHECK(next_list().version == 42);
     if (by_fetch) {
@@ -218,8 +219,8 @@
     watching->stop();
     const std::string again = by_fetch ? "GET /catalog/members HTTP/1.1"
                                        : "GET /catalog/members?stream=1&index=42 HTTP/1.1";
-    CHECK(discovery.all_asked().at(1) == again);
-    CHECK(discovery.asked.at(2) == again);
+    CHECK(discovery.stop_and_get_requests().at(1) == again);
+    CHECK(discovery.requests.at(2) == again);
 }
 
 TEST_CASE_METHOD(LargeWatch, "a whole list that comes slowly is waited for by its length") {
@@ -229,9 +230,9 @@
     constexpr auto kPieceInterval = 150ms;
     constexpr std::size_t kPieces = 20;  // of some 0.4 MB; 512 KiB may take a second
     const std::string text = chunk(whole_list());
-    Discovery discovery({kWatch, kWatch});
+    FakeHttpServer discovery({kWatchHeader, kWatchHeader});
     const auto watching = watch(discovery);
-    discovery.begin();
+    discovery.start();
     REQUIRE(watching->start());
     const Socket& connection = discovery.connection(0);
     for (std::size_t n = 0; n <= kPieces; ++n) {
@@ -250,27 +251,27 @@
     int ends[2];
     REQUIRE(::pipe(ends) == 0);
     std::string written;
-    const std::string too_long = kWatch + chunk("\n") + chunk(list_line(50, 40'000));
+    const std::string too_long = kWatchHeader + chunk("\n") + chunk(list_line(50, 40'000));
     {
         Log log(ends[1]);
-        Base base;
+        NetFixture fixture;
         WatchTimeouts timeouts;
         timeouts.oversized_list_backoff = 20ms;
-        Discovery discovery(
-            {kWatch + chunk(version(42)) + chunk("\n") + chunk(list_line(50, 40'000)), too_long,
-             too_long, kWatch + chunk(version(43))});
-        DiscoveryWatch watching("d", discovery.listener.local(), base.names, 41, bound_at(32),
-                                base.pool, base.inbox, log, timeouts);
-        discovery.begin();
+        FakeHttpServer discovery(
+            {kWatchHeader + chunk(empty_update(42)) + chunk("\n") + chunk(list_line(50, 40'000)),
+             too_long, too_long, kWatchHeader + chunk(empty_update(43))});
+        DiscoveryWatch watching("d", discovery.listener.local(), fixture.names, 41, bound_at(32),
+                                fixture.read_buffers, fixture.inbox, log, timeouts);
+        discovery.start();
         REQUIRE(watching.start());
-        CHECK(base.next<core_event::EndpointListReceived>().message.version == 42);
-        base.next<core_event::WatchLost>();
-        CHECK(base.next<core_event::EndpointListReceived>().message.version == 43);
+        CHECK(fixture.expect_next<core_event::EndpointListReceived>().message.version == 42);
+        fixture.expect_next<core_event::WatchLost>();
+        CHECK(fixture.expect_next<core_event::EndpointListReceived>().message.version == 43);
         watching.stop();
-        const auto& asked = discovery.all_asked();
-        REQUIRE(asked.size() == 4);
+        const auto& requests = discovery.stop_and_get_requests();
+        REQUIRE(requests.size() == 4);
         for (int n = 1; n < 4; ++n) {
-            CHECK(asked[n] == "GET /catalog/members?stream=1&index=42 HTTP/1.1");
+            CHECK(requests[n] == "GET /catalog/members?stream=1&index=42 HTTP/1.1");
         }
     }
     ::close(ends[1]);
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -196,7 +196,7 @@
 TEST_CASE("log: a process logs its states, and why it can't start") {
     CapturedLog captured;
     const net::Address taken = [&] {
-        PlannerProcess process(start_file(""), clock_now(), captured.log());
+        PlannerProcess process(start_configuration(""), clock_now(), captured.log());
         process.stop();
         CHECK(process.run() == 0);
         return process.address();
@@ -204,7 +204,7 @@
     const auto listening = Socket::listen(taken);
     REQUIRE(listening);
     const Socket& listener = *listening;
-    StartConfiguration start = start_file("");
+    StartConfiguration start = start_configuration("");
     start.name = "n2";
     start.listen = text_of(listener.local());
     const std::string listen = start.listen;
--- a/tests/net_helpers.hpp
+++ b/tests/net_helpers.hpp
@@ -1,5 +1,6 @@
-// What tests of the drivers share: stand-ins of our own on loopback, and arrivals as they come.
-// Waits end with what they wait for; their limits only keep a failing test from hanging.
+// Fixtures and fakes for tests of the code under src/net: a blocking SyncPoints, a scripted HTTP
+// server on loopback and a connection over a socket pair. Each wait ends as soon as its condition
+// holds; its time limit only keeps a failing test from hanging.
 #pragma once
 
 #include <sys/socket.h>
@@ -23,56 +24,59 @@
 using namespace micaroad::net;
 using namespace std::chrono_literals;
 
-// Holds whoever reaches a place that is to be held, until it is let go.
-class Holder : public SyncPoints {
+// Blocks every thread that reaches a point passed to block_at(), until that point is released.
+class BlockingSyncPoints : public SyncPoints {
  public:
-    ~Holder() override {
+    ~BlockingSyncPoints() override {
         const std::lock_guard lock(mutex_);
-        let_go_all();
+        release_all();
     }
-    void hold(SyncPoint point) {
+    void block_at(SyncPoint point) {
         const std::lock_guard lock(mutex_);
-        held_[point] = 0;
+        blocked_[point] = 0;
     }
-    void await(SyncPoint point, int number = 1) {  // until as many are held there
+    // Waits until `threads` threads are blocked at the point.
+    void await(SyncPoint point, int threads = 1) {
         std::unique_lock lock(mutex_);
-        const bool there = changed_.wait_for(lock, 10s, [&] { return held_.at(point) >= number; });
-        if (!there) {
-            let_go_all();  // else the failing test could not end
+        const bool blocked =
+            changed_.wait_for(lock, 10s, [&] { return blocked_.at(point) >= threads; });
+        if (!blocked) {
+            release_all();  // otherwise the failing test could not end
         }
-        REQUIRE(there);
+        REQUIRE(blocked);
     }
-    void let_go(SyncPoint point) {
+    void release(SyncPoint point) {
         const std::lock_guard lock(mutex_);
-        held_.erase(point);
-        ++times_[point];
+        blocked_.erase(point);
+        ++releases_[point];
         changed_.notify_all();
     }
     void reached(SyncPoint point) override {
         std::unique_lock lock(mutex_);
-        const auto at = held_.find(point);
-        if (at == held_.end()) {
+        const auto found = blocked_.find(point);
+        if (found == blocked_.end()) {
             return;
         }
-        ++at->second;
+        ++found->second;
         changed_.notify_all();
-        changed_.wait(lock, [&, time = times_[point]] { return times_[point] != time; });
+        changed_.wait(lock, [&, before = releases_[point]] { return releases_[point] != before; });
     }
 
  private:
-    void let_go_all() {
-        for (const auto& [point, number] : std::exchange(held_, {})) {
-            ++times_[point];
+    void release_all() {
+        for (const auto& [point, threads] : std::exchange(blocked_, {})) {
+            ++releases_[point];
         }
         changed_.notify_all();
     }
 
     std::mutex mutex_;
     std::condition_variable changed_;
-    std::map<SyncPoint, int> held_;   // how many are held there
-    std::map<SyncPoint, int> times_;  // that those held there were let go
+    std::map<SyncPoint, int> blocked_;   // threads blocked at each point where threads are to block
+    std::map<SyncPoint, int> releases_;  // how often each point was released
 };
 
+// A clock that reads the steady clock.
 inline Clock clock_now() {
     return [] {
         return TimePoint{std::chrono::duration_cast<Duration>(
@@ -80,45 +84,47 @@
     };
 }
 
-struct Base {
+// The inbox and the buffer pools that acceptors, connections and watches need.
+struct NetFixture {
     DiscardingLog quiet;
     const SymbolTable names = test::names();
-    protocol::BufferPool pool{512};
+    protocol::BufferPool read_buffers{512};
     Inbox inbox{clock_now()};
-    std::vector<CoreEvent> held;
+    std::vector<CoreEvent> pending;
 
-    protocol::BufferPool lines{64}, writing{320};
+    protocol::BufferPool line_buffers{64}, write_buffers{320};
     const protocol::Bounds bounds{8};
 
-    Holder sync;
+    BlockingSyncPoints sync;
     ConnectionContext context() {
-        return {names, bounds, pool, lines, writing, inbox, quiet.log, &sync};
+        return {names, bounds, read_buffers, line_buffers, write_buffers, inbox, quiet.log, &sync};
     }
 
-    // The next arrival; any that is no `Kind` fails the test.
-    template <class Kind>
-    Kind next() {
+    // Waits for the next event of the inbox; the test fails if it is not of type `Event`.
+    template <class Event>
+    Event expect_next() {
         const TimePoint limit = clock_now()() + Duration{100'000};
-        while (held.empty() && clock_now()() < limit) {
+        while (pending.empty() && clock_now()() < limit) {
             for (auto& item : inbox.wait(limit)) {
-                held.push_back(std::move(item.event));
+                pending.push_back(std::move(item.event));
             }
         }
-        REQUIRE(!held.empty());
-        const CoreEvent first = held.front();
-        held.erase(held.begin());
-        INFO("arrival " << first.index());
-        REQUIRE(std::holds_alternative<Kind>(first));
-        return std::get<Kind>(first);
+        REQUIRE(!pending.empty());
+        const CoreEvent first = pending.front();
+        pending.erase(pending.begin());
+        INFO("index of the event in CoreEvent: " << first.index());
+        REQUIRE(std::holds_alternative<Event>(first));
+        return std::get<Event>(first);
     }
 };
 
-inline std::string read_some(const Socket& socket, std::size_t least) {
+// Receives `count` bytes, or fewer if the connection ends or the receive times out before.
+inline std::string receive_bytes(const Socket& socket, std::size_t count) {
     socket.set_receive_timeout(10s);
-    std::string text(least, '\0');
+    std::string text(count, '\0');
     std::size_t size = 0;
-    while (size < least) {
-        const ssize_t got = socket.receive(text.data() + size, least - size);
+    while (size < count) {
+        const ssize_t got = socket.receive(text.data() + size, count - size);
         if (got <= 0) {
             break;
         }
@@ -126,7 +132,9 @@
     }
     return text.substr(0, size);
 }
-inline bool ended(const Socket& socket) {
+// Discards what is received until the connection ends, in order or by a reset. Returns false if it
+// does not end within the receive timeout.
+inline bool wait_for_close(const Socket& socket) {
     char bytes[64];
     socket.set_receive_timeout(10s);
     ssize_t got;
@@ -142,48 +150,53 @@
     return socket;
 }
 
-struct Pair : Base {
+// A connection in an event loop on a thread of its own, with `peer` as the other end of its socket.
+struct ConnectionFixture : NetFixture {
     Socket peer;
-    ConnectionContext shared = context();
-    EventLoop loop{shared, [](StreamId) {}};
+    ConnectionContext connection_context = context();
+    EventLoop loop{connection_context, [](StreamId) {}};
     ThreadGroup threads{1};
     std::shared_ptr<Connection> connection;
-    Pair() {
+    ConnectionFixture() {
         int ends[2];
         REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM, 0, ends) == 0);
         peer = Socket(ends[1]);
-        connection = std::make_shared<Connection>(shared, StreamId{1}, Socket(ends[0]), "peer");
+        connection =
+            std::make_shared<Connection>(connection_context, StreamId{1}, Socket(ends[0]), "peer");
         REQUIRE(loop.add(connection));
         REQUIRE(threads.start([this] { loop.run(); }));
     }
-    ~Pair() { connection->close(), loop.stop(), threads.wait(); }
+    ~ConnectionFixture() { connection->close(), loop.stop(), threads.wait(); }
 };
 
-constexpr std::size_t kListBytes = 16 * 1024 * 1024;  // that a list may have, as at 128 MB
+constexpr std::size_t kMaxListBytes = 16 * 1024 * 1024;  // the bound for 128 MB of memory
 inline const std::string kHello = "hello sidecar=3 az=a share=2 standing=1\r\n";
 
-// Discovery of our own: gives each connection the next of its answers, then holds it open.
-struct Discovery {
+// An HTTP server on loopback that plays discovery or a server whose health is checked. It sends
+// each connection the next of its responses and then keeps the connection open, unless the response
+// ends in "!": then it shuts the connection down.
+struct FakeHttpServer {
     Socket listener;
-    std::vector<std::string> answers;
-    std::vector<std::string> asked;
-    std::vector<Socket> open;  // never moved: others use what stands in it
-    std::atomic<std::size_t> taken{0};
+    std::vector<std::string> responses;
+    std::vector<std::string> requests;  // the first line of each
+    std::vector<Socket> connections;    // never reallocated, as tests keep references to elements
+    std::atomic<std::size_t> responses_sent{0};
     std::thread thread;
-    explicit Discovery(std::vector<std::string> texts) : answers(std::move(texts)) {
+    explicit FakeHttpServer(std::vector<std::string> texts) : responses(std::move(texts)) {
         listener = Socket::listen(*address_of("127.0.0.1:0")).value();
         REQUIRE(listener.is_open());
-        open.reserve(answers.size());
+        connections.reserve(responses.size());
     }
-    Socket& connection(std::size_t n) {  // once it has been answered
-        while (taken <= n) {
+    // Waits until the response on connection `n` has been sent.
+    Socket& connection(std::size_t n) {
+        while (responses_sent <= n) {
             std::this_thread::yield();
         }
-        return open.data()[n];
+        return connections.data()[n];
     }
-    void begin() {
+    void start() {
         thread = std::thread([this] {
-            for (const std::string& answer : answers) {
+            for (const std::string& response : responses) {
                 Socket socket(::accept(listener.fd(), nullptr, nullptr));
                 if (!socket.is_open()) {
                     return;
@@ -193,34 +206,37 @@
                      text.find("\r\n\r\n") == std::string::npos && socket.receive(&c, 1) == 1;) {
                     text += c;
                 }
-                asked.push_back(text.substr(0, text.find('\r')));
-                socket.send_all(answer);
-                if (answer.ends_with('!')) {
+                requests.push_back(text.substr(0, text.find('\r')));
+                socket.send_all(response);
+                if (response.ends_with('!')) {
                     socket.shut_down();
                 }
-                open.push_back(std::move(socket));
-                ++taken;
+                connections.push_back(std::move(socket));
+                ++responses_sent;
             }
         });
     }
-    const std::vector<std::string>& all_asked() {  // it answers no more
+    const std::vector<std::string>& stop_and_get_requests() {
         listener.shut_down();
         if (thread.joinable()) {
             thread.join();
         }
-        return asked;
+        return requests;
     }
-    ~Discovery() { all_asked(); }
+    ~FakeHttpServer() { stop_and_get_requests(); }
 };
 
+// The text as one chunk of a chunked HTTP body.
 inline std::string chunk(const std::string& text) {
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", text.size());
     return size + text + "\r\n";
 }
-inline const std::string kWatch = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-inline std::string version(int number) {
-    return R"({"version":)" + std::to_string(number) + R"(,"full":false,"servers":[]})" + "\n";
+// The beginning of discovery's response to a watch.
+inline const std::string kWatchHeader = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+// An incremental update of the endpoint list that changes its version alone.
+inline std::string empty_update(int version) {
+    return R"({"version":)" + std::to_string(version) + R"(,"full":false,"servers":[]})" + "\n";
 }
 
 }  // namespace micaroad::test
--- a/tests/processes_test.cpp
+++ b/tests/processes_test.cpp
@@ -76,7 +76,7 @@
     }
     bool serves() const {
         const Socket socket = Socket::unconnected(address);
-        return const_cast<Socket&>(socket).connect(address, 1s) && alive(socket);
+        return const_cast<Socket&>(socket).connect(address, 1s) && answers_probe(socket);
     }
     void terminate() { ::kill(pid_, SIGTERM); }
     int exit_code() {  // -1 after a signal
@@ -99,9 +99,9 @@
     char name[] = "/tmp/micaroad-processes-XXXXXX";
     REQUIRE(::mkdtemp(name) != nullptr);
     const std::filesystem::path folder = name;
-    Discovery discovery(
-        std::vector<std::string>(kPlanners, kWatch + chunk(listed(42, cold, "up") + "\n")));
-    discovery.begin();
+    FakeHttpServer discovery(
+        std::vector<std::string>(kPlanners, kWatchHeader + chunk(listed(42, cold, "up") + "\n")));
+    discovery.start();
     std::vector<std::unique_ptr<Process>> planners;
     for (int n = 0; n < kPlanners; ++n) {
         planners.push_back(std::make_unique<Process>(folder, n, text_of(discovery.listener.local()),
--- a/tests/program_helpers.hpp
+++ b/tests/program_helpers.hpp
@@ -1,4 +1,5 @@
-// The whole program in a test: its start file, what its module hears, and what peers say to it.
+// Runs a whole planner process inside a test: its start configuration, a recorder of the events of
+// its core, and the messages that peers send to it.
 #pragma once
 
 #include <netinet/in.h>
@@ -16,31 +17,32 @@
 inline std::string hello(int proxy) {
     return "hello sidecar=" + std::to_string(proxy) + " az=a share=2 standing=1\r\n";
 }
-inline std::string answer(int proxy, int mark) {
-    return "ack sidecar=" + std::to_string(proxy) + " version=" + std::to_string(mark) +
+inline std::string acknowledgement(int proxy, int nonce) {
+    return "ack sidecar=" + std::to_string(proxy) + " version=" + std::to_string(nonce) +
            " lag_ms=1\r\n";
 }
-inline std::string usage(int proxy) {
+inline std::string demand_report(int proxy) {
     return "demand sidecar=" + std::to_string(proxy) + " kind=lookup n=4 bad=0 window=500\r\n";
 }
 
-inline bool alive(const Socket& socket) {
+// Sends a probe; returns whether the planner answers it.
+inline bool answers_probe(const Socket& socket) {
     socket.send_all("probe\r\n");
-    return read_some(socket, 7) == "alive\r\n";
+    return receive_bytes(socket, 7) == "alive\r\n";
 }
 
-// Has a connection end in a reset, whatever it has left unread or unsent.
-inline void reset(Socket socket) {
-    const linger at_once{1, 0};
-    ::setsockopt(socket.fd(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+// Closes the connection with a reset, even if nothing is unread or unsent.
+inline void close_with_reset(Socket socket) {
+    const linger immediately{1, 0};
+    ::setsockopt(socket.fd(), SOL_SOCKET, SO_LINGER, &immediately, sizeof immediately);
 }
 
 template <class Work>
-auto beside(Work work) {
+auto run_async(Work work) {
     return std::async(std::launch::async, std::move(work));
 }
 
-inline StartConfiguration start_file(const std::string& discovery) {
+inline StartConfiguration start_configuration(const std::string& discovery) {
     StartConfiguration start;
     start.name = "n1", start.listen = "127.0.0.1:0", start.discovery = discovery;
     start.sockets = 1024, start.memory_mb = 192, start.bounds = {8}, start.settings = terms(),
@@ -49,7 +51,8 @@
     return start;
 }
 
-struct Heard : Observer {
+// Records, in order, that a proxy joined, acknowledged an update or left.
+struct EventRecorder : Observer {
     std::mutex mutex;
     std::vector<std::string> events;
     void on_event(const Event& event) override {
@@ -61,7 +64,7 @@
             events.push_back("left");
         }
         if (std::holds_alternative<event::Acknowledgement>(event)) {
-            events.push_back("answered");
+            events.push_back("acknowledged");
         }
     }
     void on_decision(TimePoint, const std::vector<Order>&) override {}
@@ -71,49 +74,53 @@
     }
 };
 
-struct Running {
+// A planner process that runs on a thread of its own and is serving once it has been constructed.
+struct RunningPlanner {
     DiscardingLog quiet;
-    Holder sync;
-    Heard heard;
-    PlannerProcess program;
-    std::future<int> code;
-    explicit Running(const std::string& discovery = "") : Running(discovery, start_file("")) {}
-    Running(const std::string& discovery, StartConfiguration start, WatchTimeouts timeouts = {},
-            Clock clock = clock_now())
-        : program(following(std::move(start), discovery), std::move(clock), quiet.log, &heard,
-                  &sync, timeouts),
-          code(beside([this] { return program.run(); })) {
-        while (program.state() != LifecycleState::serving &&
-               program.state() != LifecycleState::failed) {
+    BlockingSyncPoints sync;
+    EventRecorder recorder;
+    PlannerProcess process;
+    std::future<int> exit_code;
+    explicit RunningPlanner(const std::string& discovery = "")
+        : RunningPlanner(discovery, start_configuration("")) {}
+    RunningPlanner(const std::string& discovery, StartConfiguration start,
+                   WatchTimeouts timeouts = {}, Clock clock = clock_now())
+        : process(with_discovery(std::move(start), discovery), std::move(clock), quiet.log,
+                  &recorder, &sync, timeouts),
+          exit_code(run_async([this] { return process.run(); })) {
+        while (process.state() != LifecycleState::serving &&
+               process.state() != LifecycleState::failed) {
             std::this_thread::yield();
         }
-        REQUIRE(program.state() == LifecycleState::serving);
+        REQUIRE(process.state() == LifecycleState::serving);
     }
-    ~Running() { program.stop(), code.wait(); }
-    // How long it takes to its end from the word on.
+    ~RunningPlanner() { process.stop(), exit_code.wait(); }
+    // Stops the process and returns how long that took.
     std::chrono::milliseconds stop() {
-        const auto begun = steady_clock::now();
-        program.stop();
-        CHECK(code.get() == 0);
-        code = beside([] { return 0; });
-        return std::chrono::duration_cast<std::chrono::milliseconds>(steady_clock::now() - begun);
+        const auto started = steady_clock::now();
+        process.stop();
+        CHECK(exit_code.get() == 0);
+        exit_code = run_async([] { return 0; });
+        return std::chrono::duration_cast<std::chrono::milliseconds>(steady_clock::now() - started);
     }
 
  private:
-    static StartConfiguration following(StartConfiguration start, const std::string& discovery) {
+    static StartConfiguration with_discovery(StartConfiguration start,
+                                             const std::string& discovery) {
         start.discovery = discovery;
         return start;
     }
 };
 
-// Reads orders until a mark comes that is to be answered: that mark.
-inline int read_mark(const Socket& proxy) {
+// Reads updates until one carries a nonce to be acknowledged, and returns the nonce; -1 if none
+// arrives.
+inline int read_nonce(const Socket& proxy) {
     std::string text;
     proxy.set_receive_timeout(10s);
     for (char c; proxy.receive(&c, 1) == 1;) {
         text += c;
-        if (const auto at = text.find("nonce_out="); c == '\n' && at != std::string::npos) {
-            return std::stoi(text.substr(at + 10));
+        if (const auto found = text.find("nonce_out="); c == '\n' && found != std::string::npos) {
+            return std::stoi(text.substr(found + 10));
         }
     }
     return -1;
--- a/tests/short_days_test.cpp
+++ b/tests/short_days_test.cpp
@@ -37,7 +37,7 @@
 const std::string kDrain = list_of(43, false, {{"s-1", "draining"}});
 
 StartConfiguration started_with(const std::string& discovery, const std::vector<Listed>& servers) {
-    StartConfiguration start = start_file(discovery);
+    StartConfiguration start = start_configuration(discovery);
     start.initial_list =
         *protocol::EndpointListReader(start.names).read(list_of(41, true, servers));
     return start;
@@ -78,13 +78,15 @@
     "grace") {
     const SyncPoint point = GENERATE(SyncPoint::watch_registered, SyncPoint::watch_connected,
                                      SyncPoint::watch_requested, SyncPoint::watch_responded);
-    Discovery old({kWatch + chunk(version(42))}), moved({kWatch + chunk(kDrain)});
-    old.begin(), moved.begin();
-    Running planner(text_of(old.listener.local()), started_with("", {{"s-1"}, {"s-2"}, {"s-3"}}));
-    const Proxies proxies = joined(planner.program, 6);
+    FakeHttpServer old({kWatchHeader + chunk(empty_update(42))}),
+        moved({kWatchHeader + chunk(kDrain)});
+    old.start(), moved.start();
+    RunningPlanner planner(text_of(old.listener.local()),
+                           started_with("", {{"s-1"}, {"s-2"}, {"s-3"}}));
+    const Proxies proxies = joined(planner.process, 6);
     old.connection(0);
-    planner.sync.hold(point);
-    reload_to(planner.program, text_of(moved.listener.local()));
+    planner.sync.block_at(point);
+    reload_to(planner.process, text_of(moved.listener.local()));
     planner.sync.await(point);
     // The old one still speaks, of a time before the drain; where it has been left, nobody hears
     // it.
@@ -92,11 +94,11 @@
     if (point == SyncPoint::watch_responded) {
         require_drained(proxies, "s-1");  // whatever becomes of the old one's thread
     }
-    planner.sync.let_go(point);
+    planner.sync.release(point);
     require_drained(proxies, "s-1");
     const auto since = steady_clock::now();
-    CHECK(ended(old.connection(0)));
-    const FakeProxy late(planner.program.address(), 7);
+    CHECK(wait_for_close(old.connection(0)));
+    const FakeProxy late(planner.process.address(), 7);
     while (!late.has_table() && steady_clock::now() < since + 5s) {
         std::this_thread::sleep_for(5ms);
     }
@@ -108,32 +110,35 @@
 TEST_CASE("a drain stands while discovery falls silent late, and when its list then comes whole") {
     const bool removed = GENERATE(false, true);
     const std::vector<Listed> still{{"s-1", "draining"}, {"s-2"}, {"s-3"}}, gone{{"s-2"}, {"s-3"}};
-    Discovery discovery({kWatch + chunk(kDrain), kWatch,
-                         kWatch + chunk(list_of(44, true, removed ? gone : still)) + chunk("\n")});
-    discovery.begin();
+    FakeHttpServer discovery(
+        {kWatchHeader + chunk(kDrain), kWatchHeader,
+         kWatchHeader + chunk(list_of(44, true, removed ? gone : still)) + chunk("\n")});
+    discovery.start();
     WatchTimeouts timeouts;
     timeouts.idle = 150ms, timeouts.initial_backoff = 1ms, timeouts.max_backoff = 20ms;
-    Running planner(text_of(discovery.listener.local()),
-                    started_with("", {{"s-1"}, {"s-2"}, {"s-3"}}), timeouts);
-    Proxies proxies = joined(planner.program, 4);
+    RunningPlanner planner(text_of(discovery.listener.local()),
+                           started_with("", {{"s-1"}, {"s-2"}, {"s-3"}}), timeouts);
+    Proxies proxies = joined(planner.process, 4);
     require_drained(proxies, "s-1");
     const auto since = steady_clock::now();
     for (int beat = 0; beat < 10; ++beat) {
         REQUIRE(discovery.connection(0).send_all(chunk("\n")));
         std::this_thread::sleep_for(30ms);
     }
-    CHECK(discovery.taken == 1);  // it has been listened to for longer than a silence may last
-    planner.sync.hold(SyncPoint::watch_responded);
+    CHECK(discovery.responses_sent ==
+          1);  // it has been listened to for longer than a silence may last
+    planner.sync.block_at(SyncPoint::watch_responded);
     planner.sync.await(SyncPoint::watch_responded);  // silent, and nothing was made of that yet
-    proxies.push_back(std::make_unique<FakeProxy>(planner.program.address(), 4));
+    proxies.push_back(std::make_unique<FakeProxy>(planner.process.address(), 4));
     require_drained(proxies, "s-1");
-    planner.sync.let_go(SyncPoint::watch_responded);
+    planner.sync.release(SyncPoint::watch_responded);
     discovery.connection(2);  // the whole list has been written
-    proxies.push_back(std::make_unique<FakeProxy>(planner.program.address(), 5));
+    proxies.push_back(std::make_unique<FakeProxy>(planner.process.address(), 5));
     require_drained(proxies, "s-1");
     std::this_thread::sleep_for(300ms);  // what is not to come has time to
     check_nobody_was_let(proxies, "s-1", since);
-    CHECK(discovery.all_asked().at(2) == "GET /catalog/members?stream=1&index=43 HTTP/1.1");
+    CHECK(discovery.stop_and_get_requests().at(2) ==
+          "GET /catalog/members?stream=1&index=43 HTTP/1.1");
 }
 
 // ---- ends right after accept
@@ -142,37 +147,37 @@
     const SyncPoint point = GENERATE(SyncPoint::connection_accepted, SyncPoint::connection_listed,
                                      SyncPoint::connection_ready);
     const bool has_spoken = GENERATE(false, true);
-    Base base;
-    Acceptor acceptor(base.context(), 40, 20);
+    NetFixture fixture;
+    Acceptor acceptor(fixture.context(), 40, 20);
     REQUIRE(acceptor.open(*address_of("127.0.0.1:0")));
     const Socket good = dial(acceptor.address());
     good.send_all(hello(1));
-    const StreamId stream = base.next<core_event::StreamOpened>().stream;
+    const StreamId stream = fixture.expect_next<core_event::StreamOpened>().stream;
     constexpr int kTimes = 5;
     for (int n = 0; n < kTimes; ++n) {
-        base.sync.hold(point);
+        fixture.sync.block_at(point);
         Socket peer = dial(acceptor.address());
         if (has_spoken) {
             peer.send_all(hello(5));
         }
         // The last place is reached by the reset itself, or by what was said before it.
         if (point != SyncPoint::connection_ready) {
-            base.sync.await(point);
+            fixture.sync.await(point);
         }
-        reset(std::move(peer));
+        close_with_reset(std::move(peer));
         if (point == SyncPoint::connection_ready) {
-            base.sync.await(point);
+            fixture.sync.await(point);
         }
-        base.sync.let_go(point);
-        good.send_all(usage(1));
-        REQUIRE(alive(good));
+        fixture.sync.release(point);
+        good.send_all(demand_report(1));
+        REQUIRE(answers_probe(good));
     }
     acceptor.write(stream, "push nonce_out=1\r\n");
-    CHECK(read_some(good, 18) == "push nonce_out=1\r\n");
+    CHECK(receive_bytes(good, 18) == "push nonce_out=1\r\n");
     good.end_sending();
     int usages = 0, begun = 0, over = 0;
     for (bool good_has_left = false; !good_has_left || over < begun + 1;) {
-        const auto items = base.inbox.wait(clock_now()() + Duration{100'000});
+        const auto items = fixture.inbox.wait(clock_now()() + Duration{100'000});
         REQUIRE(!items.empty());
         for (const auto& item : items) {
             usages += std::holds_alternative<core_event::ReportReceived>(item.event);
@@ -189,44 +194,45 @@
 }
 
 TEST_CASE_METHOD(
-    Base,
+    NetFixture,
     "a discovery that resets right after accept is dialled again, from the version that is held") {
     const SyncPoint point = GENERATE(SyncPoint::watch_connected, SyncPoint::watch_requested);
     const Socket listener = Socket::listen(*address_of("127.0.0.1:0")).value();
     REQUIRE(listener.is_open());
     WatchTimeouts timeouts;
     timeouts.initial_backoff = 1ms, timeouts.max_backoff = 20ms;
-    DiscoveryWatch watch("d", listener.local(), names, 41, kListBytes, pool, inbox, quiet.log,
-                         timeouts, &sync);
-    sync.hold(point);
+    DiscoveryWatch watch("d", listener.local(), names, 41, kMaxListBytes, read_buffers, inbox,
+                         quiet.log, timeouts, &sync);
+    sync.block_at(point);
     REQUIRE(watch.start());
     sync.await(point);
-    reset(Socket(::accept(listener.fd(), nullptr, nullptr)));
-    sync.let_go(point);
+    close_with_reset(Socket(::accept(listener.fd(), nullptr, nullptr)));
+    sync.release(point);
     const Socket again(::accept(listener.fd(), nullptr, nullptr));
-    const std::string asked = "GET /catalog/members?stream=1&index=41 HTTP/1.1\r\n";
-    CHECK(read_some(again, asked.size()) == asked);
-    again.send_all(kWatch + chunk(version(42)));
-    next<core_event::WatchLost>();
-    CHECK(next<core_event::EndpointListReceived>().message.version == 42);
+    const std::string request = "GET /catalog/members?stream=1&index=41 HTTP/1.1\r\n";
+    CHECK(receive_bytes(again, request.size()) == request);
+    again.send_all(kWatchHeader + chunk(empty_update(42)));
+    expect_next<core_event::WatchLost>();
+    CHECK(expect_next<core_event::EndpointListReceived>().message.version == 42);
     watch.stop();
 }
 
-TEST_CASE_METHOD(Base, "a server that resets right after accept has not answered its probe") {
+TEST_CASE_METHOD(NetFixture, "a server that resets right after accept has not answered its probe") {
     const Socket server = Socket::listen(*address_of("127.0.0.1:0")).value();
     REQUIRE(server.is_open());
-    HealthCheckRunner health_checks(pool, inbox, clock_now(), &sync);
-    sync.hold(SyncPoint::health_check_connected);
+    HealthCheckRunner health_checks(read_buffers, inbox, clock_now(), &sync);
+    sync.block_at(SyncPoint::health_check_connected);
     health_checks.start_check({"s-1"}, text_of(server.local()));
     sync.await(SyncPoint::health_check_connected);
-    reset(Socket(::accept(server.fd(), nullptr, nullptr)));
-    sync.let_go(SyncPoint::health_check_connected);
-    CHECK(!next<core_event::HealthCheckCompleted>().result.healthy);
+    close_with_reset(Socket(::accept(server.fd(), nullptr, nullptr)));
+    sync.release(SyncPoint::health_check_connected);
+    CHECK(!expect_next<core_event::HealthCheckCompleted>().result.healthy);
 }
 
 // ---- bytes in pieces
 
-TEST_CASE_METHOD(Base, "messages in single bytes and odd cuts count as those that come whole") {
+TEST_CASE_METHOD(NetFixture,
+                 "messages in single bytes and odd cuts count as those that come whole") {
     const std::vector<std::vector<std::size_t>> cuts{{1}, {2, 3, 1}, {7, 1, 30}, {1'000}};
     Acceptor acceptor(context(), 40, 20);
     REQUIRE(acceptor.open(*address_of("127.0.0.1:0")));
@@ -240,7 +246,8 @@
     for (std::size_t n = 0; n < cuts.size(); ++n) {
         const int proxy = static_cast<int>(n);
         peers.push_back({dial(acceptor.address()),
-                         hello(proxy) + answer(proxy, 1) + usage(proxy) + answer(proxy, 2),
+                         hello(proxy) + acknowledgement(proxy, 1) + demand_report(proxy) +
+                             acknowledgement(proxy, 2),
                          cuts[n]});
         peers.push_back({dial(acceptor.address()),
                          "agent az=a\r\noutcomes az=a host=s-" + std::to_string(n) +
@@ -256,20 +263,20 @@
                 continue;
             }
             any = true;
-            sync.hold(SyncPoint::bytes_received);
+            sync.block_at(SyncPoint::bytes_received);
             const std::string piece =
                 peer.rest.substr(0, peer.sizes[peer.sent++ % peer.sizes.size()]);
             peer.rest.erase(0, piece.size());
             REQUIRE(peer.socket.send_all(piece));
             sync.await(SyncPoint::bytes_received);
-            sync.let_go(SyncPoint::bytes_received);
+            sync.release(SyncPoint::bytes_received);
         }
     }
     for (std::size_t n = 1; n < peers.size(); n += 2) {
-        CHECK(read_some(peers[n].socket, 7) == "alive\r\n");
+        CHECK(receive_bytes(peers[n].socket, 7) == "alive\r\n");
     }
-    REQUIRE(
-        alive(dial(acceptor.address())));  // the one event loop has taken what it had read before
+    REQUIRE(answers_probe(
+        dial(acceptor.address())));  // the one event loop has taken what it had read before
     std::map<StreamId, std::vector<int>> of_stream;  // marks; 0 for the joining
     std::set<std::string> servers;
     std::set<ProxyId> proxies;
@@ -312,22 +319,22 @@
     for (int n = 0; n < 6; ++n) {
         servers.push_back({"s-" + std::to_string(n), "up", n < cold ? started : 0});
     }
-    Discovery discovery(
-        std::vector<std::string>(kPlanners, kWatch + chunk(list_of(42, true, servers))));
-    discovery.begin();
-    std::vector<std::unique_ptr<Running>> planners;
+    FakeHttpServer discovery(
+        std::vector<std::string>(kPlanners, kWatchHeader + chunk(list_of(42, true, servers))));
+    discovery.start();
+    std::vector<std::unique_ptr<RunningPlanner>> planners;
     for (int n = 0; n < kPlanners; ++n) {
         StartConfiguration start = started_with("", servers);
         start.settings.planner_count = kPlanners,
         start.settings.proxy_count = kPlanners * kProxiesOfEach;
         start.bounds.proxies = start.settings.proxy_count;
-        planners.push_back(std::make_unique<Running>(text_of(discovery.listener.local()), start,
-                                                     WatchTimeouts{}, clock_from_now()));
+        planners.push_back(std::make_unique<RunningPlanner>(
+            text_of(discovery.listener.local()), start, WatchTimeouts{}, clock_from_now()));
     }
     Proxies proxies;
     for (int n = 0; n < kPlanners; ++n) {
-        const Address address = planners[static_cast<std::size_t>(n)]->program.address();
-        CHECK(alive(dial(address)));
+        const Address address = planners[static_cast<std::size_t>(n)]->process.address();
+        CHECK(answers_probe(dial(address)));
         for (int i = 0; i < kProxiesOfEach; ++i) {
             proxies.push_back(std::make_unique<FakeProxy>(address, n * kProxiesOfEach + i));
         }
