--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -1,5 +1,5 @@
-// Rare moments on real sockets: a thread is held at a named line (SyncPoints) while something else
-// comes in between. Every crossing is forced, none is hoped for.
+// Tests of rare interleavings on real sockets. A thread is blocked at a synchronization point while
+// something else happens, so that each interleaving is forced and does not depend on timing.
 #include <sys/resource.h>
 
 #include <cstdio>
@@ -14,8 +14,9 @@
 
 namespace {
 
-// What ends an orderly connection: 0. A reset: -1.
-ssize_t last_of(const Socket& socket) {
+// Discards what is received and returns the last result: 0 after an orderly close, -1 after a
+// reset.
+ssize_t last_receive_result(const Socket& socket) {
     char bytes[4096];
     socket.set_receive_timeout(10s);
     ssize_t got;
@@ -25,72 +26,74 @@
     return got;
 }
 
-struct Entrance : NetFixture {
+// An acceptor that listens on loopback.
+struct AcceptorFixture : NetFixture {
     Acceptor acceptor;
-    explicit Entrance(std::size_t connections = 40, std::size_t unidentified = 20)
+    explicit AcceptorFixture(std::size_t connections = 40, std::size_t unidentified = 20)
         : acceptor(context(), connections, unidentified) {
         REQUIRE(acceptor.open(*address_of("127.0.0.1:0")));
     }
-    Socket enter() { return dial(acceptor.address()); }
+    Socket connect() { return dial(acceptor.address()); }
 };
 
-// Two connections of one event loop, without the kernel's small windows between.
-struct Two : NetFixture {
-    ConnectionContext shared = context();
-    EventLoop loop{shared, [](StreamId) {}};
+// Two connections in one event loop over socket pairs, which have no small TCP windows.
+struct TwoConnectionsFixture : NetFixture {
+    ConnectionContext connection_context = context();
+    EventLoop loop{connection_context, [](StreamId) {}};
     ThreadGroup threads{1};
     std::vector<std::shared_ptr<Connection>> connections;
     Socket flood, other;
-    Two() {
+    TwoConnectionsFixture() {
         for (Socket* peer : {&flood, &other}) {
             int ends[2];
             REQUIRE(::socketpair(AF_UNIX, SOCK_STREAM, 0, ends) == 0);
             *peer = Socket(ends[1]);
             const StreamId id{connections.size() + 1};
             connections.push_back(
-                std::make_shared<Connection>(shared, id, Socket(ends[0]), "peer"));
+                std::make_shared<Connection>(connection_context, id, Socket(ends[0]), "peer"));
             REQUIRE(loop.add(connections.back()));
         }
         REQUIRE(threads.start([this] { loop.run(); }));
     }
-    ~Two() { loop.stop(), threads.wait(); }
+    ~TwoConnectionsFixture() { loop.stop(), threads.wait(); }
 };
 
 }  // namespace
 
-// ---- connections: dates, ends and shutdowns between two lines
+// ---- connections: deadlines, closes and shutdowns at synchronization points
 
-TEST_CASE_METHOD(Entrance,
-                 "a joining that came in time is heard, however late this process gets to it") {
-    const Socket busy = enter();
+TEST_CASE_METHOD(AcceptorFixture,
+                 "a join that arrives in time is accepted even if it is read after the deadline") {
+    const Socket busy = connect();
     sync.block_at(SyncPoint::connection_ready);
     busy.send_all("probe\r\n");
     sync.await(SyncPoint::connection_ready);
-    const Socket proxy = enter();
+    const Socket proxy = connect();
     proxy.send_all(hello(5));
-    std::this_thread::sleep_for(Connection::kJoinTimeout + 100ms);  // the date itself has to pass
+    std::this_thread::sleep_for(Connection::kJoinTimeout + 100ms);  // past the deadline
     sync.release(SyncPoint::connection_ready);
     CHECK(expect_next<core_event::StreamOpened>().joined.proxy == ProxyId{5});
-    CHECK(wait_for_close(busy));  // it only asked, and its date is over
+    CHECK(wait_for_close(busy));  // it sent only a probe, and its deadline has passed
 }
 
 TEST_CASE_METHOD(
-    Entrance, "a connection whose date passes before it is watched ends, and nobody else by it") {
+    AcceptorFixture,
+    "a connection whose deadline passes before it is polled is closed, and no other one with it") {
     sync.block_at(SyncPoint::connection_listed);
-    const Socket slow = enter();
+    const Socket slow = connect();
     sync.await(SyncPoint::connection_listed);
-    CHECK(wait_for_close(
-        slow));  // the event loop ends it while the acceptor stands between two lines
+    // The event loop closes it while the acceptor's thread is blocked.
+    CHECK(wait_for_close(slow));
     sync.release(SyncPoint::connection_listed);
-    CHECK(answers_probe(enter()));
+    CHECK(answers_probe(connect()));
 }
 
-TEST_CASE_METHOD(Entrance,
-                 "who is accepted in the instant of the shutdown is ended with the others") {
-    const Socket before = enter();
+TEST_CASE_METHOD(AcceptorFixture,
+                 "a connection accepted while the shutdown begins is closed with the others") {
+    const Socket before = connect();
     REQUIRE(answers_probe(before));
     sync.block_at(SyncPoint::connection_accepted);
-    const Socket late = enter();
+    const Socket late = connect();
     late.send_all(hello(5));
     sync.await(SyncPoint::connection_accepted);
     acceptor.begin_shutdown();
@@ -99,13 +102,13 @@
     CHECK(wait_for_close(before));
     CHECK(wait_for_close(late));
     inbox.put(core_event::StopRequested{});
-    expect_next<core_event::StopRequested>();  // and it never joined
+    expect_next<core_event::StopRequested>();  // the late one has not joined
 }
 
-TEST_CASE_METHOD(Entrance, "bytes that come in the instant of the shutdown hold nothing up") {
+TEST_CASE_METHOD(AcceptorFixture, "bytes that arrive while the shutdown begins do not delay it") {
     std::vector<Socket> peers;
     for (int i = 0; i < 8; ++i) {
-        peers.push_back(enter()), peers.back().send_all(hello(i));
+        peers.push_back(connect()), peers.back().send_all(hello(i));
     }
     for (int i = 0; i < 8; ++i) {
         expect_next<core_event::StreamOpened>();
@@ -117,143 +120,150 @@
     sync.await(SyncPoint::bytes_received);
     acceptor.begin_shutdown();
     sync.release(SyncPoint::bytes_received);
-    const auto begun = steady_clock::now();
+    const auto started = steady_clock::now();
     acceptor.shutdown();
-    CHECK(steady_clock::now() - begun < 600ms);  // the event loop looks up every 200 ms
+    CHECK(steady_clock::now() - started < 600ms);  // the event loop wakes every 200 ms
     for (const Socket& peer : peers) {
         CHECK(wait_for_close(peer));
     }
 }
 
-TEST_CASE_METHOD(Entrance,
-                 "who is in the middle of sending when the shutdown comes is told of it") {
-    const Socket peer = enter();
+TEST_CASE_METHOD(AcceptorFixture,
+                 "a peer that is sending when the shutdown begins is disconnected") {
+    const Socket peer = connect();
     peer.send_all(hello(5));
     expect_next<core_event::StreamOpened>();
     sync.block_at(SyncPoint::bytes_received);
-    const std::string much(16 << 20, ' ');  // more than the kernel holds for it
-    const auto sends = run_async([&] { return peer.send_all(much); });
+    const std::string block(16 << 20, ' ');  // more than the kernel buffers
+    const auto sending = run_async([&] { return peer.send_all(block); });
     sync.await(SyncPoint::bytes_received);
     acceptor.begin_shutdown();
     sync.release(SyncPoint::bytes_received);
     acceptor.shutdown();
-    CHECK(sends.wait_for(5s) == std::future_status::ready);
-    peer.shut_down();  // else a failing test could not end
+    CHECK(sending.wait_for(5s) == std::future_status::ready);
+    peer.shut_down();  // otherwise a failing test could not end
 }
 
-TEST_CASE("who has been read and not been taken yet is not shed") {
-    Entrance entrance(2, 1);
-    const Socket proxy = entrance.enter();
-    entrance.sync.block_at(SyncPoint::bytes_received);
+TEST_CASE("a connection whose bytes are read but not yet parsed is not shed") {
+    AcceptorFixture fixture(2, 1);
+    const Socket proxy = fixture.connect();
+    fixture.sync.block_at(SyncPoint::bytes_received);
     proxy.send_all(hello(5));
-    entrance.sync.await(SyncPoint::bytes_received);
-    const Socket newcomer = entrance.enter();
-    CHECK(wait_for_close(newcomer));  // it finds nobody to go for it
-    entrance.sync.release(SyncPoint::bytes_received);
-    CHECK(entrance.expect_next<core_event::StreamOpened>().joined.proxy == ProxyId{5});
+    fixture.sync.await(SyncPoint::bytes_received);
+    const Socket newcomer = fixture.connect();
+    CHECK(wait_for_close(newcomer));  // there is no connection that can be shed for it
+    fixture.sync.release(SyncPoint::bytes_received);
+    CHECK(fixture.expect_next<core_event::StreamOpened>().joined.proxy == ProxyId{5});
 }
 
-TEST_CASE("a proxy in the middle of its joining goes after those that say nothing") {
-    Entrance entrance(12, 10);
-    const Socket collector = entrance.enter();
+TEST_CASE("a proxy that is still sending its join is shed only after silent peers") {
+    AcceptorFixture fixture(12, 10);
+    const Socket collector = fixture.connect();
     collector.send_all("agent az=a\r\n");
     REQUIRE(answers_probe(collector));
-    // Comes in, and has what it says read: what lay there before the collector's question is.
-    const auto says = [&](const std::string& text) {
-        Socket socket = entrance.enter();
+    // Connects a peer and sends its text. The event loop has read the text once it has answered the
+    // collector's later probe.
+    const auto connect_and_send = [&](const std::string& text) {
+        Socket socket = fixture.connect();
         REQUIRE(answers_probe(socket));
         socket.send_all(text);
         REQUIRE(answers_probe(collector));
         return socket;
     };
-    const Socket slow = says(hello(5).substr(0, 12));
+    const Socket slow = connect_and_send(hello(5).substr(0, 12));
     std::vector<Socket> silent, halves;
     for (int i = 0; i < 30; ++i) {
-        silent.push_back(says(""));
+        silent.push_back(connect_and_send(""));
     }
     CHECK(wait_for_close(silent.front()));
     slow.send_all(hello(5).substr(12));
-    CHECK(entrance.expect_next<core_event::StreamOpened>().joined.proxy == ProxyId{5});
-    // Where all are in the middle of it, the oldest goes: hundreds that send half a message keep
-    // nobody out.
+    CHECK(fixture.expect_next<core_event::StreamOpened>().joined.proxy == ProxyId{5});
+    // If all have sent a part of their join, the oldest is shed, so that peers that send half a
+    // message can't lock others out.
     for (int i = 0; i < 30; ++i) {
-        halves.push_back(says("hel"));
+        halves.push_back(connect_and_send("hel"));
     }
-    const Socket proxy = entrance.enter();
+    const Socket proxy = fixture.connect();
     proxy.send_all(hello(6));
-    CHECK(entrance.expect_next<core_event::StreamOpened>().joined.proxy == ProxyId{6});
+    CHECK(fixture.expect_next<core_event::StreamOpened>().joined.proxy == ProxyId{6});
     CHECK(wait_for_close(halves.front()));
 }
 
 TEST_CASE_METHOD(
-    Entrance, "a joining that drips in joins past the usual date; one that never ends is ended") {
-    const auto begun = steady_clock::now();
-    const Socket slow = enter(), never = enter();
+    AcceptorFixture,
+    "a join that arrives slowly succeeds after the usual deadline; an endless one is closed") {
+    const auto started = steady_clock::now();
+    const Socket slow = connect(), endless = connect();
     const std::string line = hello(5);
     const auto step = (Connection::kJoinTimeout + 400ms) / line.size();
     for (const char c : line) {
-        slow.send_all({&c, 1}), never.send_all("h");
+        slow.send_all({&c, 1}), endless.send_all("h");
         std::this_thread::sleep_for(step);
     }
     CHECK(expect_next<core_event::StreamOpened>().joined.proxy == ProxyId{5});
-    CHECK(steady_clock::now() > begun + Connection::kJoinTimeout);
-    CHECK(wait_for_close(never));
-    CHECK(steady_clock::now() < begun + 3s);  // the platform's date
+    CHECK(steady_clock::now() > started + Connection::kJoinTimeout);
+    CHECK(wait_for_close(endless));
+    CHECK(steady_clock::now() < started + 3s);  // the platform's deadline
 }
 
 TEST_CASE_METHOD(
-    Entrance,
-    "`error` comes through although more was sent than anybody read, and an orderly end after it") {
-    const Socket peer = enter();
+    AcceptorFixture,
+    "a peer receives `error` and an orderly close although it sent more than was read") {
+    const Socket peer = connect();
     peer.send_all(std::string(20'000, 'x'));
     CHECK(receive_bytes(peer, 7) == "error\r\n");
-    // It goes on for a moment, as it has not read that yet: nothing resets it.
+    // The peer goes on sending for a moment, as if it had not read the error yet; the connection is
+    // not reset.
     for (int i = 0; i < 10; ++i) {
         CHECK(peer.send_all(std::string(1'000, 'x')));
         std::this_thread::sleep_for(2ms);
     }
-    CHECK(last_of(peer) == 0);
+    CHECK(last_receive_result(peer) == 0);
 }
 
 TEST_CASE_METHOD(
-    Entrance, "who goes on sending after `error` is not read for ever, and makes way for others") {
-    const auto begun = steady_clock::now();
-    const Socket flood = enter(), quiet_one = enter();
-    quiet_one.send_all("GET / HTTP/1.1\r\n\r\n");  // and keeps its connection open
-    const std::string much(64 * 1024, 'x');
-    while (flood.send_all(much)) {
+    AcceptorFixture,
+    "a peer that keeps sending after `error` is disconnected and makes room for others") {
+    const auto started = steady_clock::now();
+    const Socket flood = connect(), keeps_open = connect();
+    keeps_open.send_all("GET / HTTP/1.1\r\n\r\n");  // does not close its connection
+    const std::string block(64 * 1024, 'x');
+    while (flood.send_all(block)) {
         continue;
     }
-    // Its half is closed at once; that all of it is, shows in that nothing is taken any more.
-    bool taken = true;
-    for (; taken && steady_clock::now() < begun + 2s; std::this_thread::sleep_for(10ms)) {
-        taken = quiet_one.send_now("x");
+    // The planner closes its sending half at once. That the whole connection is closed shows when
+    // sending to it fails.
+    bool accepted = true;
+    for (; accepted && steady_clock::now() < started + 2s; std::this_thread::sleep_for(10ms)) {
+        accepted = keeps_open.send_now("x");
     }
-    CHECK(!taken);
-    Entrance narrow(2, 1);
-    const Socket collector = narrow.enter();
+    CHECK(!accepted);
+    AcceptorFixture narrow(2, 1);
+    const Socket collector = narrow.connect();
     collector.send_all("agent az=a\r\n");
     REQUIRE(answers_probe(collector));
-    const Socket refused = narrow.enter();
+    const Socket refused = narrow.connect();
     refused.send_all("x\r\n");
     CHECK(receive_bytes(refused, 7) == "error\r\n");
     narrow.sync.block_at(SyncPoint::connection_ready);
     collector.send_all("probe\r\n");
     narrow.sync.await(SyncPoint::connection_ready);
     refused.send_all("and more, which nobody has read");
-    const Socket newcomer = narrow.enter();
-    const auto until = steady_clock::now() + 2s;  // it goes: nothing more is taken from it
-    for (taken = true; taken && steady_clock::now() < until; std::this_thread::sleep_for(1ms)) {
-        taken = refused.send_now("x");
+    const Socket newcomer = narrow.connect();
+    const auto until = steady_clock::now() + 2s;  // sending fails once it has been shed
+    for (accepted = true; accepted && steady_clock::now() < until;
+         std::this_thread::sleep_for(1ms)) {
+        accepted = refused.send_now("x");
     }
-    CHECK(!taken);
+    CHECK(!accepted);
     narrow.sync.release(SyncPoint::connection_ready);
     CHECK(answers_probe(newcomer));
 }
 
-TEST_CASE_METHOD(Entrance,
-                 "a long line right behind the joining is that proxy's, not a stranger's") {
-    const Socket proxy = enter();
+TEST_CASE_METHOD(
+    AcceptorFixture,
+    "a long line right after the join is treated as the proxy's, not as an unidentified peer's") {
+    const Socket proxy = connect();
     proxy.send_all(hello(5) + "demand sidecar=5 kind=lookup" + std::string(3'000, ' ') +
                    "n=4 bad=0 window=500\r\n");
     expect_next<core_event::StreamOpened>();
@@ -261,9 +271,10 @@
 }
 
 TEST_CASE_METHOD(
-    Entrance, "joining, answer and usage in one segment count, whether an end or a reset follows") {
+    AcceptorFixture,
+    "a join, acknowledgement and demand report in one segment count before a close and a reset") {
     const bool by_reset = GENERATE(false, true);
-    Socket proxy = enter();
+    Socket proxy = connect();
     sync.block_at(SyncPoint::connection_ready);
     proxy.send_all(hello(5) + acknowledgement(5, 3) + demand_report(5));
     sync.await(SyncPoint::connection_ready);
@@ -274,17 +285,18 @@
     expect_next<core_event::ReportReceived>();
     CHECK(expect_next<core_event::StreamClosed>().reason ==
           (by_reset ? "reset" : "closed by peer"));
-    acceptor.write(stream, "push nonce_out=1\r\n");  // behind its end: nobody minds
-    CHECK(answers_probe(enter()));
+    acceptor.write(stream, "push nonce_out=1\r\n");  // after its end: ignored
+    CHECK(answers_probe(connect()));
 }
 
-TEST_CASE_METHOD(Two,
-                 "a flood of answers costs its stream the rest of them, and no other stream one") {
+TEST_CASE_METHOD(
+    TwoConnectionsFixture,
+    "a stream that floods acknowledgements loses the excess, and other streams lose none") {
     constexpr int kFlood = 50'000;
     flood.send_all(hello(5));
-    const StreamId flooding = expect_next<core_event::StreamOpened>().stream;
+    const StreamId flood_stream = expect_next<core_event::StreamOpened>().stream;
     other.send_all(hello(6));
-    const StreamId good = expect_next<core_event::StreamOpened>().stream;
+    const StreamId other_stream = expect_next<core_event::StreamOpened>().stream;
     std::string lines;
     for (int i = 0; i < kFlood; ++i) {
         lines += i % 2 ? acknowledgement(5, i % 1000) : demand_report(5);
@@ -293,25 +305,27 @@
     other.send_all(acknowledgement(6, 1) + demand_report(6));
     REQUIRE(answers_probe(other));
     REQUIRE(answers_probe(flood));  // all of it has been read
-    std::size_t of_flood = 0, of_other = 0;
+    std::size_t accepted_from_flood = 0, accepted_from_other = 0;
     inbox.put(core_event::StopRequested{});
     for (const auto& item : inbox.wait({})) {
-        if (const auto* said = std::get_if<core_event::StreamAcknowledged>(&item.event)) {
-            CHECK((said->stream == flooding || said->stream == good));
-            ++(said->stream == flooding ? of_flood : of_other);
+        if (const auto* received = std::get_if<core_event::StreamAcknowledged>(&item.event)) {
+            CHECK((received->stream == flood_stream || received->stream == other_stream));
+            ++(received->stream == flood_stream ? accepted_from_flood : accepted_from_other);
         }
-        if (const auto* said = std::get_if<core_event::ReportReceived>(&item.event)) {
-            ++(std::get<event::DemandReport>(said->report).proxy == ProxyId{5} ? of_flood
-                                                                               : of_other);
+        if (const auto* received = std::get_if<core_event::ReportReceived>(&item.event)) {
+            ++(std::get<event::DemandReport>(received->report).proxy == ProxyId{5}
+                   ? accepted_from_flood
+                   : accepted_from_other);
         }
     }
-    CHECK(of_flood == Connection::kMaxAcknowledgements);
-    CHECK(of_other == 2);
-    flood.send_all(acknowledgement(5, 7));  // once the core has taken all it is heard again
-    CHECK(expect_next<core_event::StreamAcknowledged>().stream == flooding);
+    CHECK(accepted_from_flood == Connection::kMaxAcknowledgements);
+    CHECK(accepted_from_other == 2);
+    flood.send_all(acknowledgement(5, 7));  // accepted again once the core has emptied the inbox
+    CHECK(expect_next<core_event::StreamAcknowledged>().stream == flood_stream);
 }
 
-TEST_CASE_METHOD(Two, "one collector that floods leaves room for what another reports") {
+TEST_CASE_METHOD(TwoConnectionsFixture,
+                 "a collector that floods reports leaves room for those of another") {
     flood.send_all("agent az=a\r\n"), other.send_all("agent az=b\r\n");
     const std::string report = "outcomes az=a host=s-1 n=4 bad=1 avg=30 window=500\r\n";
     std::string lines;
@@ -329,42 +343,44 @@
               .attempts == 9);
 }
 
-// ---- discovery: between any two lines of the watch
+// ---- discovery: events at the synchronization points of the watch
 
 namespace {
 
 const std::vector<SyncPoint> kWatchPoints{SyncPoint::watch_registered, SyncPoint::watch_connected,
                                           SyncPoint::watch_requested, SyncPoint::watch_responded};
 
-std::string whole(int number, const std::string& tail = "") {
+// A response with the complete list at the given version.
+std::string list_response(int version, const std::string& tail = "") {
     std::string list = kList;
-    list.replace(list.find("41"), 2, std::to_string(number));
+    list.replace(list.find("41"), 2, std::to_string(version));
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list +
            tail;
 }
-std::string half(const std::string& answer) {
-    return answer.substr(0, answer.size() - 60) + "!";
+std::string truncated(const std::string& response) {
+    return response.substr(0, response.size() - 60) + "!";
 }
 
-struct Watched : NetFixture {
+// A watch of a fake discovery with short timeouts.
+struct WatchFixture : NetFixture {
     WatchTimeouts timeouts;
-    Watched() {
+    WatchFixture() {
         timeouts.initial_backoff = 1ms, timeouts.max_backoff = 20ms, timeouts.fetch_interval = 5ms;
     }
-    std::unique_ptr<DiscoveryWatch> watch(FakeHttpServer& discovery) {
+    std::unique_ptr<DiscoveryWatch> make_watch(FakeHttpServer& discovery) {
         return std::make_unique<DiscoveryWatch>("d", discovery.listener.local(), names, 41,
                                                 kMaxListBytes, read_buffers, inbox, quiet.log,
                                                 timeouts, &sync);
     }
-    // The next list, past whatever else is said.
-    core_event::EndpointListReceived list() {
+    // Waits for the next list and skips all other events.
+    core_event::EndpointListReceived next_list() {
         const TimePoint limit = clock_now()() + Duration{100'000};
         for (;;) {
             while (!pending.empty()) {
                 const CoreEvent first = pending.front();
                 pending.erase(pending.begin());
-                if (const auto* told = std::get_if<core_event::EndpointListReceived>(&first)) {
-                    return *told;
+                if (const auto* received = std::get_if<core_event::EndpointListReceived>(&first)) {
+                    return *received;
                 }
             }
             REQUIRE(clock_now()() < limit);
@@ -377,248 +393,259 @@
 
 }  // namespace
 
-TEST_CASE_METHOD(
-    Watched, "a fetch of the whole list that breaks off is made again, until the list has come") {
-    const std::string bad = GENERATE(as<std::string>{}, half(whole(30)),
+TEST_CASE_METHOD(WatchFixture,
+                 "a failed fetch of the complete list is repeated until the list arrives") {
+    const std::string bad = GENERATE(as<std::string>{}, truncated(list_response(30)),
                                      "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
                                      "HTTP/1.1 200 OK\r\n\r\n" + kList.substr(0, 90) + "!", "!");
-    FakeHttpServer discovery({kWatchHeader + chunk(empty_update(42)), bad, bad, whole(30),
+    FakeHttpServer discovery({kWatchHeader + chunk(empty_update(42)), bad, bad, list_response(30),
                               kWatchHeader + chunk(empty_update(31))});
-    const auto watching = watch(discovery);
+    const auto watch = make_watch(discovery);
     discovery.start();
-    REQUIRE(watching->start());
-    CHECK(list().message.version == 42);
-    watching->fetch();
-    CHECK(list().message.version == 30);
-    CHECK(list().message.version == 31);
-    watching->stop();
+    REQUIRE(watch->start());
+    CHECK(next_list().message.version == 42);
+    watch->fetch();
+    CHECK(next_list().message.version == 30);
+    CHECK(next_list().message.version == 31);
+    watch->stop();
     const auto& requests = discovery.stop_and_get_requests();
     for (int n = 1; n <= 3; ++n) {
         CHECK(requests.at(n) == "GET /catalog/members HTTP/1.1");
     }
-    // Versions count anew, and the watch with them: not from 42, which may never come.
+    // Versions have restarted, and the watch asks from the new one: version 42 may never come.
     CHECK(requests.at(4) == "GET /catalog/members?stream=1&index=30 HTTP/1.1");
 }
 
-TEST_CASE_METHOD(Watched,
-                 "where the whole list never comes, the watch goes on from the first version") {
-    std::vector<std::string> answers{kWatchHeader + chunk(empty_update(42))};
+TEST_CASE_METHOD(WatchFixture,
+                 "if the complete list never arrives, the watch restarts from version 0") {
+    std::vector<std::string> responses{kWatchHeader + chunk(empty_update(42))};
     for (int i = 0; i < 3; ++i) {
-        answers.push_back(half(whole(30)));
+        responses.push_back(truncated(list_response(30)));
     }
-    answers.push_back(kWatchHeader + chunk(empty_update(31)));
-    FakeHttpServer discovery(answers);
-    const auto watching = watch(discovery);
+    responses.push_back(kWatchHeader + chunk(empty_update(31)));
+    FakeHttpServer discovery(responses);
+    const auto watch = make_watch(discovery);
     discovery.start();
-    REQUIRE(watching->start());
-    CHECK(list().message.version == 42);
-    watching->fetch();
-    CHECK(list().message.version == 31);
-    watching->stop();
+    REQUIRE(watch->start());
+    CHECK(next_list().message.version == 42);
+    watch->fetch();
+    CHECK(next_list().message.version == 31);
+    watch->stop();
     CHECK(discovery.stop_and_get_requests().at(4) ==
           "GET /catalog/members?stream=1&index=0 HTTP/1.1");
 }
 
-TEST_CASE_METHOD(Watched, "a discovery whose versions never fit is asked for its list at a pace") {
+TEST_CASE_METHOD(
+    WatchFixture,
+    "a discovery whose versions keep going back is asked for its list at a limited rate") {
     timeouts.fetch_interval = 50ms;
-    std::vector<std::string> answers{kWatchHeader + chunk(empty_update(42))};
+    std::vector<std::string> responses{kWatchHeader + chunk(empty_update(42))};
     for (int i = 0; i < 6; ++i) {
-        answers.push_back(whole(50)), answers.push_back(kWatchHeader + chunk(empty_update(7)));
+        responses.push_back(list_response(50)),
+            responses.push_back(kWatchHeader + chunk(empty_update(7)));
     }
-    FakeHttpServer discovery(answers);
-    const auto watching = watch(discovery);
+    FakeHttpServer discovery(responses);
+    const auto watch = make_watch(discovery);
     discovery.start();
-    REQUIRE(watching->start());
-    list();
-    const auto begun = steady_clock::now();
+    REQUIRE(watch->start());
+    next_list();
+    const auto started = steady_clock::now();
     for (int i = 0; i < 6; ++i) {
-        watching->fetch();  // as the core does at each older version
-        CHECK(list().message.version == 50);
-        CHECK(list().message.version == 7);
+        watch->fetch();  // as the core does at each older version
+        CHECK(next_list().message.version == 50);
+        CHECK(next_list().message.version == 7);
     }
-    CHECK(steady_clock::now() - begun >= 5 * timeouts.fetch_interval);
-    watching->stop();
+    CHECK(steady_clock::now() - started >= 5 * timeouts.fetch_interval);
+    watch->stop();
 }
 
-TEST_CASE_METHOD(Watched, "a fetch that is asked for between any two lines of the watch is made") {
+TEST_CASE_METHOD(WatchFixture,
+                 "a fetch requested at any synchronization point of the watch is made") {
     const SyncPoint point = GENERATE(from_range(kWatchPoints));
-    timeouts.idle = 100ms;  // of the second answer, which is no whole list
+    timeouts.idle = 100ms;  // ends the second response, which is not a complete list
     FakeHttpServer discovery({kWatchHeader + chunk(empty_update(42)) + "!",
-                              kWatchHeader + chunk(empty_update(43)), whole(50), whole(50),
-                              kWatchHeader});
-    const auto watching = watch(discovery);
+                              kWatchHeader + chunk(empty_update(43)), list_response(50),
+                              list_response(50), kWatchHeader});
+    const auto watch = make_watch(discovery);
     sync.block_at(point);
     discovery.start();
-    REQUIRE(watching->start());
+    REQUIRE(watch->start());
     sync.await(point);
-    watching->fetch();
+    watch->fetch();
     sync.release(point);
-    while (list().message.list.form != event::EndpointListUpdate::Form::complete) {
+    while (next_list().message.list.form != event::EndpointListUpdate::Form::complete) {
         continue;
     }
-    watching->stop();
+    watch->stop();
     discovery.stop_and_get_requests();
 }
 
-TEST_CASE_METHOD(Watched, "the end is heard between any two lines of the watch, whatever hangs") {
+TEST_CASE_METHOD(WatchFixture,
+                 "the watch stops in time at any synchronization point, even if discovery hangs") {
     const SyncPoint point = GENERATE(from_range(kWatchPoints));
-    // One that takes and never speaks; at the last point one that has spoken and broken off.
+    // A discovery that accepts and never responds; at the last point, where a response has to have
+    // ended, one that closes at once.
     FakeHttpServer discovery(point == SyncPoint::watch_responded ? std::vector<std::string>{"!"}
                                                                  : std::vector<std::string>{""});
-    const auto watching = watch(discovery);
+    const auto watch = make_watch(discovery);
     sync.block_at(point);
     discovery.start();
-    REQUIRE(watching->start());
+    REQUIRE(watch->start());
     sync.await(point);
-    watching->begin_stop();
-    const auto begun = steady_clock::now();
+    watch->begin_stop();
+    const auto started = steady_clock::now();
     sync.release(point);
-    watching->stop();
-    CHECK(steady_clock::now() - begun < 300ms);  // of the 700 that the platform grants
+    watch->stop();
+    CHECK(steady_clock::now() - started < 300ms);  // the platform allows 700 ms
 }
 
-TEST_CASE_METHOD(Watched,
-                 "a new address that is told between any two lines of the watch is followed") {
+TEST_CASE_METHOD(WatchFixture,
+                 "a new address set at any synchronization point of the watch is followed") {
     const SyncPoint point = GENERATE(from_range(kWatchPoints));
     FakeHttpServer old(
         {kWatchHeader + chunk(empty_update(42)) + "!", kWatchHeader + chunk(empty_update(42))});
     FakeHttpServer moved({kWatchHeader + chunk(empty_update(43)), ""});
-    const auto watching = watch(old);
+    const auto watch = make_watch(old);
     sync.block_at(point);
     old.start(), moved.start();
-    REQUIRE(watching->start());
+    REQUIRE(watch->start());
     sync.await(point);
-    watching->follow("moved", moved.listener.local());
+    watch->follow("moved", moved.listener.local());
     sync.release(point);
-    while (list().message.version != 43) {
+    while (next_list().message.version != 43) {
         continue;
     }
-    // There and back, and there again while the way back is being dialled.
-    watching->follow("d", old.listener.local());
-    watching->follow("moved", moved.listener.local());
+    // Back to the old address, and to the new one again while the old one is being connected.
+    watch->follow("d", old.listener.local());
+    watch->follow("moved", moved.listener.local());
     CHECK(moved.connection(1).is_open());
-    watching->stop();
+    watch->stop();
 }
 
-TEST_CASE_METHOD(Watched,
-                 "of more addresses than there are threads for, the one told last is followed") {
+TEST_CASE_METHOD(WatchFixture,
+                 "of more addresses than the watch has threads, the last one set is followed") {
     FakeHttpServer old({kWatchHeader + chunk(empty_update(42))}),
         last({kWatchHeader + chunk(empty_update(60))});
-    const auto watching = watch(old);
+    const auto watch = make_watch(old);
     old.start(), last.start();
-    REQUIRE(watching->start());
-    list();
+    REQUIRE(watch->start());
+    next_list();
     sync.block_at(SyncPoint::watch_registered);
-    watching->follow("n-1", *address_of("127.0.0.1:1"));
+    watch->follow("n-1", *address_of("127.0.0.1:1"));
     sync.await(SyncPoint::watch_registered);
-    watching->follow("n-2", *address_of("127.0.0.1:1"));
-    sync.await(SyncPoint::watch_registered, 2);  // all threads are taken
+    watch->follow("n-2", *address_of("127.0.0.1:1"));
+    sync.await(SyncPoint::watch_registered, 2);  // all threads are in use
     for (int n = 3; n < 12; ++n) {
-        watching->follow("n-" + std::to_string(n), *address_of("127.0.0.1:1"));
+        watch->follow("n-" + std::to_string(n), *address_of("127.0.0.1:1"));
     }
-    watching->follow("last", last.listener.local());
+    watch->follow("last", last.listener.local());
     sync.release(SyncPoint::watch_registered);
-    while (list().message.version != 60) {
+    while (next_list().message.version != 60) {
         continue;
     }
     CHECK(wait_for_close(old.connection(0)));
-    watching->stop();
+    watch->stop();
 }
 
-TEST_CASE_METHOD(Watched, "an address that never speaks takes nothing from the one that does") {
+TEST_CASE_METHOD(WatchFixture,
+                 "an address that never responds does not disturb the watch of the current one") {
     FakeHttpServer old({kWatchHeader + chunk(empty_update(42))});
-    const auto watching = watch(old);
+    const auto watch = make_watch(old);
     old.start();
-    REQUIRE(watching->start());
+    REQUIRE(watch->start());
     CHECK(expect_next<core_event::EndpointListReceived>().message.version == 42);
     sync.block_at(SyncPoint::watch_responded);
-    watching->follow("mute", *address_of("127.0.0.1:1"));
-    sync.await(SyncPoint::watch_responded);  // it came to nothing, and nothing was made of that yet
+    watch->follow("mute", *address_of("127.0.0.1:1"));
+    sync.await(SyncPoint::watch_responded);  // the attempt failed, which is not evaluated yet
     sync.release(SyncPoint::watch_responded);
     sync.block_at(SyncPoint::watch_responded);
-    sync.await(SyncPoint::watch_responded);  // and now it was
+    sync.await(SyncPoint::watch_responded);  // the first failure has been evaluated
     sync.release(SyncPoint::watch_responded);
     old.connection(0).send_all(chunk("\n") + chunk(empty_update(43)));
-    CHECK(expect_next<core_event::EndpointListReceived>().message.version ==
-          43);  // and no word of a lost list before it
-    watching->stop();
+    // The next event is the list, so no WatchLost came before it.
+    CHECK(expect_next<core_event::EndpointListReceived>().message.version == 43);
+    watch->stop();
 }
 
-TEST_CASE_METHOD(Watched,
-                 "answers that drip, never end or break off anywhere are left in time, and nothing "
-                 "of them is believed") {
+TEST_CASE_METHOD(WatchFixture,
+                 "responses that trickle, never end or break off are abandoned in time, and none "
+                 "of their data is used") {
     timeouts.idle = 300ms, timeouts.line = 150ms;
-    const std::string good = kWatchHeader + chunk(empty_update(42));
+    const std::string complete = kWatchHeader + chunk(empty_update(42));
     const std::string bad = GENERATE_COPY(
         as<std::string>{},
         kWatchHeader + chunk(empty_update(42)).substr(0, 1) +
-            "!",                                                  // a chunk cut in its length line
-        kWatchHeader + "zzz\r\n", "HTTP/1.1 2",                   // a status line that never ends
-        "HTTP/1.1 200 OK\r\nX-Long: " + std::string(9'000, 'x'),  // nor a header
-        "HTTP/1.1 200 OK\r\n\r\n" + empty_update(42).substr(0, 20) + "!",    // no length, and cut
-        kWatchHeader + chunk(kList.substr(0, kList.find("},{") + 1)) + "!",  // between two servers
+            "!",                                 // a chunk cut within its size line
+        kWatchHeader + "zzz\r\n", "HTTP/1.1 2",  // a status line that never ends
+        "HTTP/1.1 200 OK\r\nX-Long: " + std::string(9'000, 'x'),           // an endless header line
+        "HTTP/1.1 200 OK\r\n\r\n" + empty_update(42).substr(0, 20) + "!",  // no length, truncated
+        kWatchHeader + chunk(kList.substr(0, kList.find("},{") + 1)) +
+            "!",  // truncated between two servers
         "HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + kList.substr(0, 80));
     FakeHttpServer discovery({bad, kWatchHeader + chunk(empty_update(77))});
-    const auto watching = watch(discovery);
+    const auto watch = make_watch(discovery);
     discovery.start();
-    const auto begun = steady_clock::now();
-    REQUIRE(watching->start());
-    const auto drips = run_async([&] {
+    const auto started = steady_clock::now();
+    REQUIRE(watch->start());
+    const auto dripping = run_async([&] {
         for (int i = 0; i < 60 && discovery.connection(0).send_now("0"); ++i) {
             std::this_thread::sleep_for(10ms);
         }
     });
-    drips.wait();
-    CHECK(list().message.version == 77);
-    CHECK(steady_clock::now() - begun < 2s);
-    watching->stop();
+    dripping.wait();
+    CHECK(next_list().message.version == 77);
+    CHECK(steady_clock::now() - started < 2s);
+    watch->stop();
     CHECK(discovery.stop_and_get_requests().at(1) ==
           "GET /catalog/members?stream=1&index=41 HTTP/1.1");
 }
 
-// ---- probes
+// ---- health checks
 
-TEST_CASE_METHOD(NetFixture, "the end is heard between any two lines of a probe, whatever hangs") {
+TEST_CASE_METHOD(
+    NetFixture,
+    "a health check stops in time at any synchronization point, even if the server hangs") {
     const SyncPoint point =
         GENERATE(SyncPoint::health_check_registered, SyncPoint::health_check_connected);
-    FakeHttpServer mute({""});
-    mute.start();
+    FakeHttpServer silent({""});
+    silent.start();
     HealthCheckRunner health_checks(read_buffers, inbox, clock_now(), &sync);
     sync.block_at(point);
-    health_checks.start_check({"s-1"}, text_of(mute.listener.local()));
+    health_checks.start_check({"s-1"}, text_of(silent.listener.local()));
     sync.await(point);
     health_checks.begin_stop();
-    const auto begun = steady_clock::now();
+    const auto started = steady_clock::now();
     sync.release(point);
     health_checks.stop();
-    CHECK(steady_clock::now() - begun < 300ms);
+    CHECK(steady_clock::now() - started < 300ms);
     CHECK(!expect_next<core_event::HealthCheckCompleted>().result.healthy);
 }
 
-// ---- the whole program
+// ---- the whole process
 
-TEST_CASE("the program is gone well before it is killed, whatever hangs, floods and dials") {
-    FakeHttpServer mute({"", ""});
-    mute.start();
-    RunningPlanner planner(text_of(mute.listener.local()));
+TEST_CASE(
+    "the process stops in time despite a hanging discovery, a flooding proxy and new connections") {
+    FakeHttpServer silent({"", ""});
+    silent.start();
+    RunningPlanner planner(text_of(silent.listener.local()));
     const Address address = planner.process.address();
-    std::atomic<bool> over{false};
+    std::atomic<bool> finished{false};
     const Socket flood = dial(address);
     flood.send_all(hello(3));
     while (planner.recorder.all().empty()) {
         std::this_thread::yield();
     }
-    const auto floods = run_async([&] {
+    const auto flooding = run_async([&] {
         std::string lines;
         for (int i = 0; i < 500; ++i) {
             lines += demand_report(3) + acknowledgement(3, 9'999);
         }
-        while (!over && flood.send_all(lines)) {
+        while (!finished && flood.send_all(lines)) {
             continue;
         }
     });
-    const auto dials = run_async([&] {
-        for (int i = 0; i < 100 && !over; ++i) {
+    const auto dialing = run_async([&] {
+        for (int i = 0; i < 100 && !finished; ++i) {
             Socket socket = Socket::unconnected(address);
             if (!socket.connect(address, 1s)) {
                 break;
@@ -627,15 +654,15 @@
         }
     });
     while (planner.recorder.all().size() < 3) {
-        std::this_thread::yield();  // some of them have joined
+        std::this_thread::yield();  // until some of them have joined
     }
-    const auto took = planner.stop();
-    over = true;
-    floods.wait(), dials.wait();
-    CHECK(took < 600ms);
+    const auto stop_duration = planner.stop();
+    finished = true;
+    flooding.wait(), dialing.wait();
+    CHECK(stop_duration < 600ms);
 }
 
-TEST_CASE("what arrives between the core's end and the drivers' is not waited for") {
+TEST_CASE("what arrives after the core has stopped does not delay the end of the process") {
     RunningPlanner planner;
     const Socket proxy = dial(planner.process.address());
     proxy.send_all(hello(3));
@@ -654,7 +681,7 @@
     CHECK(wait_for_close(late));
 }
 
-TEST_CASE("the end that is told before the program has begun is heard") {
+TEST_CASE("a stop requested before run() takes effect") {
     DiscardingLog quiet;
     PlannerProcess program(start_configuration(""), clock_now(), quiet.log);
     program.stop();
@@ -663,33 +690,32 @@
 }
 
 TEST_CASE(
-    "a proxy's new stream and its old one cross: one joining at a time, answers of the old one "
-    "count no more") {
+    "a proxy's new stream replaces its old one, whose late acknowledgements no longer count") {
     RunningPlanner planner;
     const Socket old = dial(planner.process.address());
     old.send_all(hello(3));
-    const int mark = read_nonce(old);
-    REQUIRE(mark >= 0);
-    const Socket fresh = dial(planner.process.address());
+    const int nonce = read_nonce(old);
+    REQUIRE(nonce >= 0);
+    const Socket replacement = dial(planner.process.address());
     SECTION("the new one comes while an answer on the old one has been read and not been taken") {
         planner.sync.block_at(SyncPoint::bytes_received);
-        fresh.send_all(hello(3));
+        replacement.send_all(hello(3));
         planner.sync.await(SyncPoint::bytes_received);
-        old.send_all(acknowledgement(3, mark));  // heard behind the joining
+        old.send_all(acknowledgement(3, nonce));  // handled after the join
         planner.sync.release(SyncPoint::bytes_received);
-        REQUIRE(read_nonce(fresh) >= 0);
+        REQUIRE(read_nonce(replacement) >= 0);
         CHECK(wait_for_close(old));
-        fresh.send_all("probe\r\n");
+        replacement.send_all("probe\r\n");
         CHECK(planner.recorder.all() == std::vector<std::string>{"joined", "left", "joined"});
     }
     SECTION("the old one has answered and ended, and nobody has read it, when the new one comes") {
         planner.sync.block_at(SyncPoint::connection_ready);
-        old.send_all(acknowledgement(3, mark));
+        old.send_all(acknowledgement(3, nonce));
         planner.sync.await(SyncPoint::connection_ready);
         old.shut_down();
-        fresh.send_all(hello(3));
+        replacement.send_all(hello(3));
         planner.sync.release(SyncPoint::connection_ready);
-        REQUIRE(read_nonce(fresh) >= 0);
+        REQUIRE(read_nonce(replacement) >= 0);
         const auto events = planner.recorder.all();
         CHECK(events == std::vector<std::string>{"joined", "acknowledged", "left", "joined"});
     }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -1,5 +1,6 @@
-// The drivers, over socket pairs and against stand-ins of our own on loopback. Waits end with what
-// they wait for; their limits only keep a failing test from hanging.
+// Tests of connections, the acceptor, the discovery watch and health checks over socket pairs and
+// against fakes on loopback. Each wait ends as soon as its condition holds; its time limit only
+// keeps a failing test from hanging.
 #include <sys/resource.h>
 #include <sys/socket.h>
 #include <sys/un.h>
@@ -25,7 +26,7 @@
 using namespace std::chrono_literals;
 
 TEST_CASE_METHOD(ConnectionFixture,
-                 "a stream's messages become arrivals, and orders go out on it") {
+                 "a connection turns a proxy's messages into events and sends it updates") {
     for (const char c : kHello) {
         REQUIRE(peer.send_all({&c, 1}));
     }
@@ -44,9 +45,9 @@
           "closed by peer in the middle of a line");
 }
 
-TEST_CASE_METHOD(
-    ConnectionFixture,
-    "an unidentified peer is answered; what its role does not allow ends the connection") {
+TEST_CASE_METHOD(ConnectionFixture,
+                 "an unidentified peer's probe is answered; a message that its role does not allow "
+                 "closes the connection") {
     peer.send_all("probe\r\n");
     CHECK(receive_bytes(peer, 7) == "alive\r\n");
     SECTION("usage of an unidentified peer") {
@@ -76,31 +77,31 @@
 }
 
 TEST_CASE_METHOD(ConnectionFixture,
-                 "why a stream was ended is what it did last, not what it might have done before") {
+                 "a stream closed for an invalid line reports that line's fault as the reason") {
     peer.send_all(kHello + "probe\r\nprobe\n");
     expect_next<core_event::StreamOpened>();
     CHECK(expect_next<core_event::StreamClosed>().reason == "line does not end in CRLF");
 }
 
 TEST_CASE_METHOD(ConnectionFixture,
-                 "a spoilt line costs a stream that line, what can't be read its end") {
-    const std::string good = "demand sidecar=3 kind=lookup n=4 bad=0 window=500\r\n";
-    const std::string spoilt =
+                 "a malformed line is dropped; an unparseable line closes the stream") {
+    const std::string valid = "demand sidecar=3 kind=lookup n=4 bad=0 window=500\r\n";
+    const std::string malformed =
         "demand sidecar=4 kind=lookup n=4 bad=0 window=500\r\n" + kHello +
         "ack sidecar=3 version=x lag_ms=1\r\nagent az=a\r\nack sidecar=4 version=1 lag_ms=1\r\n"
         "demand sidecar=3 kind=lookup n=-4 bad=0 window=500\r\ndemand\r\n";
-    peer.send_all(kHello + spoilt + good);
+    peer.send_all(kHello + malformed + valid);
     expect_next<core_event::StreamOpened>();
     expect_next<core_event::ReportReceived>();
-    peer.send_all(good + spoilt.substr(0, 20));
+    peer.send_all(valid + malformed.substr(0, 20));
     peer.send_all("\x02\r\n");
     expect_next<core_event::ReportReceived>();
-    peer.send_all("\x02\r\n" + good);
+    peer.send_all("\x02\r\n" + valid);
     expect_next<core_event::StreamClosed>();
     CHECK(wait_for_close(peer));
 }
 
-TEST_CASE_METHOD(ConnectionFixture, "a spoilt report leaves a collector its connection") {
+TEST_CASE_METHOD(ConnectionFixture, "a malformed report does not close a collector's connection") {
     peer.send_all(
         "agent az=a\r\nack sidecar=1 version=1 lag_ms=1\r\noutcomes az=a host=s-1 n=4 bad=9 avg=1 "
         "window=500\r\n"
@@ -111,24 +112,25 @@
 
 TEST_CASE_METHOD(
     NetFixture,
-    "who has not joined in time is ended, whatever it sends, and costs a stream nothing") {
+    "a peer that does not join in time is closed, whatever it sends, and no stream is affected") {
     Acceptor acceptor(context(), 40, 20);
     REQUIRE(acceptor.open(*address_of("127.0.0.1:0")));
     const Socket proxy = dial(acceptor.address());
     proxy.send_all(kHello);
     const StreamId stream = expect_next<core_event::StreamOpened>().stream;
-    const auto begun = std::chrono::steady_clock::now();
-    const Socket silent = dial(acceptor.address()), asks = dial(acceptor.address()),
-                 trickles = dial(acceptor.address());
-    while (std::chrono::steady_clock::now() < begun + Connection::kJoinTimeout - 200ms) {
-        asks.send_all("probe\r\n"), trickles.send_all("h");
+    const auto started = std::chrono::steady_clock::now();
+    const Socket silent = dial(acceptor.address()), probing = dial(acceptor.address()),
+                 trickling = dial(acceptor.address());
+    while (std::chrono::steady_clock::now() < started + Connection::kJoinTimeout - 200ms) {
+        probing.send_all("probe\r\n"), trickling.send_all("h");
         std::this_thread::sleep_for(50ms);
     }
-    for (const Socket* one : {&silent, &asks, &trickles}) {
-        CHECK(wait_for_close(*one));
+    for (const Socket* socket : {&silent, &probing, &trickling}) {
+        CHECK(wait_for_close(*socket));
     }
-    CHECK(std::chrono::steady_clock::now() < begun + 2 * Connection::kJoinTimeout);
-    // A flood of silent ones: the oldest go, each newcomer is heard, the stream stands.
+    CHECK(std::chrono::steady_clock::now() < started + 2 * Connection::kJoinTimeout);
+    // When many silent peers connect, the oldest are shed; a newcomer can still join, and the
+    // stream stays open.
     std::vector<Socket> flood;
     for (int i = 0; i < 60; ++i) {
         flood.push_back(dial(acceptor.address()));
@@ -142,23 +144,24 @@
 }
 
 TEST_CASE_METHOD(ConnectionFixture,
-                 "who does not read makes nobody wait, and in the end can't be kept up with") {
+                 "sending to a peer that does not read never blocks and fails in the end") {
     peer.send_all(kHello);
     expect_next<core_event::StreamOpened>();
-    const std::string much(64 * 1024, 'x');
-    Connection::SendResult posted = Connection::SendResult::accepted;
+    const std::string block(64 * 1024, 'x');
+    Connection::SendResult result = Connection::SendResult::accepted;
     int number = 0;
-    for (; posted == Connection::SendResult::accepted && number < 1'000; ++number) {
-        posted = connection->send(much);
+    for (; result == Connection::SendResult::accepted && number < 1'000; ++number) {
+        result = connection->send(block);
     }
-    CHECK(posted == Connection::SendResult::peer_not_reading);
+    CHECK(result == Connection::SendResult::peer_not_reading);
     CHECK(number >= 2);
     connection->close();
     expect_next<core_event::StreamClosed>();
 }
 
-TEST_CASE_METHOD(NetFixture,
-                 "the acceptor takes, sheds unidentified peers first, and ends all it took") {
+TEST_CASE_METHOD(
+    NetFixture,
+    "the acceptor sheds unidentified peers first, and its shutdown closes every connection") {
     Acceptor acceptor(context(), 3, 3);
     REQUIRE(acceptor.open(*address_of("127.0.0.1:0")));
     const Socket first = dial(acceptor.address()), proxy = dial(acceptor.address());
@@ -173,24 +176,25 @@
     CHECK(wait_for_close(first));
     fourth.send_all("probe\r\n");
     CHECK(receive_bytes(fourth, 7).size() == 7);
-    // The answer comes before the loop has let go of `fourth`, which until then counts as being
-    // read and is not shed. One thread serves all connections, so an answer on another one shows
-    // that it is done with this.
+    // The response is sent while the event loop still counts `fourth` as being read, so that it is
+    // not shed yet. One thread serves all connections, so a response on another one shows that the
+    // loop is done with `fourth`.
     collector.send_all("probe\r\n");
     CHECK(receive_bytes(collector, 7).size() == 7);
-    // A second stream of the same proxy is taken beside the first; the core ends the old one.
-    const Socket again = dial(acceptor.address());
+    // A second stream of the same proxy is accepted beside the first; closing the old one is up to
+    // the core.
+    const Socket second = dial(acceptor.address());
     CHECK(wait_for_close(fourth));
-    again.send_all(kHello);
+    second.send_all(kHello);
     CHECK(expect_next<core_event::StreamOpened>().stream > stream);
     acceptor.close(stream);
     CHECK(expect_next<core_event::StreamClosed>().stream == stream);
     CHECK(wait_for_close(proxy));
-    // A reset, not an end.
-    const linger at_once{1, 0};
-    ::setsockopt(again.fd(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+    // The peer closes with a reset.
+    const linger immediately{1, 0};
+    ::setsockopt(second.fd(), SOL_SOCKET, SO_LINGER, &immediately, sizeof immediately);
     {
-        const Socket gone = std::move(const_cast<Socket&>(again));
+        const Socket gone = std::move(const_cast<Socket&>(second));
     }
     CHECK(expect_next<core_event::StreamClosed>().reason == "reset");
     acceptor.shutdown();
@@ -199,18 +203,18 @@
 
 TEST_CASE_METHOD(
     NetFixture,
-    "a thousand proxies that dial at once all join, among unidentified peers that say nothing") {
+    "a thousand proxies that connect at once all join, despite silent unidentified peers") {
     constexpr int kProxies = 1'000;
-    rlimit files{};
-    REQUIRE(::getrlimit(RLIMIT_NOFILE, &files) == 0);
-    files.rlim_cur = files.rlim_max;
-    REQUIRE(::setrlimit(RLIMIT_NOFILE, &files) == 0);
-    REQUIRE(files.rlim_cur > 2 * kProxies + 500);
-    const protocol::Bounds wide{kProxies};
+    rlimit file_limit{};
+    REQUIRE(::getrlimit(RLIMIT_NOFILE, &file_limit) == 0);
+    file_limit.rlim_cur = file_limit.rlim_max;
+    REQUIRE(::setrlimit(RLIMIT_NOFILE, &file_limit) == 0);
+    REQUIRE(file_limit.rlim_cur > 2 * kProxies + 500);
+    const protocol::Bounds bounds_for_all{kProxies};
     const Limits limits = Limits::of(192, 2'944, kProxies, 3);
-    Acceptor acceptor(
-        ConnectionContext{names, wide, read_buffers, line_buffers, write_buffers, inbox, quiet.log},
-        limits.max_connections, limits.max_unidentified);
+    Acceptor acceptor(ConnectionContext{names, bounds_for_all, read_buffers, line_buffers,
+                                        write_buffers, inbox, quiet.log},
+                      limits.max_connections, limits.max_unidentified);
     REQUIRE(acceptor.open(*address_of("127.0.0.1:0")));
     std::vector<Socket> proxies, silent;
     for (int i = 0; i < kProxies; ++i) {
@@ -226,7 +230,7 @@
         streams.insert(expect_next<core_event::StreamOpened>().stream);
     }
     CHECK(streams.size() == kProxies);
-    // No thread for each: processes are given 512 of them on the fleet's days.
+    // There is no thread per proxy: the fleet limits a process to 512 threads.
     const std::filesystem::directory_iterator threads("/proc/self/task");
     CHECK(std::distance(begin(threads), end(threads)) < 16);
     for (const StreamId stream : streams) {
@@ -239,12 +243,12 @@
 }
 
 TEST_CASE_METHOD(NetFixture,
-                 "the watch goes on through every kind of break, from the version it holds") {
+                 "after any kind of failure the watch continues from the version it holds") {
     FakeHttpServer discovery(
         {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", "nonsense\r\n\r\n",
-         kWatchHeader + chunk(empty_update(42)) + chunk("\n"),              // then silence
+         kWatchHeader + chunk(empty_update(42)) + chunk("\n"),              // then nothing more
          kWatchHeader + chunk(empty_update(43)) + "zz\r\n",                 // a broken chunk
-         kWatchHeader + chunk(empty_update(44)) + chunk("{\"version\":4"),  // an object cut off
+         kWatchHeader + chunk(empty_update(44)) + chunk("{\"version\":4"),  // a truncated object
          kWatchHeader + chunk("{oh}\n"),
          kWatchHeader + chunk(empty_update(45).substr(0, 9)) + chunk(empty_update(45).substr(9)) +
              "!",
@@ -259,8 +263,8 @@
     int lost = 0;
     while (versions.empty() || versions.back() < 46) {
         for (auto& item : inbox.wait(clock_now()() + Duration{100'000})) {
-            if (const auto* told = std::get_if<core_event::EndpointListReceived>(&item.event)) {
-                versions.push_back(told->message.version);
+            if (const auto* received = std::get_if<core_event::EndpointListReceived>(&item.event)) {
+                versions.push_back(received->message.version);
             } else {
                 ++lost;
             }
@@ -277,40 +281,41 @@
 
 TEST_CASE_METHOD(
     NetFixture,
-    "told another discovery, the watch keeps the old one until the new one has spoken") {
+    "after a change of address the watch keeps the old discovery until the new one sends data") {
     FakeHttpServer old({kWatchHeader + chunk(empty_update(42))}),
-        next_one({kWatchHeader, kWatchHeader + chunk(empty_update(43))}),
+        next({kWatchHeader, kWatchHeader + chunk(empty_update(43))}),
         third({kWatchHeader + chunk("\n")});
     WatchTimeouts timeouts;
     timeouts.idle = 300ms;
     DiscoveryWatch watch("old", old.listener.local(), names, 41, kMaxListBytes, read_buffers, inbox,
                          quiet.log, timeouts);
-    old.start(), next_one.start(), third.start();
+    old.start(), next.start(), third.start();
     REQUIRE(watch.start());
     CHECK(expect_next<core_event::EndpointListReceived>().message.version == 42);
-    watch.follow("next", next_one.listener.local());  // silent at first
-    next_one.connection(0);
+    watch.follow("next", next.listener.local());  // silent at first
+    next.connection(0);
     old.connection(0).send_all(chunk("\n") + chunk(empty_update(42)));
     CHECK(expect_next<core_event::EndpointListReceived>().message.version == 42);
-    // It falls silent as well, and the list is said to be without a watch; then the new one speaks.
+    // The old one falls silent as well, and the watch is reported as lost; then the new one sends
+    // data.
     std::int64_t last = 0;
     while (last != 43) {
         for (auto& item : inbox.wait(clock_now()() + Duration{100'000})) {
-            if (const auto* told = std::get_if<core_event::EndpointListReceived>(&item.event)) {
-                last = told->message.version;
+            if (const auto* received = std::get_if<core_event::EndpointListReceived>(&item.event)) {
+                last = received->message.version;
             }
         }
     }
     CHECK(wait_for_close(old.connection(0)));
-    // Two at once: the first of them is left before it has spoken.
+    // Of two new addresses in a row, the first is abandoned before it has sent anything.
     watch.follow("nowhere", *address_of("127.0.0.1:1"));
     watch.follow("third", third.listener.local());
-    CHECK(wait_for_close(next_one.connection(1)));
+    CHECK(wait_for_close(next.connection(1)));
     watch.stop();
     CHECK(third.stop_and_get_requests().at(0) == "GET /catalog/members?stream=1&index=43 HTTP/1.1");
 }
 
-TEST_CASE_METHOD(NetFixture, "the whole list is fetched when it is asked for") {
+TEST_CASE_METHOD(NetFixture, "fetch() requests the complete endpoint list") {
     FakeHttpServer discovery({kWatchHeader + chunk(empty_update(42)),
                               "HTTP/1.1 200 OK\r\nContent-Length: " +
                                   std::to_string(test::kList.size()) + "\r\n\r\n" + test::kList,
@@ -327,7 +332,7 @@
     CHECK(discovery.stop_and_get_requests().at(1) == "GET /catalog/members HTTP/1.1");
 }
 
-TEST_CASE_METHOD(NetFixture, "probes tell who answers") {
+TEST_CASE_METHOD(NetFixture, "a health check succeeds only with a 200 response") {
     FakeHttpServer server(
         {"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 503 Busy\r\n\r\n!", "!"});
     server.start();
@@ -341,8 +346,10 @@
     CHECK(server.stop_and_get_requests().at(0) == "GET /ping HTTP/1.1");
 }
 
-TEST_CASE("the program goes from its known list to serving, and on SIGTERM's word to its end") {
-    test::Quiet quiet;
+TEST_CASE(
+    "a planner process serves after its initial list, follows a reload and stops with exit code "
+    "0") {
+    test::DiscardingLog quiet;
     FakeHttpServer discovery({kWatchHeader + chunk(empty_update(41))});
     discovery.start();
     StartConfiguration start;
@@ -351,20 +358,21 @@
     start.sockets = 1024, start.memory_mb = 192, start.bounds = {8}, start.settings = test::terms(),
     start.names = test::names();
     start.initial_list = *protocol::EndpointListReader(start.names).read(test::kList);
-    PlannerProcess program(start, clock_now(), quiet.log);
-    CHECK(program.state() == LifecycleState::created);
+    PlannerProcess process(start, clock_now(), quiet.log);
+    CHECK(process.state() == LifecycleState::created);
     int code = -1;
-    std::thread runs([&] { code = program.run(); });
-    while (program.state() != LifecycleState::serving &&
-           program.state() != LifecycleState::failed) {
+    std::thread runner([&] { code = process.run(); });
+    while (process.state() != LifecycleState::serving &&
+           process.state() != LifecycleState::failed) {
         std::this_thread::yield();
     }
-    REQUIRE(program.state() == LifecycleState::serving);
-    const Socket proxy = dial(program.address());
+    REQUIRE(process.state() == LifecycleState::serving);
+    const Socket proxy = dial(process.address());
     proxy.send_all("probe\r\n" + kHello);
     CHECK(receive_bytes(proxy, 7) == "alive\r\n");
     CHECK(receive_bytes(proxy, 40).find("push routes=lookup+order full=1") == 0);
-    // A reload that can't be read leaves all as it was; a good one goes on at the new address.
+    // A reload of an unreadable file changes nothing; a valid one moves the watch to the new
+    // address.
     static const std::string file = "/tmp/micaroad-test-" + std::to_string(::getpid()) + ".json";
     const auto path = [](const char* name) {
         return std::string_view(name) == "LB_CONFIG" ? file.c_str() : nullptr;
@@ -372,13 +380,13 @@
     for (const std::string& text :
          {std::string("{\"discovery\":"), std::string(), std::string("{\"discovery\":7}")}) {
         std::ofstream(file) << text;
-        program.reload(path);
+        process.reload(path);
     }
     FakeHttpServer moved({kWatchHeader + chunk(empty_update(43))});
     moved.start();
-    for (int twice = 0; twice < 2; ++twice) {
+    for (int round = 0; round < 2; ++round) {
         std::ofstream(file) << R"({"discovery":")" << text_of(moved.listener.local()) << "\"}";
-        program.reload(path);
+        process.reload(path);
     }
     std::remove(file.c_str());
     CHECK(wait_for_close(discovery.connection(0)));
@@ -389,35 +397,35 @@
         seen += more;
     }
     StartConfiguration other = start;
-    other.listen = text_of(program.address());
+    other.listen = text_of(process.address());
     PlannerProcess second(other, clock_now(), quiet.log);
     CHECK(second.run() == 1);
     CHECK(second.state() == LifecycleState::failed);
-    program.stop();
-    runs.join();
+    process.stop();
+    runner.join();
     CHECK(code == 0);
-    CHECK(program.state() == LifecycleState::stopped);
+    CHECK(process.state() == LifecycleState::stopped);
     CHECK(wait_for_close(proxy));
     start.listen = "somewhere";
     CHECK_THROWS_WITH(PlannerProcess(start, clock_now(), quiet.log), Catch::Contains("listen"));
 }
 
-TEST_CASE_METHOD(NetFixture,
-                 "one that does not read loses its stream before it costs another its orders") {
+TEST_CASE_METHOD(
+    NetFixture, "a proxy that does not read is closed before another proxy's updates are delayed") {
     Acceptor acceptor(context(), 4, 4);
     REQUIRE(acceptor.open(*address_of("127.0.0.1:0")));
     const Socket idle = dial(acceptor.address()), reader = dial(acceptor.address());
     idle.send_all(kHello);
-    const StreamId stuck = expect_next<core_event::StreamOpened>().stream;
+    const StreamId stalled_stream = expect_next<core_event::StreamOpened>().stream;
     reader.send_all("hello sidecar=4 az=a share=2 standing=1\r\n");
-    const StreamId read = expect_next<core_event::StreamOpened>().stream;
-    // More than the kernel takes for it and the buffers hold; then what is ordered to the other
-    // goes out whole.
-    const std::string much(100 * 1024, 'x'), order(800 * 1024, 'y');
+    const StreamId reading_stream = expect_next<core_event::StreamOpened>().stream;
+    // More than the kernel's buffers and the write buffers can hold for the stalled stream; an
+    // update to the other stream is then still sent whole.
+    const std::string block(100 * 1024, 'x'), order(800 * 1024, 'y');
     for (int i = 0; i < 20; ++i) {
-        acceptor.write(stuck, much);
+        acceptor.write(stalled_stream, block);
     }
-    acceptor.write(read, order);
+    acceptor.write(reading_stream, order);
     CHECK(receive_bytes(reader, order.size()) == order);
-    CHECK(expect_next<core_event::StreamClosed>().stream == stuck);
+    CHECK(expect_next<core_event::StreamClosed>().stream == stalled_stream);
 }
--- a/tests/processes_test.cpp
+++ b/tests/processes_test.cpp
@@ -1,5 +1,4 @@
-// The daemon itself, many at a time: real processes, each with its start file and a discovery it
-// shares with the others.
+// Runs many planner processes at a time, each with its own start file and all with one discovery.
 #include <signal.h>
 #include <spawn.h>
 #include <sys/wait.h>
@@ -16,10 +15,10 @@
 
 namespace {
 
-constexpr int kPlanners = 20, kProxiesOfEach = 2, kServers = 6;
+constexpr int kPlanners = 20, kProxiesPerPlanner = 2, kServers = 6;
 
-// A port that was free a moment ago, on a loopback address of the process's own, so that none takes
-// another's.
+// Returns a port that was free a moment ago. Each process has a loopback address of its own, so
+// that no process can take another one's port.
 Address free_address(int number) {
     const Socket socket =
         Socket::listen(*address_of("127.0.1." + std::to_string(number + 1) + ":0")).value();
@@ -27,7 +26,7 @@
     return socket.local();
 }
 
-std::string listed(int version, int cold, const std::string& state_of_all_but_one) {
+std::string list_text(int version, int cold, const std::string& state_of_all_but_one) {
     const auto now = std::chrono::system_clock::now().time_since_epoch();
     const auto started = std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
     std::string text = "{\"version\":" + std::to_string(version) + ",\"full\":true,\"servers\":[";
@@ -45,16 +44,16 @@
 class Process {
  public:
     Process(const std::filesystem::path& folder, int number, const std::string& discovery,
-            const std::string& known)
+            const std::string& initial_list)
         : address(free_address(number)) {
         const std::string file = folder / ("start-" + std::to_string(number) + ".json");
         std::ofstream(file)
             << R"({"name":"n)" << number << R"(","listen":")" << text_of(address)
             << R"(","discovery":")" << discovery << R"(","seed":")" << number + 1
-            << R"(","limits":{"sockets":256,"memory_mb":32},"known":)" << known
+            << R"(","limits":{"sockets":256,"memory_mb":32},"known":)" << initial_list
             << R"(,"settings":{"classes":[{"name":"lookup","aim_us":1500000,"credit":3.0}],"zones":["a"],)"
             << R"("kinds":["m1"],"family_info":{"admission":"share","base_mode":1,"channel_rate":1600.0,)"
-            << R"("data_plane_size":)" << kPlanners * kProxiesOfEach
+            << R"("data_plane_size":)" << kPlanners * kProxiesPerPlanner
             << R"(,"head":3.0,"queue_cap":1600.0,"report_every_us":500000,"stays_local":[false],"transit_max_us":442500},)"
             << R"("rules":{"fall_multiple":3.0,"fall_us":1500000,"start_capacity":0.17,)"
             << R"("stop_sending_within_us":2000000,"warm_after_us":18000000}}})";
@@ -79,7 +78,8 @@
         return const_cast<Socket&>(socket).connect(address, 1s) && answers_probe(socket);
     }
     void terminate() { ::kill(pid_, SIGTERM); }
-    int exit_code() {  // -1 after a signal
+    // Waits for the process to end; -1 if a signal ended it.
+    int exit_code() {
         int status = 0;
         ::waitpid(std::exchange(pid_, -1), &status, 0);
         return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
@@ -93,44 +93,44 @@
 }  // namespace
 
 TEST_CASE(
-    "twenty processes of 32 MB each answer and serve their proxies, however many servers are "
+    "twenty processes of 32 MB each respond and serve their proxies, however many servers are "
     "cold") {
     const int cold = GENERATE(2, kServers);
     char name[] = "/tmp/micaroad-processes-XXXXXX";
     REQUIRE(::mkdtemp(name) != nullptr);
     const std::filesystem::path folder = name;
-    FakeHttpServer discovery(
-        std::vector<std::string>(kPlanners, kWatchHeader + chunk(listed(42, cold, "up") + "\n")));
+    FakeHttpServer discovery(std::vector<std::string>(
+        kPlanners, kWatchHeader + chunk(list_text(42, cold, "up") + "\n")));
     discovery.start();
     std::vector<std::unique_ptr<Process>> planners;
     for (int n = 0; n < kPlanners; ++n) {
         planners.push_back(std::make_unique<Process>(folder, n, text_of(discovery.listener.local()),
-                                                     listed(41, cold, "up")));
+                                                     list_text(41, cold, "up")));
     }
-    const auto until = steady_clock::now() + 20s;
+    const auto deadline = steady_clock::now() + 20s;
     for (const auto& planner : planners) {
-        while (!planner->serves() && steady_clock::now() < until) {
+        while (!planner->serves() && steady_clock::now() < deadline) {
             std::this_thread::sleep_for(10ms);
         }
         CHECK(planner->serves());
     }
     Proxies proxies;
-    for (int n = 0; n < kPlanners * kProxiesOfEach; ++n) {
+    for (int n = 0; n < kPlanners * kProxiesPerPlanner; ++n) {
         proxies.push_back(std::make_unique<FakeProxy>(
-            planners[static_cast<std::size_t>(n / kProxiesOfEach)]->address, n));
+            planners[static_cast<std::size_t>(n / kProxiesPerPlanner)]->address, n));
     }
     require_of_all(proxies, 10s, "a table",
                    [](const FakeProxy& proxy) { return proxy.has_table(); });
-    const std::string drain = chunk(listed(43, cold, "draining") + "\n");
+    const std::string drain = chunk(list_text(43, cold, "draining") + "\n");
     for (std::size_t n = 0; n < kPlanners; ++n) {
         REQUIRE(discovery.connection(n).send_all(drain));
     }
     require_of_all(proxies, 2s, "the drain of all but one", [](const FakeProxy& proxy) {
-        bool any = false;
+        bool any_allowed = false;
         for (int n = 0; n + 1 < kServers; ++n) {
-            any |= proxy.may_send_to("s-" + std::to_string(n));
+            any_allowed |= proxy.may_send_to("s-" + std::to_string(n));
         }
-        return !any && proxy.has_table();
+        return !any_allowed && proxy.has_table();
     });
     for (const auto& planner : planners) {
         planner->terminate();
