--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -19,11 +19,11 @@
 ssize_t last_receive_result(const Socket& socket) {
     char bytes[4096];
     socket.set_receive_timeout(10s);
-    ssize_t got;
-    while ((got = socket.receive(bytes, sizeof bytes)) > 0) {
+    ssize_t size;
+    while ((size = socket.receive(bytes, sizeof bytes)) > 0) {
         continue;
     }
-    return got;
+    return size;
 }
 
 // An acceptor that listens on loopback.
@@ -171,7 +171,7 @@
         return socket;
     };
     const Socket slow = connect_and_send(hello(5).substr(0, 12));
-    std::vector<Socket> silent, halves;
+    std::vector<Socket> silent, partial_joins;
     for (int i = 0; i < 30; ++i) {
         silent.push_back(connect_and_send(""));
     }
@@ -181,17 +181,17 @@
     // If all have sent a part of their join, the oldest is shed, so that peers that send half a
     // message can't lock others out.
     for (int i = 0; i < 30; ++i) {
-        halves.push_back(connect_and_send("hel"));
+        partial_joins.push_back(connect_and_send("hel"));
     }
     const Socket proxy = fixture.connect();
     proxy.send_all(hello(6));
     CHECK(fixture.expect_next<core_event::StreamOpened>().joined.proxy == ProxyId{6});
-    CHECK(wait_for_close(halves.front()));
+    CHECK(wait_for_close(partial_joins.front()));
 }
 
 TEST_CASE_METHOD(
     AcceptorFixture,
-    "a join that arrives slowly succeeds after the usual deadline; an endless one is closed") {
+    "a join that arrives slowly succeeds after the usual deadline, and an endless one is closed") {
     const auto started = steady_clock::now();
     const Socket slow = connect(), endless = connect();
     const std::string line = hello(5);
@@ -238,25 +238,25 @@
         accepted = keeps_open.send_now("x");
     }
     CHECK(!accepted);
-    AcceptorFixture narrow(2, 1);
-    const Socket collector = narrow.connect();
+    AcceptorFixture small(2, 1);
+    const Socket collector = small.connect();
     collector.send_all("agent az=a\r\n");
     REQUIRE(answers_probe(collector));
-    const Socket refused = narrow.connect();
+    const Socket refused = small.connect();
     refused.send_all("x\r\n");
     CHECK(receive_bytes(refused, 7) == "error\r\n");
-    narrow.sync.block_at(SyncPoint::connection_ready);
+    small.sync.block_at(SyncPoint::connection_ready);
     collector.send_all("probe\r\n");
-    narrow.sync.await(SyncPoint::connection_ready);
+    small.sync.await(SyncPoint::connection_ready);
     refused.send_all("and more, which nobody has read");
-    const Socket newcomer = narrow.connect();
-    const auto until = steady_clock::now() + 2s;  // sending fails once it has been shed
-    for (accepted = true; accepted && steady_clock::now() < until;
+    const Socket newcomer = small.connect();
+    const auto deadline = steady_clock::now() + 2s;  // sending fails once it has been shed
+    for (accepted = true; accepted && steady_clock::now() < deadline;
          std::this_thread::sleep_for(1ms)) {
         accepted = refused.send_now("x");
     }
     CHECK(!accepted);
-    narrow.sync.release(SyncPoint::connection_ready);
+    small.sync.release(SyncPoint::connection_ready);
     CHECK(answers_probe(newcomer));
 }
 
@@ -374,7 +374,7 @@
     }
     // Waits for the next list and skips all other events.
     core_event::EndpointListReceived next_list() {
-        const TimePoint limit = clock_now()() + Duration{100'000};
+        const TimePoint deadline = clock_now()() + Duration{100'000};
         for (;;) {
             while (!pending.empty()) {
                 const CoreEvent first = pending.front();
@@ -383,8 +383,8 @@
                     return *received;
                 }
             }
-            REQUIRE(clock_now()() < limit);
-            for (auto& item : inbox.wait(limit)) {
+            REQUIRE(clock_now()() < deadline);
+            for (auto& item : inbox.wait(deadline)) {
                 pending.push_back(std::move(item.event));
             }
         }
@@ -395,10 +395,12 @@
 
 TEST_CASE_METHOD(WatchFixture,
                  "a failed fetch of the complete list is repeated until the list arrives") {
-    const std::string bad = GENERATE(as<std::string>{}, truncated(list_response(30)),
-                                     "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
-                                     "HTTP/1.1 200 OK\r\n\r\n" + kList.substr(0, 90) + "!", "!");
-    FakeHttpServer discovery({kWatchHeader + chunk(empty_update(42)), bad, bad, list_response(30),
+    const std::string faulty_response =
+        GENERATE(as<std::string>{}, truncated(list_response(30)),
+                 "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
+                 "HTTP/1.1 200 OK\r\n\r\n" + kList.substr(0, 90) + "!", "!");
+    FakeHttpServer discovery({kWatchHeader + chunk(empty_update(42)), faulty_response,
+                              faulty_response, list_response(30),
                               kWatchHeader + chunk(empty_update(31))});
     const auto watch = make_watch(discovery);
     discovery.start();
@@ -412,7 +414,7 @@
     for (int n = 1; n <= 3; ++n) {
         CHECK(requests.at(n) == "GET /catalog/members HTTP/1.1");
     }
-    // Versions have restarted, and the watch asks from the new one: version 42 may never come.
+    // The versions have restarted, so the watch continues from version 30; 42 may never come.
     CHECK(requests.at(4) == "GET /catalog/members?stream=1&index=30 HTTP/1.1");
 }
 
@@ -572,27 +574,28 @@
                  "of their data is used") {
     timeouts.idle = 300ms, timeouts.line = 150ms;
     const std::string complete = kWatchHeader + chunk(empty_update(42));
-    const std::string bad = GENERATE_COPY(
+    const std::string faulty_response = GENERATE_COPY(
         as<std::string>{},
-        kWatchHeader + chunk(empty_update(42)).substr(0, 1) +
-            "!",                                 // a chunk cut within its size line
-        kWatchHeader + "zzz\r\n", "HTTP/1.1 2",  // a status line that never ends
-        "HTTP/1.1 200 OK\r\nX-Long: " + std::string(9'000, 'x'),           // an endless header line
-        "HTTP/1.1 200 OK\r\n\r\n" + empty_update(42).substr(0, 20) + "!",  // no length, truncated
-        kWatchHeader + chunk(kList.substr(0, kList.find("},{") + 1)) +
-            "!",  // truncated between two servers
+        // A chunk cut within its size line, an invalid size line and an endless status line.
+        kWatchHeader + chunk(empty_update(42)).substr(0, 1) + "!", kWatchHeader + "zzz\r\n",
+        "HTTP/1.1 2",
+        // An endless header line, and a body without a length that is truncated.
+        "HTTP/1.1 200 OK\r\nX-Long: " + std::string(9'000, 'x'),
+        "HTTP/1.1 200 OK\r\n\r\n" + empty_update(42).substr(0, 20) + "!",
+        // A list truncated between two servers, and a body shorter than its length.
+        kWatchHeader + chunk(kList.substr(0, kList.find("},{") + 1)) + "!",
         "HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + kList.substr(0, 80));
-    FakeHttpServer discovery({bad, kWatchHeader + chunk(empty_update(77))});
+    FakeHttpServer discovery({faulty_response, kWatchHeader + chunk(empty_update(77))});
     const auto watch = make_watch(discovery);
     discovery.start();
     const auto started = steady_clock::now();
     REQUIRE(watch->start());
-    const auto dripping = run_async([&] {
+    const auto trickling = run_async([&] {
         for (int i = 0; i < 60 && discovery.connection(0).send_now("0"); ++i) {
             std::this_thread::sleep_for(10ms);
         }
     });
-    dripping.wait();
+    trickling.wait();
     CHECK(next_list().message.version == 77);
     CHECK(steady_clock::now() - started < 2s);
     watch->stop();
@@ -644,7 +647,7 @@
             continue;
         }
     });
-    const auto dialing = run_async([&] {
+    const auto connecting = run_async([&] {
         for (int i = 0; i < 100 && !finished; ++i) {
             Socket socket = Socket::unconnected(address);
             if (!socket.connect(address, 1s)) {
@@ -658,7 +661,7 @@
     }
     const auto stop_duration = planner.stop();
     finished = true;
-    flooding.wait(), dialing.wait();
+    flooding.wait(), connecting.wait();
     CHECK(stop_duration < 600ms);
 }
 
@@ -683,14 +686,15 @@
 
 TEST_CASE("a stop requested before run() takes effect") {
     DiscardingLog quiet;
-    PlannerProcess program(start_configuration(""), clock_now(), quiet.log);
-    program.stop();
-    CHECK(program.run() == 0);
-    CHECK(program.state() == LifecycleState::stopped);
+    PlannerProcess process(start_configuration(""), clock_now(), quiet.log);
+    process.stop();
+    CHECK(process.run() == 0);
+    CHECK(process.state() == LifecycleState::stopped);
 }
 
 TEST_CASE(
-    "a proxy's new stream replaces its old one, whose late acknowledgements no longer count") {
+    "a proxy's new stream replaces its old one: it is joined once at a time, and the old stream's "
+    "late acknowledgements do not count") {
     RunningPlanner planner;
     const Socket old = dial(planner.process.address());
     old.send_all(hello(3));
--- a/tests/net_helpers.hpp
+++ b/tests/net_helpers.hpp
@@ -72,7 +72,7 @@
 
     std::mutex mutex_;
     std::condition_variable changed_;
-    std::map<SyncPoint, int> blocked_;   // threads blocked at each point where threads are to block
+    std::map<SyncPoint, int> blocked_;   // number of threads blocked, for each point to block at
     std::map<SyncPoint, int> releases_;  // how often each point was released
 };
 
@@ -84,7 +84,7 @@
     };
 }
 
-// The inbox and the buffer pools that acceptors, connections and watches need.
+// What acceptors, connections and watches share: an inbox, buffer pools, names, sync points, a log.
 struct NetFixture {
     DiscardingLog quiet;
     const SymbolTable names = test::names();
@@ -103,9 +103,9 @@
     // Waits for the next event of the inbox; the test fails if it is not of type `Event`.
     template <class Event>
     Event expect_next() {
-        const TimePoint limit = clock_now()() + Duration{100'000};
-        while (pending.empty() && clock_now()() < limit) {
-            for (auto& item : inbox.wait(limit)) {
+        const TimePoint deadline = clock_now()() + Duration{100'000};
+        while (pending.empty() && clock_now()() < deadline) {
+            for (auto& item : inbox.wait(deadline)) {
                 pending.push_back(std::move(item.event));
             }
         }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -46,8 +46,8 @@
 }
 
 TEST_CASE_METHOD(ConnectionFixture,
-                 "an unidentified peer's probe is answered; a message that its role does not allow "
-                 "closes the connection") {
+                 "an unidentified peer's probe is answered, and a message that its role does not "
+                 "allow closes the connection") {
     peer.send_all("probe\r\n");
     CHECK(receive_bytes(peer, 7) == "alive\r\n");
     SECTION("usage of an unidentified peer") {
@@ -84,7 +84,7 @@
 }
 
 TEST_CASE_METHOD(ConnectionFixture,
-                 "a malformed line is dropped; an unparseable line closes the stream") {
+                 "a malformed line is dropped, and an unparseable line closes the stream") {
     const std::string valid = "demand sidecar=3 kind=lookup n=4 bad=0 window=500\r\n";
     const std::string malformed =
         "demand sidecar=4 kind=lookup n=4 bad=0 window=500\r\n" + kHello +
@@ -230,7 +230,7 @@
         streams.insert(expect_next<core_event::StreamOpened>().stream);
     }
     CHECK(streams.size() == kProxies);
-    // There is no thread per proxy: the fleet limits a process to 512 threads.
+    // There is no thread per proxy: the fleet allows a process 512 threads.
     const std::filesystem::directory_iterator threads("/proc/self/task");
     CHECK(std::distance(begin(threads), end(threads)) < 16);
     for (const StreamId stream : streams) {
@@ -410,8 +410,8 @@
     CHECK_THROWS_WITH(PlannerProcess(start, clock_now(), quiet.log), Catch::Contains("listen"));
 }
 
-TEST_CASE_METHOD(
-    NetFixture, "a proxy that does not read is closed before another proxy's updates are delayed") {
+TEST_CASE_METHOD(NetFixture,
+                 "a proxy that does not read is closed before another proxy's updates are lost") {
     Acceptor acceptor(context(), 4, 4);
     REQUIRE(acceptor.open(*address_of("127.0.0.1:0")));
     const Socket idle = dial(acceptor.address()), reader = dial(acceptor.address());
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -85,7 +85,7 @@
     CHECK(lines.size() == 4);
 }
 
-TEST_CASE("a line may span several buffers; a line over 1 MiB is a fault") {
+TEST_CASE("a line may span several buffers, and a line over 1 MiB is a fault") {
     BufferPool pool(800);
     const std::string longest(LineReader::kMaxLineBytes - 2, 'x');
     LineReader reader(pool);
@@ -243,7 +243,7 @@
                         [](std::string_view) {}));
 }
 
-TEST_CASE("an endpoint list is parsed; of duplicate entries the last counts") {
+TEST_CASE("an endpoint list is parsed, and of duplicate entries the last counts") {
     EndpointListReader reader(test::names());
     const auto message = reader.read(
         R"( {"version":43,"full":false,"more":[{"x":[1,null]}],"servers":[
@@ -335,7 +335,7 @@
 }
 
 TEST_CASE(
-    "text that only resembles the `servers` array is skipped; a list without a valid one is "
+    "text that only resembles the `servers` array is skipped, and a list without a valid one is "
     "rejected") {
     EndpointListReader reader(test::names());
     const std::string entry = R"({"id":"x","addr":"h:1","zone":"a","state":"up"})";
--- a/tests/short_days_test.cpp
+++ b/tests/short_days_test.cpp
@@ -45,10 +45,10 @@
     return start;
 }
 
-Proxies join_proxies(const PlannerProcess& program, int number) {
+Proxies join_proxies(const PlannerProcess& process, int number) {
     Proxies proxies;
     for (int n = 0; n < number; ++n) {
-        proxies.push_back(std::make_unique<FakeProxy>(program.address(), n));
+        proxies.push_back(std::make_unique<FakeProxy>(process.address(), n));
     }
     require_of_all(proxies, 10s, "a table",
                    [](const FakeProxy& proxy) { return proxy.has_table(); });
@@ -63,11 +63,11 @@
 }
 
 // Reloads a start file with this discovery, as SIGHUP does.
-void reload_with_discovery(PlannerProcess& program, const std::string& discovery) {
+void reload_with_discovery(PlannerProcess& process, const std::string& discovery) {
     static const std::string file =
         "/tmp/micaroad-short-days-" + std::to_string(::getpid()) + ".json";
     std::ofstream(file) << R"({"discovery":")" << discovery << "\"}";
-    program.reload([](const char* name) {
+    process.reload([](const char* name) {
         return std::string_view(name) == "LB_CONFIG" ? file.c_str() : nullptr;
     });
     std::remove(file.c_str());
