--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -32,7 +32,7 @@
     test::DiscardingLog quiet;
     test::ManualClock clock;
     FakeTransport transport;
-    Core core{test::terms(), test::names(), 7, transport, quiet.log};
+    Core core{test::sample_settings(), test::names(), 7, transport, quiet.log};
 
     void process(std::vector<CoreEvent> events = {}) {
         std::vector<Inbox::Item> items;
@@ -45,10 +45,10 @@
     void run(int ms) {
         const TimePoint end = clock.now() + Duration{ms * 10};
         while (core.next_due() && *core.next_due() <= end) {
-            clock.tenths = core.next_due()->time_since_epoch().count();
+            clock.ticks = core.next_due()->time_since_epoch().count();
             process();
         }
-        clock.tenths = end.time_since_epoch().count();
+        clock.ticks = end.time_since_epoch().count();
     }
     static CoreEvent list_received(const std::string& text) {
         return core_event::EndpointListReceived{
@@ -76,7 +76,7 @@
 
 TEST_CASE("a joined proxy is bound; of a replaced stream nothing counts any more") {
     CoreFixture fixture;
-    fixture.process({CoreFixture::list_received(test::kList)});
+    fixture.process({CoreFixture::list_received(test::kTwoServerList)});
     fixture.process({CoreFixture::stream_opened(1, 3)});
     CHECK(fixture.writes(1, "full=1 endpoints=s-1:"));
     // The new stream comes before the old one's end, and both at once.
@@ -101,7 +101,7 @@
     CoreFixture fixture;
     const auto start =
         fixture.clock.now().time_since_epoch().count() / 10 - 60'000;  // ms; warm by now
-    fixture.process({CoreFixture::list_received(test::kList),
+    fixture.process({CoreFixture::list_received(test::kTwoServerList),
                      CoreFixture::list_received(change(42, "up", start))});
     fixture.process({CoreFixture::stream_opened(1, 3, false)});
     CHECK(fixture.writes(1, "restore=s-1"));
@@ -110,18 +110,19 @@
 TEST_CASE(
     "changes of an older version are dropped; an entry that can't be used leaves what was known") {
     CoreFixture fixture;
-    fixture.process({CoreFixture::list_received(test::kList), CoreFixture::stream_opened(1, 0)});
+    fixture.process(
+        {CoreFixture::list_received(test::kTwoServerList), CoreFixture::stream_opened(1, 0)});
     fixture.take_written(1);
     fixture.process({CoreFixture::list_received(change(41, "draining")),
                      CoreFixture::list_received(change(12, "removed"))});
     fixture.run(500);
     CHECK(!fixture.writes(1, "eject"));
-    std::string odd = test::kList;
+    std::string odd = test::kTwoServerList;
     odd.replace(odd.find("\"up\""), 4, "\"??\"");
     fixture.process({CoreFixture::list_received(odd)});
     fixture.run(500);
     CHECK(!fixture.writes(1, "eject"));
-    const auto without = test::kList.substr(test::kList.find("{\"id\":\"s-2"));
+    const auto without = test::kTwoServerList.substr(test::kTwoServerList.find("{\"id\":\"s-2"));
     fixture.process(
         {CoreFixture::list_received(R"({"version":50,"full":true,"servers":[)" + without)});
     fixture.run(500);
@@ -130,7 +131,8 @@
 
 TEST_CASE("a lost watch changes nothing, and the end is heard") {
     CoreFixture fixture;
-    fixture.process({CoreFixture::list_received(test::kList), CoreFixture::stream_opened(1, 0)});
+    fixture.process(
+        {CoreFixture::list_received(test::kTwoServerList), CoreFixture::stream_opened(1, 0)});
     fixture.take_written(1);
     fixture.process({core_event::WatchLost{},
                      core_event::HealthCheckCompleted{{{"s-9"}, true, Duration{5}}},
@@ -145,7 +147,8 @@
 TEST_CASE(
     "a reload asks for another discovery; lists that count anew lose no server and revive none") {
     CoreFixture fixture;
-    fixture.process({CoreFixture::list_received(test::kList), CoreFixture::stream_opened(1, 0),
+    fixture.process({CoreFixture::list_received(test::kTwoServerList),
+                     CoreFixture::stream_opened(1, 0),
                      CoreFixture::list_received(change(50, "removed"))});
     CHECK(fixture.writes(1, "s-2:"));
     fixture.process({core_event::ConfigurationReloaded{{"127.0.0.1:9", {"limits"}}}});
@@ -156,8 +159,8 @@
     CHECK(fixture.transport.fetched == 0);
     fixture.process({CoreFixture::list_received(change(3, "up"))});
     CHECK(fixture.transport.fetched == 1);
-    fixture.process(
-        {CoreFixture::list_received(test::kList)});  // version 41, with the server that is gone
+    fixture.process({CoreFixture::list_received(
+        test::kTwoServerList)});  // version 41, with the server that is gone
     fixture.run(3'000);
     CHECK(!fixture.writes(1, "s-1:"));
     const auto start = fixture.clock.now().time_since_epoch().count() / 10;
@@ -168,7 +171,7 @@
 
 TEST_CASE("servers under ever new ids and streams that come and go leave nothing behind") {
     CoreFixture fixture;
-    fixture.process({CoreFixture::list_received(test::kList)});
+    fixture.process({CoreFixture::list_received(test::kTwoServerList)});
     std::uint64_t stream = 1;
     int number = 0;
     const auto entry = [](int n, const char* state) {
@@ -270,7 +273,7 @@
               std::string(R"("discovery":"127.0.0.1:1")"),
               std::string(R"("seed":"8c1f30d27a5be964")"),
               std::string(R"("limits":{"sockets":1024,"memory_mb":192})"),
-              R"("known":)" + test::kList, settings}) {
+              R"("known":)" + test::kTwoServerList, settings}) {
             if (without.empty() || !part.starts_with('"' + without + '"')) {
                 all += (all.size() > 1 ? "," : "") + part;
             }
@@ -331,7 +334,7 @@
     "a list that belongs to another deployment is not mixed in, whole or in parts; one that has "
     "grown is") {
     CoreFixture fixture;
-    fixture.process({CoreFixture::list_received(test::kList)});
+    fixture.process({CoreFixture::list_received(test::kTwoServerList)});
     fixture.process({CoreFixture::stream_opened(1, 3)});
     fixture.take_written(1);
     const auto entry = [](const std::string& id, const std::string& zone, const std::string& kind) {
@@ -379,7 +382,7 @@
         process({CoreFixture::stream_opened(static_cast<std::uint64_t>(p) + 1, p, p % 2 == 0)});
     }
     for (int step = 0; step < 200; ++step) {
-        clock.tenths += 1'000;
+        clock.ticks += 1'000;
         std::vector<CoreEvent> events;
         for (int m = 0; m < std::ssize(names.methods); ++m) {
             events.push_back(core_event::ReportReceived{event::DemandReport{
@@ -406,7 +409,7 @@
 }  // namespace
 
 TEST_CASE("two deployments at once in one process decide as each does alone, byte for byte") {
-    DeploymentSettings other = test::terms();
+    DeploymentSettings other = test::sample_settings();
     other.methods = {Method{Duration{9'000}, 2, true, {}, {}},
                      Method{Duration{30'000}, 1, false, {}, {}},
                      Method{Duration{12'000}, 5, false, {}, {}}};
@@ -416,14 +419,16 @@
     other.channel_lines_per_second = 90;
     const SymbolTable names{
         {"seat-map", "seat-hold", "pay"}, {"cusco", "puno", "juliaca"}, {"n-8"}};
-    std::string list = test::kList;
+    std::string list = test::kTwoServerList;
     for (const auto& [from, to] : {std::pair{"\"zone\":\"a\"", "\"zone\":\"puno\""},
                                    {"\"zone\":\"b\"", "\"zone\":\"cusco\""},
                                    {"\"m1\"", "\"n-8\""},
                                    {"\"m2\"", "\"n-8\""}}) {
         list.replace(list.find(from), std::string(from).size(), to);
     }
-    const auto one = [&] { return day_of(test::terms(), test::names(), test::kList, 7); };
+    const auto one = [&] {
+        return day_of(test::sample_settings(), test::names(), test::kTwoServerList, 7);
+    };
     const auto two = [&] { return day_of(other, names, list, 9); };
     const std::string first = one(), second = two();
     REQUIRE((first.size() > 500 && second.size() > 500 && first != second));
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -335,7 +335,7 @@
                                           SyncPoint::watch_requested, SyncPoint::watch_responded};
 
 std::string whole(int number, const std::string& tail = "") {
-    std::string list = kList;
+    std::string list = kTwoServerList;
     list.replace(list.find("41"), 2, std::to_string(number));
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list +
            tail;
@@ -377,9 +377,9 @@
 
 TEST_CASE_METHOD(
     Watched, "a fetch of the whole list that breaks off is made again, until the list has come") {
-    const std::string bad = GENERATE(as<std::string>{}, half(whole(30)),
-                                     "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
-                                     "HTTP/1.1 200 OK\r\n\r\n" + kList.substr(0, 90) + "!", "!");
+    const std::string bad = GENERATE(
+        as<std::string>{}, half(whole(30)), "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
+        "HTTP/1.1 200 OK\r\n\r\n" + kTwoServerList.substr(0, 90) + "!", "!");
     Discovery discovery(
         {kWatch + chunk(version(42)), bad, bad, whole(30), kWatch + chunk(version(31))});
     const auto watching = watch(discovery);
@@ -548,9 +548,10 @@
         kWatch + chunk(version(42)).substr(0, 1) + "!",           // a chunk cut in its length line
         kWatch + "zzz\r\n", "HTTP/1.1 2",                         // a status line that never ends
         "HTTP/1.1 200 OK\r\nX-Long: " + std::string(9'000, 'x'),  // nor a header
-        "HTTP/1.1 200 OK\r\n\r\n" + version(42).substr(0, 20) + "!",   // no length, and cut
-        kWatch + chunk(kList.substr(0, kList.find("},{") + 1)) + "!",  // between two servers
-        "HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + kList.substr(0, 80));
+        "HTTP/1.1 200 OK\r\n\r\n" + version(42).substr(0, 20) + "!",  // no length, and cut
+        kWatch + chunk(kTwoServerList.substr(0, kTwoServerList.find("},{") + 1)) +
+            "!",  // between two servers
+        "HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + kTwoServerList.substr(0, 80));
     Discovery discovery({bad, kWatch + chunk(version(77))});
     const auto watching = watch(discovery);
     discovery.begin();
@@ -639,7 +640,7 @@
     late.send_all(hello(4));
     planner.program.reload([](const char*) -> const char* { return nullptr; });
     proxy.send_all(usage(3) + answer(3, 1));
-    planner.program.handle(*protocol::EndpointListReader(names()).read(kList));
+    planner.program.handle(*protocol::EndpointListReader(names()).read(kTwoServerList));
     planner.sync.let_go(SyncPoint::core_stopped);
     CHECK(planner.stop() < 600ms);
     CHECK(ended(proxy));
--- a/tests/drain_oracle_test.cpp
+++ b/tests/drain_oracle_test.cpp
@@ -46,7 +46,7 @@
     Duration grace = s(22.4);  // of a drain, but on the usual day
 
     DeploymentSettings terms() const {
-        DeploymentSettings settings = test::terms();
+        DeploymentSettings settings = test::sample_settings();
         settings.proxy_count = proxies;
         settings.channel_lines_per_second = lines_per_second,
         settings.max_pending_lines = lines_waiting_most;
@@ -168,7 +168,7 @@
     std::string play() {
         for (const TimePoint end = clock_.now() + day_.lasts;
              clock_.now() < end && broken_.empty();) {
-            clock_.tenths += kTick.count();
+            clock_.ticks += kTick.count();
             while (!agenda_.empty() && agenda_.begin()->first <= clock_.now()) {
                 const auto due = std::move(agenda_.begin()->second);
                 agenda_.erase(agenda_.begin());
@@ -673,7 +673,7 @@
         }
         std::ostringstream text;
         text << rule << " at "
-             << (clock_.now() - TimePoint{Duration{test::ManualClock{}.tenths}}).count() / 1e4
+             << (clock_.now() - TimePoint{Duration{test::ManualClock{}.ticks}}).count() / 1e4
              << " s, planner " << planner << ", proxy " << proxy << " " << what << ", "
              << since.count() / 1e4 << " s";
         if (proxy >= 0) {
--- a/tests/golden_stored_test.cpp
+++ b/tests/golden_stored_test.cpp
@@ -67,7 +67,7 @@
                     nullptr),
           planner_(settings, seed),
           chance_(seed) {
-        clock_.tenths += begins_after;
+        clock_.ticks += begins_after;
     }
 
     void run(int tenths_of_seconds) {
@@ -78,7 +78,7 @@
         }
         decide();
         for (int step = 0; step < tenths_of_seconds; ++step) {
-            clock_.tenths += 1'000;
+            clock_.ticks += 1'000;
             if (step % 5 == 0) {
                 report();
             }
@@ -192,8 +192,8 @@
 // A life with a shared table and one with slices and a rate, in segments of their own.
 void record_two_lives(const fs::path& folder) {
     const auto disk = record::open_directory(folder.string());
-    Life(*disk, test::terms(), 5, 0).run(200);
-    DeploymentSettings other = test::terms();
+    Life(*disk, test::sample_settings(), 5, 0).run(200);
+    DeploymentSettings other = test::sample_settings();
     other.admission_kind = AdmissionKind::rate;
     other.slice_count = 8;
     other.subscription_required = true;
--- a/tests/helpers.hpp
+++ b/tests/helpers.hpp
@@ -1,4 +1,4 @@
-// What several test files share.
+// Settings, names, an endpoint list, a log and a clock that several test files use.
 #pragma once
 
 #include <fcntl.h>
@@ -15,7 +15,7 @@
     return {{"lookup", "order"}, {"a", "b"}, {"m1", "m2"}};
 }
 
-inline DeploymentSettings terms() {
+inline DeploymentSettings sample_settings() {
     DeploymentSettings settings;
     settings.methods = {Method{Duration{15'000}, 3, false, {}, {}},
                         Method{Duration{15'000}, 9, false, {}, {}}};
@@ -31,24 +31,24 @@
     return settings;
 }
 
-// Of two servers, as a start file or discovery has it.
-inline const std::string kList =
+/// An endpoint list of two servers, in the JSON of the start file and of discovery.
+inline const std::string kTwoServerList =
     R"({"version":41,"full":true,"servers":[)"
     R"({"id":"s-1","addr":"127.0.0.1:1","zone":"a","kind":"m1","cell":0,"state":"up","weight":1.0,"started_ms":0},)"
     R"({"id":"s-2","addr":"127.0.0.1:2","zone":"b","kind":"m2","cell":1,"state":"up","weight":1.5,"started_ms":0}]})";
 
-/// A log whose lines go to /dev/null.
+/// A log that writes to /dev/null.
 struct DiscardingLog {
     Log log{::open("/dev/null", O_WRONLY)};
 };
 
-/// A clock that moves only when a test changes `tenths` (ticks of 0.1 ms since the epoch).
+/// A clock that moves only when a test changes `ticks` (of 0.1 ms since the epoch).
 struct ManualClock {
-    std::int64_t tenths = 17'000'000'000'000;
-    TimePoint now() const { return TimePoint{Duration{tenths}}; }
+    std::int64_t ticks = 17'000'000'000'000;
+    TimePoint now() const { return TimePoint{Duration{ticks}}; }
 };
 
-// Former names, for golden_orders_test, golden_stored_test and net_test; they go with the last use.
+// Former names, kept for golden_orders_test, golden_stored_test and net_test until their last use.
 using Quiet = DiscardingLog;
 using HandClock = ManualClock;
 
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -138,10 +138,10 @@
     {
         ManualClock clock;
         NoTransport transport;
-        Core core(terms(), names(), 7, transport, captured.log());
+        Core core(sample_settings(), names(), 7, transport, captured.log());
         std::vector<Inbox::Item> items;
         const auto add = [&](CoreEvent event) { items.push_back({clock.now(), std::move(event)}); };
-        add(list_received(kList));
+        add(list_received(kTwoServerList));
         add(stream_opened(1, 3));
         add(stream_opened(2, 3));
         add(core_event::StreamAcknowledged{{2}, {{3}, {17}}});
@@ -158,7 +158,7 @@
         core.process(items, clock.now());
         core.record_lag(items, clock.now());
         items.clear();
-        clock.tenths += 150'000;
+        clock.ticks += 150'000;
         core.process(items, clock.now());
         core.record_lag(items, clock.now());
     }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -300,10 +300,11 @@
 }
 
 TEST_CASE_METHOD(Base, "the whole list is fetched when it is asked for") {
-    Discovery discovery({kWatch + chunk(version(42)),
-                         "HTTP/1.1 200 OK\r\nContent-Length: " +
-                             std::to_string(test::kList.size()) + "\r\n\r\n" + test::kList,
-                         kWatch});
+    Discovery discovery(
+        {kWatch + chunk(version(42)),
+         "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(test::kTwoServerList.size()) +
+             "\r\n\r\n" + test::kTwoServerList,
+         kWatch});
     DiscoveryWatch watch("d", discovery.listener.local(), names, 41, kListBytes, pool, inbox,
                          quiet.log);
     discovery.begin();
@@ -337,9 +338,9 @@
     StartConfiguration start;
     start.name = "n1", start.listen = "127.0.0.1:0",
     start.discovery = text_of(discovery.listener.local());
-    start.sockets = 1024, start.memory_mb = 192, start.bounds = {8}, start.settings = test::terms(),
-    start.names = test::names();
-    start.initial_list = *protocol::EndpointListReader(start.names).read(test::kList);
+    start.sockets = 1024, start.memory_mb = 192, start.bounds = {8},
+    start.settings = test::sample_settings(), start.names = test::names();
+    start.initial_list = *protocol::EndpointListReader(start.names).read(test::kTwoServerList);
     PlannerProcess program(start, clock_now(), quiet.log);
     CHECK(program.state() == LifecycleState::created);
     int code = -1;
--- a/tests/program_helpers.hpp
+++ b/tests/program_helpers.hpp
@@ -43,9 +43,9 @@
 inline StartConfiguration start_file(const std::string& discovery) {
     StartConfiguration start;
     start.name = "n1", start.listen = "127.0.0.1:0", start.discovery = discovery;
-    start.sockets = 1024, start.memory_mb = 192, start.bounds = {8}, start.settings = terms(),
-    start.names = names();
-    start.initial_list = *protocol::EndpointListReader(start.names).read(kList);
+    start.sockets = 1024, start.memory_mb = 192, start.bounds = {8},
+    start.settings = sample_settings(), start.names = names();
+    start.initial_list = *protocol::EndpointListReader(start.names).read(kTwoServerList);
     return start;
 }
 
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -290,8 +290,8 @@
 
 TEST_CASE("a list that is cut off or malformed is no list") {
     EndpointListReader reader(test::names());
-    for (std::size_t cut = 0; cut < test::kList.size(); ++cut) {
-        CHECK(!reader.read(test::kList.substr(0, cut)));
+    for (std::size_t cut = 0; cut < test::kTwoServerList.size(); ++cut) {
+        CHECK(!reader.read(test::kTwoServerList.substr(0, cut)));
     }
     const auto text =
         GENERATE(as<std::string>{}, "[]", R"({"version":1})", R"({"servers":[]})",
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -92,10 +92,11 @@
     void follow(const std::string&) override {}
 
     Day(Directory& disk, std::uint64_t seed, RetentionPolicy retention = {})
-        : recorder(disk, retention,
-                   make_header(test::terms(), test::names(), seed, "n0", "test", clock.now()),
-                   nullptr),
-          core(test::terms(), test::names(), seed, *this, quiet.log, &recorder),
+        : recorder(
+              disk, retention,
+              make_header(test::sample_settings(), test::names(), seed, "n0", "test", clock.now()),
+              nullptr),
+          core(test::sample_settings(), test::names(), seed, *this, quiet.log, &recorder),
           chance(seed) {
         turn({told("up", 41, true)});
         for (int p = 0; p < 6; ++p) {
@@ -122,7 +123,7 @@
     }
     void run(int seconds, bool work = true) {
         for (int i = 0; i < seconds * 10; ++i) {
-            clock.tenths += 1'000;
+            clock.ticks += 1'000;
             std::vector<CoreEvent> arrivals;
             if (i % 5 == 0) {
                 for (int k = 1; k <= 5; ++k) {
@@ -227,7 +228,7 @@
         texts.insert(to_record(order).SerializeAsString());
     }
     CHECK(texts.size() == orders.size());
-    DeploymentSettings settings = test::terms();
+    DeploymentSettings settings = test::sample_settings();
     settings.methods[0].only_kinds = {{1}}, settings.methods[1].own_zone_only = true,
     settings.single_owner = true, settings.write_lifetime = s(5);
     CHECK(to_record(settings_from_record(to_record(settings))).SerializeAsString() ==
@@ -452,7 +453,8 @@
     Day day(disk, 2);
     day.recorder.close();
     records::Record record;
-    *record.mutable_head() = make_header(test::terms(), test::names(), 1, "n", "b", TimePoint{});
+    *record.mutable_head() =
+        make_header(test::sample_settings(), test::names(), 1, "n", "b", TimePoint{});
     record.mutable_head()->set_schema(kSchemaVersion + 1);
     Memory newer;
     newer.files[segment_name(0)] = encode_block({record.SerializeAsString()}, 0);
--- a/tests/short_days_test.cpp
+++ b/tests/short_days_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr auto kGrace = 2s;  // as test::terms() has it
+constexpr auto kGrace = 2s;  // as test::sample_settings() has it
 
 struct Listed {
     std::string server, state = "up";
--- a/tests/update_builder_test.cpp
+++ b/tests/update_builder_test.cpp
@@ -335,7 +335,7 @@
 };
 
 TEST_CASE("the updates of a decision have as many lines as its orders") {
-    Planner planner(test::terms(), 5);
+    Planner planner(test::sample_settings(), 5);
     UpdateBuilder update_builder(2);
     LineCounts expected;
     TimePoint now{Duration{1'000'000}};
