--- a/tests/fake_proxy.hpp
+++ b/tests/fake_proxy.hpp
@@ -1,6 +1,6 @@
-/// A fake proxy that speaks the protocol over a socket: joins, reads its orders on a thread of its
-/// own, acknowledges nonces, and records for each server when it might send there. Servers that it
-/// was ordered to eject stay ejected across streams.
+/// A fake proxy that speaks the protocol over a socket. It joins, reads its orders on a thread of
+/// its own, acknowledges nonces, and records after each order to which servers it may send.
+/// Servers that it was ordered to eject stay ejected across streams.
 #pragma once
 
 #include <map>
@@ -26,18 +26,19 @@
         reader_.join();
     }
 
-    // A table with at least one server that is not shut out, for each method it has been told of.
+    // Whether its tables, one for each method that it was told of, all have a server that is not
+    // ejected.
     bool has_table() const {
         const std::lock_guard lock(mutex_);
         if (tables_.empty()) {
             return false;
         }
         for (const auto& [method, table] : tables_) {
-            bool any = false;
+            bool has_open_server = false;
             for (const auto& [server, weight] : table) {
-                any |= weight > 0 && !ejected_.contains(server);
+                has_open_server |= weight > 0 && !ejected_.contains(server);
             }
-            if (!any) {
+            if (!has_open_server) {
                 return false;
             }
         }
@@ -47,18 +48,18 @@
         const std::lock_guard lock(mutex_);
         return sends_to(server);
     }
-    // Whether an order has let it send there since that instant.
-    bool was_let_send_to(const std::string& server, steady_clock::time_point since) const {
+    // Whether it was allowed to send to the server after any order since that time.
+    bool was_allowed_to_send_to(const std::string& server, steady_clock::time_point since) const {
         const std::lock_guard lock(mutex_);
         for (const Order& order : orders_) {
-            if (order.at >= since && order.open.contains(server)) {
+            if (order.at >= since && order.allowed_servers.contains(server)) {
                 return true;
             }
         }
         return false;
     }
-    // For a failing test: its orders since that instant, one a line.
-    std::string story(steady_clock::time_point since) const {
+    // Its orders since that time, one a line, for the message of a failing test.
+    std::string order_history(steady_clock::time_point since) const {
         const std::lock_guard lock(mutex_);
         std::ostringstream text;
         for (const Order& order : orders_) {
@@ -77,12 +78,12 @@
     struct Order {
         steady_clock::time_point at;
         std::string line;
-        std::set<std::string> open;  // where it may send from then on
+        std::set<std::string> allowed_servers;  // from this order on
     };
-    static std::vector<std::string> split(const std::string& text, char by) {
+    static std::vector<std::string> split(const std::string& text, char separator) {
         std::vector<std::string> parts;
         std::istringstream in(text);
-        for (std::string part; std::getline(in, part, by);) {
+        for (std::string part; std::getline(in, part, separator);) {
             parts.push_back(part);
         }
         return parts;
@@ -113,36 +114,36 @@
         ended_ = true;
     }
     void apply(const std::string& line) {
-        std::map<std::string, std::string> words;
+        std::map<std::string, std::string> fields;
         for (const std::string& word : split(line, ' ')) {
             if (const auto at = word.find('='); at != std::string::npos) {
-                words[word.substr(0, at)] = word.substr(at + 1);
+                fields[word.substr(0, at)] = word.substr(at + 1);
             }
         }
         const std::lock_guard lock(mutex_);
-        for (const std::string& method : split(words["routes"], '+')) {
+        for (const std::string& method : split(fields["routes"], '+')) {
             auto& table = tables_[method];
-            if (words["full"] == "1") {
+            if (fields["full"] == "1") {
                 table.clear();
             }
-            for (const std::string& pair : split(words["endpoints"], ',')) {
+            for (const std::string& pair : split(fields["endpoints"], ',')) {
                 table[pair.substr(0, pair.find(':'))] = std::stod(pair.substr(pair.find(':') + 1));
             }
         }
-        for (const std::string& server : split(words["eject"], ',')) {
+        for (const std::string& server : split(fields["eject"], ',')) {
             ejected_.insert(server);
         }
-        for (const std::string& server : split(words["restore"], ',')) {
+        for (const std::string& server : split(fields["restore"], ',')) {
             ejected_.erase(server);
         }
-        if (const std::string& nonce = words["nonce_out"]; !nonce.empty()) {
+        if (const std::string& nonce = fields["nonce_out"]; !nonce.empty()) {
             socket_.send_all(answer(number_, std::stoi(nonce)));
         }
         Order order{steady_clock::now(), line, {}};
         for (const auto& [method, table] : tables_) {
             for (const auto& [server, weight] : table) {
                 if (sends_to(server)) {
-                    order.open.insert(server);
+                    order.allowed_servers.insert(server);
                 }
             }
         }
@@ -161,36 +162,36 @@
 
 using Proxies = std::vector<std::unique_ptr<FakeProxy>>;
 
-// The oracle: waits until it holds for every proxy, or names those for which it did not in time,
-// and what they were told.
-template <class Holds>
-void require_of_all(const Proxies& proxies, std::chrono::milliseconds within,
-                    const std::string& what, Holds holds) {
-    const auto begun = steady_clock::now();
+// Waits until a condition holds for every proxy. Fails with the orders of the proxies for which
+// it does not hold in time.
+template <class Condition>
+void require_for_all(const Proxies& proxies, std::chrono::milliseconds timeout,
+                     const std::string& what, Condition condition) {
+    const auto start = steady_clock::now();
     for (;;) {
-        std::string missing;
-        const bool late = steady_clock::now() > begun + within;
+        std::string unmet;
+        const bool timed_out = steady_clock::now() > start + timeout;
         for (const auto& proxy : proxies) {
-            if (!holds(*proxy)) {
-                missing += late ? proxy->story(begun) : "?";
+            if (!condition(*proxy)) {
+                unmet += timed_out ? proxy->order_history(start) : "?";
             }
         }
-        if (missing.empty()) {
+        if (unmet.empty()) {
             return;
         }
-        if (late) {
-            FAIL(what << " within " << within.count() << " ms:\n" << missing);
+        if (timed_out) {
+            FAIL(what << " within " << timeout.count() << " ms:\n" << unmet);
         }
         std::this_thread::sleep_for(5ms);
     }
 }
 
-// The rule on drains: nobody is let send there again.
-inline void check_nobody_was_let(const Proxies& proxies, const std::string& server,
-                                 steady_clock::time_point since) {
+// Checks the rule on drains: since that time no proxy was allowed to send to the server.
+inline void check_never_allowed(const Proxies& proxies, const std::string& server,
+                                steady_clock::time_point since) {
     for (const auto& proxy : proxies) {
-        if (proxy->was_let_send_to(server, since)) {
-            FAIL_CHECK(server << " was given again:\n" << proxy->story(since));
+        if (proxy->was_allowed_to_send_to(server, since)) {
+            FAIL_CHECK(server << " was allowed again:\n" << proxy->order_history(since));
         }
     }
 }
--- a/tests/processes_test.cpp
+++ b/tests/processes_test.cpp
@@ -119,13 +119,13 @@
         proxies.push_back(std::make_unique<FakeProxy>(
             planners[static_cast<std::size_t>(n / kProxiesOfEach)]->address, n));
     }
-    require_of_all(proxies, 10s, "a table",
-                   [](const FakeProxy& proxy) { return proxy.has_table(); });
+    require_for_all(proxies, 10s, "a table",
+                    [](const FakeProxy& proxy) { return proxy.has_table(); });
     const std::string drain = chunk(listed(43, cold, "draining") + "\n");
     for (std::size_t n = 0; n < kPlanners; ++n) {
         REQUIRE(discovery.connection(n).send_all(drain));
     }
-    require_of_all(proxies, 2s, "the drain of all but one", [](const FakeProxy& proxy) {
+    require_for_all(proxies, 2s, "the drain of all but one", [](const FakeProxy& proxy) {
         bool any = false;
         for (int n = 0; n + 1 < kServers; ++n) {
             any |= proxy.may_send_to("s-" + std::to_string(n));
--- a/tests/short_days_test.cpp
+++ b/tests/short_days_test.cpp
@@ -48,14 +48,14 @@
     for (int n = 0; n < number; ++n) {
         proxies.push_back(std::make_unique<FakeProxy>(program.address(), n));
     }
-    require_of_all(proxies, 10s, "a table",
-                   [](const FakeProxy& proxy) { return proxy.has_table(); });
+    require_for_all(proxies, 10s, "a table",
+                    [](const FakeProxy& proxy) { return proxy.has_table(); });
     return proxies;
 }
 
 void require_drained(const Proxies& proxies, const std::string& server,
                      std::chrono::milliseconds within = kGrace) {
-    require_of_all(proxies, within, "the drain of " + server, [&](const FakeProxy& proxy) {
+    require_for_all(proxies, within, "the drain of " + server, [&](const FakeProxy& proxy) {
         return !proxy.may_send_to(server) && proxy.has_table();
     });
 }
@@ -101,8 +101,8 @@
         std::this_thread::sleep_for(5ms);
     }
     CHECK(late.has_table());
-    CHECK(!late.was_let_send_to("s-1", since));
-    check_nobody_was_let(proxies, "s-1", since);
+    CHECK(!late.was_allowed_to_send_to("s-1", since));
+    check_never_allowed(proxies, "s-1", since);
 }
 
 TEST_CASE("a drain stands while discovery falls silent late, and when its list then comes whole") {
@@ -132,7 +132,7 @@
     proxies.push_back(std::make_unique<FakeProxy>(planner.program.address(), 5));
     require_drained(proxies, "s-1");
     std::this_thread::sleep_for(300ms);  // what is not to come has time to
-    check_nobody_was_let(proxies, "s-1", since);
+    check_never_allowed(proxies, "s-1", since);
     CHECK(discovery.all_asked().at(2) == "GET /catalog/members?stream=1&index=43 HTTP/1.1");
 }
 
@@ -332,8 +332,8 @@
             proxies.push_back(std::make_unique<FakeProxy>(address, n * kProxiesOfEach + i));
         }
     }
-    require_of_all(proxies, 10s, "a table",
-                   [](const FakeProxy& proxy) { return proxy.has_table(); });
+    require_for_all(proxies, 10s, "a table",
+                    [](const FakeProxy& proxy) { return proxy.has_table(); });
     discovery.connection(kPlanners - 1);  // each has been told the list
     // All are drained but one, told in turn: nobody is left without a server.
     std::vector<Listed> drained(servers.begin(), servers.end() - 1);
