--- a/tests/scenario_runner.hpp
+++ b/tests/scenario_runner.hpp
@@ -23,25 +23,24 @@
     return Duration{std::llround(value * 10)};
 }
 
-/// Interprets the statements of one scenario: holds its settings, its planner, the simulated time
-/// and the state of its proxies as the planner's orders left it. `AnyPlanner` has the interface of
-/// micaroad::Planner. Assertions are Catch2's, so that it runs inside a test case only.
+/// Interprets the statements of one scenario. Holds the settings, the planner, the simulated time
+/// and the state of the proxies that results from the planner's orders. `AnyPlanner` has the
+/// interface of micaroad::Planner. It uses Catch2's assertions and so runs inside test cases only.
 template <class AnyPlanner>
 struct ScenarioRunner {
     DeploymentSettings settings;
     std::optional<AnyPlanner> planner;
     TimePoint now{ms(1'000'000)};
     std::vector<std::pair<TimePoint, TimerId>> timers;
-    std::vector<std::pair<Duration, std::string>>
-        repeated_statements;  // run again at every such interval
+    std::vector<std::pair<Duration, std::string>> repeated_statements;  // with their intervals
     std::map<int, std::map<std::string, double>> tables;
     std::set<std::string> withdrawn;
-    std::map<int, std::map<int, int>> bound;  // table by proxy and method
-    std::map<int, double> levels;
-    std::map<int, RetryPolicy> tries;
+    std::map<int, std::map<int, int>> bound_tables;  // by proxy and method
+    std::map<int, double> admission_levels;
+    std::map<int, RetryPolicy> retry_policies;
     double lines = 0, widest_step = 0;
     int batches = 0, subscriptions = 0;
-    std::string order_log;  // every order, in order
+    std::string order_log;  // the orders for tables, withdrawals and admission, in sequence
 
     std::map<std::string, double> shares(std::map<std::string, double> table) const {
         double sum = 0;
@@ -55,12 +54,14 @@
         return table;
     }
 
-    double users(int table) const {  // proxies that are bound to it
-        const auto uses = [table](const auto& proxy) {
+    // Number of proxies that are bound to the table for at least one method.
+    double bound_proxy_count(int table) const {
+        const auto is_bound_to_table = [table](const auto& proxy) {
             return std::any_of(proxy.second.begin(), proxy.second.end(),
                                [table](const auto& at) { return at.second == table; });
         };
-        return static_cast<double>(std::count_if(bound.begin(), bound.end(), uses));
+        return static_cast<double>(
+            std::count_if(bound_tables.begin(), bound_tables.end(), is_bound_to_table));
     }
 
     void apply(const order::SetTableEntry& o) {
@@ -73,27 +74,27 @@
                      : (void)tables[o.table.value].erase(o.server.value);
         order_log +=
             "line " + std::to_string(o.table.value) + o.server.value + std::to_string(o.weight);
-        lines += users(o.table.value);
+        lines += bound_proxy_count(o.table.value);
     }
     void apply(const order::SetWithdrawn& o) {
         o.withdrawn ? (void)withdrawn.insert(o.server.value)
                     : (void)withdrawn.erase(o.server.value);
         order_log += "withdraw" + o.server.value + std::to_string(o.withdrawn);
-        for (const auto& [table, its] : tables) {
-            lines += its.contains(o.server.value) ? users(table) : 0;
+        for (const auto& [table, entries] : tables) {
+            lines += entries.contains(o.server.value) ? bound_proxy_count(table) : 0;
         }
     }
     void apply(const order::SendNonce& o) { planner->handle(event::Acknowledgement{{0}, o.nonce}); }
     void apply(const order::BindProxy& o) {
         for (const auto& method : o.methods) {
-            bound[o.proxy.value][method.value] = o.table.value;
+            bound_tables[o.proxy.value][method.value] = o.table.value;
         }
         lines += 1 + static_cast<double>(tables[o.table.value].size());
     }
     void apply(const order::SetAdmission& o) {
         for (const auto& method : o.methods) {
-            levels[method.value] = o.amount;
-            tries[method.value] = o.retry_policy;
+            admission_levels[method.value] = o.amount;
+            retry_policies[method.value] = o.retry_policy;
         }
         order_log += "level" + std::to_string(o.amount);
     }
@@ -112,21 +113,21 @@
         if (tables != before || withdrawn != withdrawn_before) {
             ++batches;
         }
-        for (const auto& [table, lines_now] : tables) {
-            if (!before.contains(table) || before.at(table).size() != lines_now.size()) {
+        for (const auto& [table, entries_now] : tables) {
+            if (!before.contains(table) || before.at(table).size() != entries_now.size()) {
                 continue;
             }
-            double sum = 0;
+            double squared_change = 0;
             if (withdrawn != withdrawn_before) {
                 continue;
             }
-            const auto then = shares(before.at(table));
-            for (const auto& [server, share] : shares(lines_now)) {
-                if (then.contains(server)) {
-                    sum += std::pow(share - then.at(server), 2);
+            const auto shares_before = shares(before.at(table));
+            for (const auto& [server, share] : shares(entries_now)) {
+                if (shares_before.contains(server)) {
+                    squared_change += std::pow(share - shares_before.at(server), 2);
                 }
             }
-            widest_step = std::max(widest_step, std::sqrt(sum));
+            widest_step = std::max(widest_step, std::sqrt(squared_change));
         }
     }
 
@@ -134,8 +135,8 @@
         decide();
         for (const TimePoint end = now + length; now < end;) {
             now += ms(100);
-            for (auto& [every, statement] : repeated_statements) {
-                if (now.time_since_epoch() % every == Duration{}) {
+            for (auto& [interval, statement] : repeated_statements) {
+                if (now.time_since_epoch() % interval == Duration{}) {
                     execute(statement);
                 }
             }
@@ -147,19 +148,19 @@
         }
     }
 
-    // name[:zone[:kind]][=phase][@started_ms_ago]
-    ListedEndpoint listed(std::string word) const {
+    // Parses name[:zone[:kind]][=phase][@started_ms_ago].
+    ListedEndpoint parse_endpoint(std::string word) const {
         ListedEndpoint server;
-        const auto cut = [&word](char at) {
-            const auto place = word.find(at);
-            const std::string rest = place == std::string::npos ? "" : word.substr(place + 1);
-            word = word.substr(0, place);
+        const auto cut_from = [&word](char separator) {
+            const auto position = word.find(separator);
+            const std::string rest = position == std::string::npos ? "" : word.substr(position + 1);
+            word = word.substr(0, position);
             return rest;
         };
-        if (const auto ago = cut('@'); !ago.empty()) {
-            server.last_start = now - ms(std::stod(ago));
+        if (const auto started_ms_ago = cut_from('@'); !started_ms_ago.empty()) {
+            server.last_start = now - ms(std::stod(started_ms_ago));
         }
-        const auto phase = cut('=');
+        const auto phase = cut_from('=');
         server.phase = phase == "draining" ? EndpointPhase::draining
                        : phase == "gone"   ? EndpointPhase::gone
                                            : EndpointPhase::ready;
@@ -177,16 +178,16 @@
 
     void execute_method(std::istream& in) {
         Method method;
-        std::string more;
-        double soft = 0;
-        in >> soft >> method.criticality;
-        method.soft_deadline = ms(soft);
-        while (in >> more) {
-            if (more == "own-zone") {
+        std::string option;
+        double soft_deadline_ms = 0;
+        in >> soft_deadline_ms >> method.criticality;
+        method.soft_deadline = ms(soft_deadline_ms);
+        while (in >> option) {
+            if (option == "own-zone") {
                 method.own_zone_only = true;
             }
-            if (more.rfind("kind=", 0) == 0) {
-                method.only_kinds.push_back({std::stoi(more.substr(5))});
+            if (option.rfind("kind=", 0) == 0) {
+                method.only_kinds.push_back({std::stoi(option.substr(5))});
             }
         }
         settings.methods.push_back(method);
@@ -218,42 +219,44 @@
     }
 
     void expect(std::istream& in) {
-        std::string what, sign;
-        in >> what;
-        double found = 0, wanted = 0;
+        std::string quantity, sign;
+        in >> quantity;
+        double found = 0, expected = 0;
         const auto number = [&in] {
             int n = 0;
             in >> n;
             return n;
         };
-        if (what == "share") {
+        if (quantity == "share") {
             const auto& table = tables[number()];
             std::string server;
             in >> server;
             const auto share = shares(table);
             found = share.contains(server) ? share.at(server) : 0;
-        } else if (what == "table") {
+        } else if (quantity == "table") {
             found = static_cast<double>(shares(tables[number()]).size());
-        } else if (what == "bound") {
+        } else if (quantity == "bound") {
             const int proxy = number();
-            found = bound[proxy].contains(number()) ? 1 : 0;
-        } else if (what == "users") {
-            found = users(number());
-        } else if (what == "level") {
+            found = bound_tables[proxy].contains(number()) ? 1 : 0;
+        } else if (quantity == "users") {
+            found = bound_proxy_count(number());
+        } else if (quantity == "level") {
             const int method = number();
-            found = levels.contains(method) ? levels[method] : 1;
-        } else if (what == "tries") {
-            found = static_cast<int>(tries[number()]);
+            found = admission_levels.contains(method) ? admission_levels[method] : 1;
+        } else if (quantity == "tries") {
+            found = static_cast<int>(retry_policies[number()]);
         } else {
             const std::map<std::string, double> counts{{"lines", lines},
                                                        {"step", widest_step},
                                                        {"batches", batches},
                                                        {"subscriptions", subscriptions}};
-            found = counts.at(what);
+            found = counts.at(quantity);
         }
-        in >> sign >> wanted;
-        CAPTURE(found, sign, wanted);
-        CHECK((sign == "<" ? found < wanted : sign == ">" ? found > wanted : found == wanted));
+        in >> sign >> expected;
+        CAPTURE(found, sign, expected);
+        CHECK((sign == "<"   ? found < expected
+               : sign == ">" ? found > expected
+                             : found == expected));
     }
 
     void execute(const std::string& line) {
@@ -281,7 +284,7 @@
         if (verb == "start") {
             tables.clear();
             withdrawn.clear();
-            bound.clear();
+            bound_tables.clear();
             timers.clear();
             planner.emplace(settings, 7u);
             return;
@@ -302,25 +305,25 @@
                         : word == "restored" ? event::EndpointListUpdate::Form::restored
                                              : event::EndpointListUpdate::Form::unavailable;
             while (in >> word) {
-                list.servers.push_back(listed(word));
+                list.servers.push_back(parse_endpoint(word));
             }
             planner->handle(list);
         } else if (verb == "join") {
             in >> a >> b;
             planner->handle(event::ProxyJoined{{static_cast<int>(a)}, {static_cast<int>(b)}, 5});
-        } else if (verb == "join-many") {  // each sends more than the one before
+        } else if (verb == "join-many") {  // each proxy sends more than the one before
             in >> a;
             for (int p = 0; p < a; ++p) {
                 planner->handle(event::ProxyJoined{{p}, {0}, 1.0 * p, true});
             }
         } else if (verb == "leave") {
             in >> a;
-            bound.erase(static_cast<int>(a));
+            bound_tables.erase(static_cast<int>(a));
             planner->handle(event::ProxyLeft{{static_cast<int>(a)}});
         } else if (verb == "met") {
-            std::string tries_word;
-            in >> word >> tries_word >> b >> c >> d;
-            a = tries_word == "nan" ? std::nan("") : std::stod(tries_word);
+            std::string attempts_word;
+            in >> word >> attempts_word >> b >> c >> d;
+            a = attempts_word == "nan" ? std::nan("") : std::stod(attempts_word);
             planner->handle(event::EndpointLoadReport{{word}, {0}, a, b, ms(c), ms(d)});
         } else if (verb == "came") {
             in >> a >> b >> c;
@@ -337,12 +340,13 @@
             tables[static_cast<int>(a)][word] = 1;
             planner->handle(event::SliceOwnerReported{{static_cast<int>(a)}, {word}, 1});
         } else {
-            FAIL("no such statement: " << line);
+            FAIL("unknown statement: " << line);
         }
     }
 };
 
-/// Runs the scenario of a file; returns every order as text, in order.
+/// Runs the scenario of a file. Returns the orders for tables, withdrawals and admission as text,
+/// in sequence.
 template <class AnyPlanner>
 std::string run_scenario(const std::filesystem::path& file) {
     ScenarioRunner<AnyPlanner> runner;
