--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -216,9 +216,9 @@
     // A proxy that joins now is told of the servers that left lately, not of all that ever left.
     fixture.process({CoreFixture::stream_opened(++stream, 5, false)});
     fixture.run(300);
-    const std::string written = fixture.take_written(stream);
-    CHECK(written.find("n-" + std::to_string(next_server - 1)) != std::string::npos);
-    CHECK(written.find("n-" + std::to_string(next_server - 30)) == std::string::npos);
+    const std::string messages = fixture.take_written(stream);
+    CHECK(messages.find("n-" + std::to_string(next_server - 1)) != std::string::npos);
+    CHECK(messages.find("n-" + std::to_string(next_server - 30)) == std::string::npos);
 }
 
 TEST_CASE(
--- a/tests/routing_tables_test.cpp
+++ b/tests/routing_tables_test.cpp
@@ -1,4 +1,4 @@
-// What the routing tables, the subsets and the set of unbound proxies keep, each by itself.
+// Unit tests of the routing tables, the proxy subsets and the set of unbound proxies.
 #include "decision/routing_tables.hpp"
 
 #include <catch2/catch.hpp>
@@ -24,15 +24,15 @@
     return {TableId{table}, {MethodId{0}}, std::nullopt};
 }
 
-/// Publishes a weight in one pool and sends it as it is.
+/// Publishes a weight in one pool and marks it as sent.
 RoutingEntry& send_weight(RoutingTables& tables, const ServerId& server, std::size_t pool,
                           double weight) {
     RoutingEntry& entry = tables.find_or_add(server);
     tables.set_published(entry, {{pool, weight}});
     tables.update_and_recount_lines(entry, [&] {
-        for (const PoolTableEntry& place : entry.table_entries) {
-            place.table_entry->wanted = place.table_entry->published;
-            place.table_entry->sent = place.table_entry->published;
+        for (const PoolTableEntry& pool_entry : entry.table_entries) {
+            pool_entry.table_entry->wanted = pool_entry.table_entry->published;
+            pool_entry.table_entry->sent = pool_entry.table_entry->published;
         }
     });
     tables.on_weights_sent(entry);
@@ -49,7 +49,9 @@
 
 }  // namespace
 
-TEST_CASE("pending changes are ordered by rank, key, server and pool, whole endpoints first") {
+TEST_CASE(
+    "pending changes are ordered by rank, key, server and pool; changes of whole endpoints come "
+    "before those in a pool") {
     std::vector<PendingChange> changes;
     for (const ChangeRank rank : {ChangeRank::urgent, ChangeRank::learnt, ChangeRank::cleanup}) {
         for (const double key : {-1e6, -0.25, 0.0, 7.5}) {
@@ -66,21 +68,21 @@
         return std::tuple(static_cast<int>(change.rank), change.sort_key, change.server,
                           change.pool ? static_cast<int>(*change.pool) : -1);
     };
-    for (const PendingChange& one : changes) {
-        for (const PendingChange& other : changes) {
-            REQUIRE((one < other) == (expected_order(one) < expected_order(other)));
+    for (const PendingChange& left : changes) {
+        for (const PendingChange& right : changes) {
+            REQUIRE((left < right) == (expected_order(left) < expected_order(right)));
         }
     }
 }
 
-TEST_CASE("a withdrawal takes the place of the endpoint's changes of weights") {
+TEST_CASE("a withdrawal replaces the pending weight changes of its endpoint") {
     RoutingTables tables;
     tables.add_pool(pool_of(1));
     tables.set_subset_count(1);
     RoutingEntry& entry = send_weight(tables, kServer, 0, 0.5);
-    const PoolTableEntry place = entry.table_entries.front();
-    tables.plan_weight_change(place, {ChangeRank::learnt, -0.3});
-    tables.plan_weight_change(place, {ChangeRank::learnt, -0.2});  // in place of the first
+    const PoolTableEntry pool_entry = entry.table_entries.front();
+    tables.plan_weight_change(pool_entry, {ChangeRank::learnt, -0.3});
+    tables.plan_weight_change(pool_entry, {ChangeRank::learnt, -0.2});  // replaces the first
     REQUIRE(tables.first_change().sort_key == -0.2);
     tables.plan_availability_change(entry, {ChangeRank::urgent, 9});
     REQUIRE(tables.has_pending_changes());
@@ -91,25 +93,26 @@
     CHECK(tables.changing_availability().empty());
 }
 
-TEST_CASE("a binding counts a line for an entry, and one more where it is withdrawn or may be") {
+TEST_CASE(
+    "a binding counts one line for an entry, and another if its endpoint is or may be withdrawn") {
     RoutingTables tables;
     tables.add_pool(pool_of(1));
     tables.set_subset_count(1);
-    const double& lines = tables.pools().front().binding_lines.front();
+    const double& binding_lines_of_subset = tables.pools().front().binding_lines.front();
     RoutingEntry& entry = send_weight(tables, kServer, 0, 0.5);
-    CHECK(lines == 1);
+    CHECK(binding_lines_of_subset == 1);
     send_weight(tables, kOtherServer, 0, 0.5);
-    CHECK(lines == 2);
+    CHECK(binding_lines_of_subset == 2);
     tables.update_and_recount_lines(entry, [&] { entry.may_be_withdrawn_at_proxies = true; });
-    CHECK(lines == 3);
+    CHECK(binding_lines_of_subset == 3);
     tables.update_and_recount_lines(entry, [&] { entry.withdrawn = true; });
-    CHECK(lines == 3);
+    CHECK(binding_lines_of_subset == 3);
     tables.update_and_recount_lines(entry,
                                     [&] { entry.table_entries.front().table_entry->sent = 0; });
-    CHECK(lines == 1);
+    CHECK(binding_lines_of_subset == 1);
 }
 
-TEST_CASE("of an endpoint that is forgotten nothing is kept, and its pools are looked at") {
+TEST_CASE("an erased endpoint leaves nothing behind, and its pools are planned again") {
     RoutingTables tables;
     tables.add_pool(pool_of(1));
     tables.set_subset_count(1);
@@ -133,35 +136,36 @@
     CHECK(tables.take_pools_to_plan(true) == RoutingTables::PoolSet{0});
 }
 
-TEST_CASE("an endpoint that is held back is planned anew once weights are published") {
+TEST_CASE("an endpoint that is held back is planned again once weights are published") {
     RoutingTables tables;
     tables.add_pool(pool_of(1));
     tables.set_subset_count(1);
     RoutingEntry& entry = send_weight(tables, kServer, 0, 0.5);
     CHECK(tables.hold_back(entry) == RoutingTables::PoolSet{0});
     CHECK(entry.wanted() == 0);
-    CHECK(tables.take_pools_to_plan(false) == RoutingTables::PoolSet{0});  // as its weight was sent
+    CHECK(tables.take_pools_to_plan(false) ==
+          RoutingTables::PoolSet{0});  // because its weight was sent
     CHECK(tables.take_pools_to_plan(false).empty());
     CHECK(tables.take_pools_to_plan(true) == RoutingTables::PoolSet{0});
     CHECK(tables.take_pools_to_plan(true).empty());
 }
 
-TEST_CASE("proxies with their initial table alone are bound first, then the busiest") {
+TEST_CASE("proxies that only have their initial table are bound first, then the busiest") {
     UnboundProxies unbound;
     unbound.add(joined(1, 10, false));
     unbound.add(joined(2, 30, false));
     unbound.add(joined(3, 5, true));
     unbound.add(joined(4, 30, false));
-    std::vector<int> order;
+    std::vector<int> binding_order;
     while (!unbound.empty()) {
-        order.push_back(unbound.first().proxy.value);
+        binding_order.push_back(unbound.first().proxy.value);
         unbound.remove(unbound.first().proxy);
     }
-    CHECK(order == std::vector{3, 2, 4, 1});
+    CHECK(binding_order == std::vector{3, 2, 4, 1});
     CHECK(unbound.last_join() == 4);
 }
 
-TEST_CASE("a proxy counts for the subset that it is bound to, and for no other") {
+TEST_CASE("a proxy counts for the subset that it is bound to and for no other") {
     RoutingTables tables;
     tables.add_pool(pool_of(1));
     ProxySubsets subsets{tables};
@@ -176,13 +180,13 @@
     CHECK(subsets[1].proxies.contains(proxy));
     CHECK(subsets[1].rpcs_per_second == 40);
     subsets.release(proxy);
-    subsets.release(proxy);  // who is not bound costs nothing
+    subsets.release(proxy);  // no effect: the proxy is no longer bound
     CHECK(subsets[1].proxies.empty());
     CHECK(subsets[1].rpcs_per_second == 0);
     CHECK(subsets.bound_proxies().empty());
 }
 
-TEST_CASE("a subset's part of a pool is counted by wanted weights of endpoints that are sent") {
+TEST_CASE("a subset's share of a pool is the sum of the wanted weights of its sent endpoints") {
     RoutingTables tables;
     tables.add_pool(pool_of(1));
     ProxySubsets subsets{tables};
--- a/tests/send_window_test.cpp
+++ b/tests/send_window_test.cpp
@@ -1,4 +1,5 @@
-// What may still be pending in the channel, against what a channel of either kind could hold.
+// Tests that the send window never counts fewer lines as pending than the channel can still hold,
+// with and without acknowledgements.
 #include "decision/send_window.hpp"
 
 #include <catch2/catch.hpp>
@@ -16,35 +17,37 @@
 
 }  // namespace
 
-TEST_CASE("an acknowledgement credits its own message and all before it, no more") {
+TEST_CASE("an acknowledgement credits its own message and all earlier ones, no more") {
     SendWindow window;
     window.charge(kFirstProxy, 200);
-    const Nonce first = window.next_nonce().value();
+    const Nonce first_nonce = window.next_nonce().value();
     window.charge(kFirstProxy, 5);
-    window.charge(kSecondProxy, 100);  // unlike: a mean would credit 52 for either
-    const Nonce second = window.next_nonce().value();
+    window.charge(kSecondProxy, 100);  // sizes differ: a mean would credit 52 for each
+    const Nonce second_nonce = window.next_nonce().value();
     CHECK(!window.next_nonce());
-    window.advance({1e6, 0, false});  // time alone would have let all of it go
+    window.advance({1e6, 0, false});  // by time alone, all lines would have been sent
     CHECK(window.pending() == 305);
-    REQUIRE(window.on_acknowledgement(kFirstProxy, second));
+    REQUIRE(window.on_acknowledgement(kFirstProxy, second_nonce));
     CHECK(window.pending() == 100);
-    CHECK(window.on_acknowledgement(kFirstProxy, first));  // late: it tells nothing new
+    CHECK(window.on_acknowledgement(kFirstProxy, first_nonce));  // out of order, credits nothing
     CHECK(window.pending() == 100);
-    window.on_acknowledgement(kSecondProxy, second);
+    window.on_acknowledgement(kSecondProxy, second_nonce);
     CHECK(window.pending() == 0);
-    CHECK(!window.on_acknowledgement(kSecondProxy, Nonce{second.value + 1}));
+    CHECK(!window.on_acknowledgement(kSecondProxy, Nonce{second_nonce.value + 1}));
 }
 
-TEST_CASE("an acknowledgement that overtakes messages to dead proxies frees no more than time") {
+TEST_CASE(
+    "an acknowledgement that overtakes messages to proxies that left frees no more lines than "
+    "time does") {
     SendWindow window;
     window.charge(kFirstProxy, 25'000);
     CHECK(window.next_nonce());
     window.on_proxy_left(kFirstProxy);
     window.charge(kSecondProxy, 100);
-    const Nonce second = window.next_nonce().value();
+    const Nonce second_nonce = window.next_nonce().value();
     window.advance(kStep);
-    REQUIRE(window.on_acknowledgement(kSecondProxy, second));
-    CHECK(window.pending() == 25'100 - 1'140);  // lines to the dead leave at the lower pace
+    REQUIRE(window.on_acknowledgement(kSecondProxy, second_nonce));
+    CHECK(window.pending() == 25'100 - 1'140);  // lines to proxies that left go at the lower rate
     for (int i = 0; i < 21; ++i) {
         window.advance(kStep);
     }
@@ -53,7 +56,7 @@
     CHECK(window.pending() == 0);
 }
 
-TEST_CASE("where no acknowledgement comes any more the lower pace frees the window") {
+TEST_CASE("the lower rate frees the window once acknowledgements are no longer expected") {
     SendWindow window;
     window.charge(kFirstProxy, 1'000);
     CHECK(window.next_nonce());
@@ -66,21 +69,21 @@
     CHECK(!window.next_nonce());
 }
 
-TEST_CASE("nonces are told apart when their numbers wrap, and of lost ones nothing is kept") {
+TEST_CASE("nonces stay distinct when their numbers wrap around, and lost ones are not kept") {
     SendWindow window;
-    Nonce last{};
+    Nonce last_nonce{};
     for (int i = 0; i < 70'000; ++i) {
         window.charge(kThirdProxy, 1);
-        last = window.next_nonce().value();
+        last_nonce = window.next_nonce().value();
         if (i % 3 > 0) {
             continue;
         }
-        REQUIRE(window.on_acknowledgement(kThirdProxy, last));
+        REQUIRE(window.on_acknowledgement(kThirdProxy, last_nonce));
         window.advance({1'000, 600, false});
         REQUIRE(window.pending() == 0);
     }
-    CHECK(last.value == 69'999 - 65'536);
+    CHECK(last_nonce.value == 69'999 - 65'536);
     window.charge(kThirdProxy, 7);
-    CHECK(window.next_nonce().value().value == last.value + 1);
+    CHECK(window.next_nonce().value().value == last_nonce.value + 1);
     CHECK(window.pending() == 7);
 }
--- a/tests/update_builder_test.cpp
+++ b/tests/update_builder_test.cpp
@@ -1,4 +1,5 @@
-// The planner's orders as updates, against what the wire protocol says that they mean.
+// Tests that the update builder turns the planner's orders into the updates that the protocol
+// requires.
 #include "updates/update_builder.hpp"
 
 #include <catch2/catch.hpp>
@@ -31,14 +32,14 @@
     }
     return list;
 }
-// A builder whose first list named two servers, both steady.
+// Returns a builder whose first list names two steady servers.
 UpdateBuilder builder_with_two_steady_servers() {
     UpdateBuilder update_builder(2);
     update_builder.on_endpoint_list(list({"a", "b"}));
     return update_builder;
 }
 
-// Applies updates as a proxy does.
+// Applies updates in the way a proxy does.
 struct FakeProxy {
     std::map<MethodId, std::map<ServerId, double>> tables;
     std::map<MethodId, ProxyUpdate::Admission> admissions;
@@ -70,20 +71,20 @@
             }
         }
     }
-    std::set<ServerId> open(MethodId method) const {
-        std::set<ServerId> open;
+    std::set<ServerId> usable_servers(MethodId method) const {
+        std::set<ServerId> usable_servers;
         for (const auto& [server, weight] : tables.at(method)) {
             if (!withdrawn.contains(server)) {
-                open.insert(server);
+                usable_servers.insert(server);
             }
         }
-        return open;
+        return usable_servers;
     }
 };
 
 }  // namespace
 
-TEST_CASE("a change before any bind reaches nobody; a bind brings the table as it is by then") {
+TEST_CASE("a change reaches no unbound proxy; a bind sends the table as it is at that time") {
     UpdateBuilder update_builder = builder_with_two_steady_servers();
     update_builder.on_proxy_joined({0});
     CHECK(update_builder.build_updates({set_entry("a", 1), set_entry("b", 2), set_admission(0.5)})
@@ -101,7 +102,8 @@
     CHECK(update.channel_lines() == 1 + 2 + 2 + 1);
 }
 
-TEST_CASE("one message a proxy and decision, changes behind a bind within its table") {
+TEST_CASE(
+    "a proxy gets one update per decision; changes after its bind are part of the full table") {
     UpdateBuilder update_builder = builder_with_two_steady_servers();
     update_builder.on_proxy_joined({0});
     update_builder.on_proxy_joined({1});
@@ -120,8 +122,8 @@
 }
 
 TEST_CASE(
-    "a withdrawal goes to those whose table has the server, and to those whose table can't be "
-    "seen") {
+    "a withdrawal goes to proxies whose table has the server, and to those whose tables are "
+    "unknown") {
     UpdateBuilder update_builder = builder_with_two_steady_servers();
     update_builder.on_proxy_joined({0});
     update_builder.on_proxy_joined({1});
@@ -130,12 +132,14 @@
     const auto other = update_builder.build_updates({withdraw("b")});
     REQUIRE(other.size() == 1);
     CHECK(other[0].proxy == ProxyId{1});
-    // Bound to one method only, the table of the other can't be seen.
+    // The proxy is bound for one method only: its table for the other method is unknown.
     update_builder.build_updates({order::BindProxy{kTable, {{0}}, {1}}});
     CHECK(update_builder.build_updates({withdraw("b", false)}).size() == 1);
 }
 
-TEST_CASE("an admission for all goes to all, with every later bind, and the lower amount holds") {
+TEST_CASE(
+    "an admission for all tables goes to all proxies and with later binds; the lower amount "
+    "holds") {
     UpdateBuilder update_builder = builder_with_two_steady_servers();
     update_builder.on_proxy_joined({0});
     update_builder.on_proxy_joined({1});
@@ -154,7 +158,7 @@
           ProxyUpdate::Admission{0.9, RetryPolicy::once_if_not_executed});
 }
 
-TEST_CASE("a cleared table is empty and has no admissions, but for those for all") {
+TEST_CASE("a cleared table is empty and has no admissions of its own") {
     UpdateBuilder update_builder = builder_with_two_steady_servers();
     update_builder.on_proxy_joined({0});
     FakeProxy proxy;
@@ -171,7 +175,8 @@
 }
 
 TEST_CASE(
-    "withdrawals outlive a stream: what may be withdrawn there is reinstated with its entry") {
+    "withdrawals outlive a stream: a server that may be withdrawn at the proxy is reinstated with "
+    "its entry") {
     UpdateBuilder update_builder = builder_with_two_steady_servers();
     FakeProxy proxy;
     const auto send = [&](const std::vector<Order>& orders, bool lost = false) {
@@ -185,11 +190,11 @@
     send({set_entry("a", 1), set_entry("b", 1), kBindProxy0});
     send({withdraw("a"), order::SendNonce{{1}, false}});
     update_builder.on_acknowledgement({0}, {1});
-    CHECK(proxy.open({0}) == std::set<ServerId>{{"b"}});
+    CHECK(proxy.usable_servers({0}) == std::set<ServerId>{{"b"}});
     send({set_entry("a", 0)});
     SECTION("by this planner, on a stream that broke") {
         update_builder.on_proxy_left({0});
-        send({withdraw("a", false), set_entry("a", 1)});  // it isn't there
+        send({withdraw("a", false), set_entry("a", 1)});  // while the proxy is away
         update_builder.on_proxy_joined({0});
         send({kBindProxy0});
     }
@@ -201,9 +206,9 @@
     }
     SECTION("by an earlier planner: this one knows no reason, but the server isn't steady") {
         update_builder = UpdateBuilder(2);
-        event::EndpointListUpdate known = list({"a", "b"});
-        known.servers[0].last_start = TimePoint{Duration{1}};
-        update_builder.on_endpoint_list(known);
+        event::EndpointListUpdate initial_list = list({"a", "b"});
+        initial_list.servers[0].last_start = TimePoint{Duration{1}};
+        update_builder.on_endpoint_list(initial_list);
         update_builder.on_proxy_joined({0});
         send({set_entry("a", 1), set_entry("b", 1), kBindProxy0});
     }
@@ -214,10 +219,10 @@
         update_builder.on_proxy_joined({0});
         send({set_entry("a", 1), set_entry("b", 1), kBindProxy0});
     }
-    CHECK(proxy.open({0}) == std::set<ServerId>{{"a"}, {"b"}});
+    CHECK(proxy.usable_servers({0}) == std::set<ServerId>{{"a"}, {"b"}});
 }
 
-TEST_CASE("what is known to be reinstated is not reinstated again") {
+TEST_CASE("a server that is known to be reinstated is not reinstated again") {
     UpdateBuilder update_builder = builder_with_two_steady_servers();
     update_builder.on_proxy_joined({0});
     update_builder.build_updates(
@@ -234,8 +239,8 @@
 }
 
 TEST_CASE(
-    "a server that is gone leaves the tables before its withdrawal is forgotten, and is never "
-    "reinstated") {
+    "a removed server leaves the tables before its withdrawal is forgotten, and stays withdrawn "
+    "until it is listed again") {
     UpdateBuilder update_builder = builder_with_two_steady_servers();
     FakeProxy proxy;
     const auto send = [&](const std::vector<Order>& orders) {
@@ -245,29 +250,31 @@
     };
     update_builder.on_proxy_joined({0});
     send({set_entry("a", 1), set_entry("b", 1), kBindProxy0});
-    event::EndpointListUpdate gone = list({"a"}, event::EndpointListUpdate::Form::incremental);
-    gone.servers[0].phase = EndpointPhase::gone;
-    update_builder.on_endpoint_list(gone);
-    CHECK(!update_builder.forget({"a"}));  // in a table and not withdrawn: nothing is dropped
+    event::EndpointListUpdate removal_list =
+        list({"a"}, event::EndpointListUpdate::Form::incremental);
+    removal_list.servers[0].phase = EndpointPhase::gone;
+    update_builder.on_endpoint_list(removal_list);
+    CHECK(!update_builder.forget({"a"}));  // it is in a table and not withdrawn
     send({withdraw("a"), order::SendNonce{{1}, false}});
     update_builder.on_acknowledgement({0}, {1});
     CHECK(update_builder.forget({"a"}));
     update_builder.on_proxy_left({0});
     update_builder.on_proxy_joined({0});
     send({kBindProxy0});
-    CHECK(proxy.open({0}) == std::set<ServerId>{{"b"}});
-    // Nor does a planner that gives orders against the list bring it back.
+    CHECK(proxy.usable_servers({0}) == std::set<ServerId>{{"b"}});
+    // Orders of the planner that contradict the list don't bring it back either.
     send({set_entry("a", 1), withdraw("a", false)});
-    CHECK(proxy.open({0}) == std::set<ServerId>{{"b"}});
+    CHECK(proxy.usable_servers({0}) == std::set<ServerId>{{"b"}});
     CHECK((update_builder.take_suppressed_orders() == 2 &&
            update_builder.take_suppressed_orders() == 0));
-    // Listed again, it is reinstated with its entry.
+    // Once it is listed again, it is reinstated with its entry.
     update_builder.on_endpoint_list(list({"a"}, event::EndpointListUpdate::Form::incremental));
     send({set_entry("a", 2)});
-    CHECK(proxy.open({0}) == std::set<ServerId>{{"a"}, {"b"}});
+    CHECK(proxy.usable_servers({0}) == std::set<ServerId>{{"a"}, {"b"}});
 }
 
-TEST_CASE("a nonce goes with what is sent, or to all proxies") {
+TEST_CASE(
+    "a nonce goes with the updates of a decision, or to all proxies where the order says so") {
     UpdateBuilder update_builder = builder_with_two_steady_servers();
     update_builder.on_proxy_joined({0});
     update_builder.on_proxy_joined({1});
@@ -279,9 +286,9 @@
     CHECK(!UpdateBuilder::is_supported(order::SendPeerMessage{std::nullopt, "hi"}));
 }
 
-// The lines that the wire protocol counts for each order, per proxy, from the orders alone.
+// Counts the lines of each proxy that the protocol charges for orders, from the orders alone.
 struct LineCounts {
-    std::map<ProxyId, bool> joined;  // bound?
+    std::map<ProxyId, bool> joined;  // whether it is bound
     std::map<ServerId, double> table;
     std::set<ServerId> withdrawn;
     std::size_t admissions = 0;
@@ -326,20 +333,20 @@
         }
     }
     void count(const order::SendNonce&) {
-        for (auto& [proxy, sum] : lines) {
-            ++sum;
+        for (auto& [proxy, line_count] : lines) {
+            ++line_count;
         }
     }
     template <class Other>
     void count(const Other&) {}
 };
 
-TEST_CASE("the updates of a decision have as many lines as its orders") {
+TEST_CASE("the updates of a decision have as many lines as the protocol counts for its orders") {
     Planner planner(test::sample_settings(), 5);
     UpdateBuilder update_builder(2);
     LineCounts expected;
     TimePoint now{Duration{1'000'000}};
-    std::size_t updates_seen = 0;
+    std::size_t update_count = 0;
     const auto handle = [&](const event::EndpointListUpdate& list) {
         update_builder.on_endpoint_list(list);
         planner.handle(list);
@@ -353,20 +360,21 @@
         }
         if (tick % 5 == 0) {
             for (const char* server : {"a", "b", "c"}) {
-                const double slow = server[0] == 'b' ? 40'000 : 3'000;
-                planner.handle(event::EndpointLoadReport{{server},
-                                                         {0},
-                                                         12,
-                                                         server[0] == 'c' && tick > 50 ? 9.0 : 0.0,
-                                                         Duration{static_cast<std::int64_t>(slow)},
-                                                         Duration{5'000}});
+                const double mean_latency = server[0] == 'b' ? 40'000 : 3'000;
+                planner.handle(
+                    event::EndpointLoadReport{{server},
+                                              {0},
+                                              12,
+                                              server[0] == 'c' && tick > 50 ? 9.0 : 0.0,
+                                              Duration{static_cast<std::int64_t>(mean_latency)},
+                                              Duration{5'000}});
             }
             planner.handle(event::DemandReport{{1}, {0}, 20, 0, Duration{5'000}});
         }
         if (tick == 120) {
-            auto drains = list({"a"}, event::EndpointListUpdate::Form::incremental);
-            drains.servers[0].phase = EndpointPhase::draining;
-            handle(drains);
+            auto drain_list = list({"a"}, event::EndpointListUpdate::Form::incremental);
+            drain_list.servers[0].phase = EndpointPhase::draining;
+            handle(drain_list);
         }
         if (tick > 0) {
             planner.handle(event::TimerExpired{{1}});
@@ -376,12 +384,12 @@
         for (const Order& order : orders) {
             std::visit([&](const auto& any) { expected.count(any); }, order);
         }
-        std::map<ProxyId, std::size_t> written;
+        std::map<ProxyId, std::size_t> actual_lines;
         for (const ProxyUpdate& update : update_builder.build_updates(orders)) {
-            written[update.proxy] = update.channel_lines();
+            actual_lines[update.proxy] = update.channel_lines();
         }
-        CHECK(written == expected.lines);
-        updates_seen += written.size();
+        CHECK(actual_lines == expected.lines);
+        update_count += actual_lines.size();
     }
-    CHECK(updates_seen > 20);
+    CHECK(update_count > 20);
 }
--- a/tests/weight_optimizer_test.cpp
+++ b/tests/weight_optimizer_test.cpp
@@ -1,4 +1,4 @@
-// The parts of the weight optimizer, each by itself: evidence, slow start, shares and pools.
+// Unit tests of the parts of the weight optimizer: evidence, slow start, shares and pools.
 #include <catch2/catch.hpp>
 #include <cmath>
 #include <set>
@@ -28,7 +28,7 @@
     return settings;
 }
 
-// Endpoints of size 1 without a share limit.
+// Returns a pool of endpoints of size 1 without a share limit.
 PoolSnapshot equal_endpoints(std::size_t count) {
     PoolSnapshot pool;
     pool.places.resize(count);
@@ -79,7 +79,7 @@
     CHECK(shares[2] == 0);
 }
 
-TEST_CASE("what exceeds a share limit goes to endpoints without one") {
+TEST_CASE("the excess over a share limit goes to endpoints without a limit") {
     PoolSnapshot pool = equal_endpoints(4);
     pool.share_limits[0] = 0.1;
     const RealVector shares = capped_softmax(pool, pool.weights);
@@ -88,7 +88,7 @@
     CHECK(shares[3] == Approx(0.3));
 }
 
-TEST_CASE("no share limit applies where all endpoints have one") {
+TEST_CASE("share limits do not apply if all endpoints have one") {
     PoolSnapshot pool = equal_endpoints(2);
     pool.share_limits = {0.1, 0.2};
     const RealVector shares = capped_softmax(pool, pool.weights);
@@ -96,14 +96,14 @@
     CHECK(shares[1] == Approx(0.5));
 }
 
-TEST_CASE("a pool in which nobody may serve has no shares") {
+TEST_CASE("a pool without a usable endpoint has no shares") {
     PoolSnapshot pool = equal_endpoints(2);
     pool.sizes = {0, 0};
     pool.size_sum = 0;
     CHECK(capped_softmax(pool, pool.weights).sum() == 0);
 }
 
-TEST_CASE("no estimate without a successful attempt") {
+TEST_CASE("there is no estimate without a successful attempt") {
     const DeploymentSettings settings = one_method();
     EvidenceEstimator estimator(settings);
     PoolMember failing = member_with(10, 10, 0);
@@ -112,14 +112,14 @@
     CHECK(estimator.latency_limit() == 0);
 }
 
-TEST_CASE("thin evidence is shrunk to the mean latency of the endpoint's kind") {
+TEST_CASE("sparse evidence is shrunk towards the mean latency of the endpoint's kind") {
     const DeploymentSettings settings = one_method();
     EvidenceEstimator estimator(settings);
     PoolMember busy = member_with(1'000, 0, 100);
-    PoolMember unheard = member_with(0, 0, 0);
-    const auto estimates = estimator.estimate({&busy, &unheard});
+    PoolMember unreported = member_with(0, 0, 0);
+    const auto estimates = estimator.estimate({&busy, &unreported});
     REQUIRE(estimates);
-    CHECK(estimator.latency_limit() == 1);  // the soft deadline: twice the mean is less
+    CHECK(estimator.latency_limit() == 1);  // the soft deadline, as twice the mean is less
     CHECK(estimates->latencies[0] == Approx(0.1));
     CHECK(estimates->latencies[1] == Approx(0.1));
     CHECK(estimates->attempt_rates[0] == Approx(250));
@@ -136,7 +136,9 @@
     CHECK(estimates->latencies[1] == Approx(2).epsilon(0.001));
 }
 
-TEST_CASE("slow start: nothing in the first quarter and a bounded share until warm") {
+TEST_CASE(
+    "slow start gives no share in the first quarter of the warm-up and a bounded share until it "
+    "ends") {
     DecisionContext context{one_method(), 1};
     context.now = TimePoint{1'000 * kSecond};
     SlowStart slow_start(context);
@@ -146,28 +148,29 @@
             context.now - Duration{static_cast<Duration::rep>(warm_up_fraction * 200'000)};
         return slow_start.share_limit(member, 0.1);
     };
-    // No load is known: the listed share times the capacity by age, from half of the warm-up.
+    // Without a known load: the listed share times the capacity at that age, from half of the
+    // warm-up on.
     CHECK(limit_at(0.49) == 0);
     CHECK(limit_at(0.5) == Approx(0.1 * 0.6));
 
     slow_start.update_load(1'000, 1'000, 10);  // 100 RPCs a second at a warm endpoint
     CHECK(limit_at(0.24) == 0);
-    CHECK(limit_at(0.5) == Approx(0.06));   // what it can do: 60 of 1,000 RPCs
-    CHECK(limit_at(0.25) == Approx(0.04));  // 120 RPCs overload it: far from 40
+    CHECK(limit_at(0.5) == Approx(0.06));   // its capacity: 60 of 1,000 RPCs
+    CHECK(limit_at(0.25) == Approx(0.04));  // 120 RPCs would overload it, far more than 40
     CHECK(limit_at(1) == 1);
 
-    slow_start.update_load(10, 10, 10);  // the rate a warm endpoint does is forgotten by a tenth
-    CHECK(limit_at(0.5) == 1);           // 54 RPCs are more than all traffic
+    slow_start.update_load(10, 10, 10);  // the rate of a warm endpoint decays by a tenth
+    CHECK(limit_at(0.5) == 1);           // its capacity, 54 RPCs, exceeds all traffic
 }
 
-TEST_CASE("slow start: few RPCs are bounded by their spread") {
+TEST_CASE("slow start bounds a small number of RPCs by its random spread") {
     DecisionContext context{one_method(), 1};
     context.now = TimePoint{1'000 * kSecond};
     SlowStart slow_start(context);
     slow_start.update_load(10, 10, 10);  // 1 RPC within the overload window when warm
     PoolMember member;
     member.status.listed.last_start = context.now - 10 * kSecond;
-    // At half of the warm-up it can do 0.6 and is overloaded by 3 times that.
+    // At half of the warm-up its capacity is 0.6 RPCs, and three times as many overload it.
     const double expected_rpcs = slow_start.share_limit(member, 0.1) * 10;
     CHECK(expected_rpcs < 0.6);
     CHECK(expected_rpcs + 4 * std::sqrt(expected_rpcs) == Approx(1.8));
@@ -182,15 +185,15 @@
     CHECK(slow_start.share_limit(member, 0.2) == Approx(0.02));
 }
 
-TEST_CASE("methods that are alike in who may serve them share a pool") {
+TEST_CASE("methods with the same eligible endpoints share a pool") {
     DeploymentSettings settings;
     settings.zone_count = 3;
-    const Method any;
+    const Method any_endpoint;
     Method by_kind;
     by_kind.only_kinds = {KindId{1}};
     Method own_zone;
     own_zone.own_zone_only = true;
-    settings.methods = {any, by_kind, any, own_zone};
+    settings.methods = {any_endpoint, by_kind, any_endpoint, own_zone};
     const PoolMemberships memberships(settings);
     REQUIRE(memberships.pools().size() == 5);  // any, by kind, one for each zone
     CHECK(memberships.pools()[0].binding.methods == std::vector{MethodId{0}, MethodId{2}});
@@ -198,7 +201,7 @@
     CHECK(memberships.pools()[4].binding.zone == ZoneId{2});
 }
 
-TEST_CASE("an endpoint joins pools as it opens and is erased once it is gone") {
+TEST_CASE("an endpoint joins its pools when it opens and is erased once it is gone") {
     const DeploymentSettings settings = one_method();
     PoolMemberships memberships(settings);
     const PoolMemberships::FoundMember found = memberships.find_or_add({"server-1"});
