--- a/tests/golden_orders_test.cpp
+++ b/tests/golden_orders_test.cpp
@@ -1,20 +1,22 @@
-// Golden test of the planner's orders and of the bytes they become on the proxies' streams.
+// Golden test of the planner's orders and of the bytes that are written to the proxies' streams for
+// them.
 //
-// What it pins: for every scenario of tests/scenarios and for a set of days drawn by fixed seeds,
-// one digest of all orders (in order, doubles to the bit) and one of all messages (stream and
-// bytes). Scenarios and the days with slices drive the module, the update_builder and the push
-// writer directly, as the protocol has no words for some of their events; all other days drive the
-// core. The digests stand in tests/data/golden/orders.txt, one line a day.
+// What it covers: every scenario of tests/scenarios, and a set of random workloads with fixed
+// seeds, which the golden file calls days. For each it keeps one digest of all orders (in sequence,
+// doubles exact to the bit) and one of all messages (stream and bytes). Scenarios and the workloads
+// with slices drive the planner, the update builder and the push writer directly, as the protocol
+// cannot express some of their events; all other workloads drive the core. The digests are in
+// tests/data/golden/orders.txt, one line for each scenario or workload.
 //
-// How it is renewed: MICAROAD_WRITE_GOLDENS=1 micaroad_tests "golden orders and bytes" writes the
-// file, and then fails, so that writing never counts as passing. This is allowed only together with
-// a change of behaviour that is intended, and that the commit states. A change that only renames,
-// moves or speeds up code leaves the file as it is.
+// How to renew it: MICAROAD_WRITE_GOLDENS=1 micaroad_tests "golden orders and bytes" writes the
+// file and then fails, so that writing never counts as passing. Do this only together with an
+// intended change of behaviour that the commit states. A change that only renames, moves or speeds
+// up code leaves the file as it is.
 //
-// The texts that are digested hold numbers in place of the names of orders, and single updates in
-// those of servers, methods, zones and kinds, so that renaming in the code changes no digest. The
-// digests depend on floating-point arithmetic and on the random engines and distributions of the
-// standard library, as the orders do.
+// The digested texts contain numbers in place of the names of orders, and in updates also in place
+// of the names of servers, methods, zones and kinds, so that renaming in the code changes no
+// digest. The digests depend on floating-point arithmetic and on the random engines and
+// distributions of the standard library, as the orders do.
 #include <fmt/format.h>
 #include <xxhash.h>
 
@@ -60,15 +62,15 @@
     std::unique_ptr<XXH3_state_t, decltype(&XXH3_freeState)> state_;
 };
 
-// ---- the fields of each kind of order
+// ---- text of the fields of each kind of order
 
-std::string exact(double value) {
+std::string format_exact(double value) {
     char text[64];
     std::snprintf(text, sizeof text, "%a", value);
     return text;
 }
 
-std::string numbers(const std::vector<MethodId>& methods) {
+std::string join_numbers(const std::vector<MethodId>& methods) {
     std::string text;
     for (const MethodId method : methods) {
         text += fmt::format("{},", method.value);
@@ -77,17 +79,17 @@
 }
 
 std::string fields(const order::SetTableEntry& o) {
-    return fmt::format("{} {} {}", o.table.value, o.server.value, exact(o.weight));
+    return fmt::format("{} {} {}", o.table.value, o.server.value, format_exact(o.weight));
 }
 std::string fields(const order::ClearTable& o) {
     return fmt::format("{}", o.table.value);
 }
 std::string fields(const order::BindProxy& o) {
-    return fmt::format("{} {} {}", o.table.value, numbers(o.methods), o.proxy.value);
+    return fmt::format("{} {} {}", o.table.value, join_numbers(o.methods), o.proxy.value);
 }
 std::string fields(const order::SetAdmission& o) {
     const std::string table = o.table ? fmt::format("{}", o.table->value) : "-";
-    return fmt::format("{} {} {} {}", table, numbers(o.methods), exact(o.amount),
+    return fmt::format("{} {} {} {}", table, join_numbers(o.methods), format_exact(o.amount),
                        static_cast<int>(o.retry_policy));
 }
 std::string fields(const order::SetWithdrawn& o) {
@@ -115,7 +117,7 @@
     return o.text;
 }
 
-// Digests and counts all that the planners of one day order and write.
+// Digests and counts all orders and messages of the planners in one scenario or workload.
 class Recording {
  public:
     void add_orders(int planner, TimePoint now, const std::vector<Order>& orders) {
@@ -160,12 +162,13 @@
     return names;
 }
 
-// ---- module, update_builder and push writer without the core
+// ---- planner, update builder and push writer without the core
 
 Recording* current_recording =
-    nullptr;  // test::Stage makes its planners itself, and can't hand one over
+    nullptr;  // test::ScenarioRunner constructs its planners itself and can't pass one on
 
-// Hears and decides as Planner does. A proxy's number stands for its stream.
+// Has the interface of Planner, and records its orders and the messages that follow from them. The
+// number of a proxy serves as its stream.
 class RecordedPlanner {
  public:
     RecordedPlanner(const DeploymentSettings& settings, std::uint64_t seed)
@@ -186,9 +189,9 @@
             if (joined_.erase(left->proxy) > 0) {
                 update_builder_.on_proxy_left(left->proxy);
             }
-        } else if (const auto* applied = std::get_if<event::Acknowledgement>(&event)) {
-            if (joined_.contains(applied->proxy)) {
-                update_builder_.on_acknowledgement(applied->proxy, applied->nonce);
+        } else if (const auto* acknowledgement = std::get_if<event::Acknowledgement>(&event)) {
+            if (joined_.contains(acknowledgement->proxy)) {
+                update_builder_.on_acknowledgement(acknowledgement->proxy, acknowledgement->nonce);
             }
         }
         planner_.handle(std::move(event));
@@ -212,23 +215,24 @@
     std::set<ProxyId> joined_;
 };
 
-// ---- days drawn by seed
+// ---- random workloads with fixed seeds
 
-struct Shape {
+struct WorkloadSpec {
     std::string name;
     int seeds = 4;
     int pools = 4;
     int servers = 40;
     int proxies = 20;
     int turns = 250;
-    double lines_per_second = 2'000;  // where the channel is slow, servers are dealt over subsets
-    AdmissionKind levels = AdmissionKind::fraction;
-    int change_in = 4;  // in one turn of so many a server changes
-    int drain_in = 0;   // and in one of so many a fifth of the servers starts to drain; 0: never
+    double lines_per_second = 2'000;  // where it is low, servers are divided into subsets
+    AdmissionKind admission_kind = AdmissionKind::fraction;
+    int change_period = 4;  // on average a server changes in one turn of so many
+    int drain_period =
+        0;  // a fifth of the servers starts to drain in one turn of so many; 0: never
     int reload_every =
-        0;  // turns from one whole list that replaces half of the servers to the next; 0: never
-    bool takeover =
-        false;  // the second of two planners dies, and its proxies join the first with its tables
+        0;  // turns between complete lists that replace half of the servers; 0: never
+    bool takeover = false;  // the second of two planners stops, and its proxies join the first with
+                            // their tables
     int slices = 0;
     bool single_owner = false;  // of each slice
 };
@@ -236,10 +240,10 @@
 constexpr int kZones = 3;
 constexpr Duration kTurn = std::chrono::milliseconds(100);
 
-// Draws with integers only, so that a day is the same with every standard library.
-class Chance {
+// Draws integers only, so that a workload is the same with every standard library.
+class PortableRandom {
  public:
-    explicit Chance(int seed)
+    explicit PortableRandom(int seed)
         : engine_(static_cast<std::minstd_rand::result_type>(seed) * 7'919u) {}
     int below(int limit) {
         return static_cast<int>((engine_() >> 4) % static_cast<std::uint32_t>(limit));
@@ -251,26 +255,26 @@
     std::minstd_rand engine_;
 };
 
-DeploymentSettings draw_terms(const Shape& shape, Chance& chance) {
+DeploymentSettings draw_settings(const WorkloadSpec& spec, PortableRandom& random) {
     DeploymentSettings settings;
-    for (int pool = 0; pool < shape.pools; ++pool) {
+    for (int pool = 0; pool < spec.pools; ++pool) {
         Method method;
-        method.soft_deadline = ms(chance.between(300, 2'000));
-        method.criticality = chance.between(1, 9);
-        if (shape.pools > 1) {
+        method.soft_deadline = ms(random.between(300, 2'000));
+        method.criticality = random.between(1, 9);
+        if (spec.pools > 1) {
             method.only_kinds = {{pool}};
         }
-        if (shape.pools > 1) {
-            method.own_zone_only = chance.one_in(4);
+        if (spec.pools > 1) {
+            method.own_zone_only = random.one_in(4);
         }
         settings.methods.push_back(method);
     }
     settings.zone_count = kZones;
-    settings.proxy_count = shape.proxies;
-    settings.planner_count = shape.takeover ? 2 : 1;
-    settings.channel_lines_per_second = shape.lines_per_second;
+    settings.proxy_count = spec.proxies;
+    settings.planner_count = spec.takeover ? 2 : 1;
+    settings.channel_lines_per_second = spec.lines_per_second;
     settings.overhead_lines_per_message = 3;
-    settings.max_pending_lines = shape.lines_per_second;
+    settings.max_pending_lines = spec.lines_per_second;
     settings.message_limit_window = ms(10'000);
     settings.report_interval = ms(500);
     settings.max_message_delay = ms(500);
@@ -279,59 +283,60 @@
     settings.cold_capacity_fraction = 0.25;
     settings.overload_factor = 3;
     settings.overload_window = ms(1'500);
-    settings.unlisted_may_serve = chance.one_in(2);
-    settings.admission_kind = shape.levels;
+    settings.unlisted_may_serve = random.one_in(2);
+    settings.admission_kind = spec.admission_kind;
     settings.default_retry_policy =
-        chance.one_in(2) ? RetryPolicy::never : RetryPolicy::once_if_not_executed;
-    settings.slice_count = shape.slices;
-    settings.single_owner = shape.single_owner;
+        random.one_in(2) ? RetryPolicy::never : RetryPolicy::once_if_not_executed;
+    settings.slice_count = spec.slices;
+    settings.single_owner = spec.single_owner;
     settings.owner_lease = ms(2'500);
     settings.write_lifetime = ms(5'000);
     return settings;
 }
 
-// The servers of a day, and what changes at them.
+// The servers of a workload and their changes.
 class Fleet {
  public:
     struct Server {
         ListedEndpoint entry;
         bool fails = false;
-        int mean = 0;  // of its answers, milliseconds
+        int mean_latency_ms = 0;
     };
 
-    Fleet(const Shape& shape, Chance& chance) : shape_(shape), chance_(chance) {}
+    Fleet(const WorkloadSpec& spec, PortableRandom& random) : spec_(spec), random_(random) {}
 
     void add(TimePoint now, bool cold) {
         Server server;
-        server.entry.server = {fmt::format("s{}", ++named_)};
-        server.entry.zone = {chance_.below(kZones)};
-        server.entry.kind = {chance_.below(shape_.pools)};
-        server.entry.size = chance_.one_in(3) ? chance_.between(2, 16) / 4.0 : 1;
+        server.entry.server = {fmt::format("s{}", ++last_server_number_)};
+        server.entry.zone = {random_.below(kZones)};
+        server.entry.kind = {random_.below(spec_.pools)};
+        server.entry.size = random_.one_in(3) ? random_.between(2, 16) / 4.0 : 1;
         if (cold) {
-            server.entry.last_start = now - ms(chance_.below(9'000));
+            server.entry.last_start = now - ms(random_.below(9'000));
         }
-        server.fails = chance_.one_in(15);
-        server.mean = chance_.between(20, 600);
+        server.fails = random_.one_in(15);
+        server.mean_latency_ms = random_.between(20, 600);
         servers_[server.entry.server] = server;
         changed_.insert(server.entry.server);
     }
-    // What changes within a turn: a whole list, a list of changes, or nothing.
+    // Changes servers in a turn. Returns a complete or an incremental list, or nothing if no server
+    // changed.
     std::optional<event::EndpointListUpdate> change(TimePoint now, int turn) {
         changed_.clear();
-        if (chance_.one_in(shape_.change_in)) {
+        if (random_.one_in(spec_.change_period)) {
             change_one(now);
         }
-        if (chance_.one_in(shape_.drain_in)) {
+        if (random_.one_in(spec_.drain_period)) {
             drain_some();
         }
-        if (shape_.reload_every > 0 && turn % shape_.reload_every == shape_.reload_every / 2) {
-            for (int i = 0; i < shape_.servers / 2; ++i) {
-                servers_.erase(any());
+        if (spec_.reload_every > 0 && turn % spec_.reload_every == spec_.reload_every / 2) {
+            for (int i = 0; i < spec_.servers / 2; ++i) {
+                servers_.erase(random_server());
             }
-            for (int i = 0; i < shape_.servers / 2; ++i) {
+            for (int i = 0; i < spec_.servers / 2; ++i) {
                 add(now, true);
             }
-            return whole_list();
+            return complete_list();
         }
         if (changed_.empty()) {
             return std::nullopt;
@@ -342,7 +347,7 @@
         }
         return list;
     }
-    event::EndpointListUpdate whole_list() const {
+    event::EndpointListUpdate complete_list() const {
         event::EndpointListUpdate list{event::EndpointListUpdate::Form::complete, {}};
         for (const auto& [id, server] : servers_) {
             if (server.entry.phase != EndpointPhase::gone) {
@@ -352,36 +357,36 @@
         return list;
     }
     const std::map<ServerId, Server>& servers() const { return servers_; }
-    ServerId any() {
-        return std::next(servers_.begin(), chance_.below(static_cast<int>(servers_.size())))->first;
+    ServerId random_server() {
+        return std::next(servers_.begin(), random_.below(static_cast<int>(servers_.size())))->first;
     }
 
  private:
     void change_one(TimePoint now) {
-        const ServerId id = any();
+        const ServerId id = random_server();
         Server& server = servers_.at(id);
-        const int what = chance_.below(7);
-        if (what == 0) {
+        const int kind_of_change = random_.below(7);
+        if (kind_of_change == 0) {
             server.entry.phase = EndpointPhase::draining;
         }
-        if (what == 1) {
+        if (kind_of_change == 1) {
             server.entry.phase = EndpointPhase::gone;
         }
-        if (what == 2) {
+        if (kind_of_change == 2) {
             server.entry.phase = EndpointPhase::ready;
         }
-        if (what == 3) {
-            server.entry.zone = {chance_.below(kZones)};
+        if (kind_of_change == 3) {
+            server.entry.zone = {random_.below(kZones)};
         }
-        if (what == 4) {
+        if (kind_of_change == 4) {
             server.entry.phase = EndpointPhase::ready;
             server.entry.last_start = now;
         }
-        if (what == 5) {
+        if (kind_of_change == 5) {
             server.fails = !server.fails;
         }
-        if (what == 6) {
-            return add(now, !chance_.one_in(4));
+        if (kind_of_change == 6) {
+            return add(now, !random_.one_in(4));
         }
         changed_.insert(id);
     }
@@ -390,93 +395,92 @@
             if (server.entry.phase == EndpointPhase::draining) {
                 server.entry.phase = EndpointPhase::gone;
                 changed_.insert(id);
-            } else if (server.entry.phase == EndpointPhase::ready && chance_.one_in(5)) {
+            } else if (server.entry.phase == EndpointPhase::ready && random_.one_in(5)) {
                 server.entry.phase = EndpointPhase::draining;
                 changed_.insert(id);
             }
         }
     }
 
-    const Shape& shape_;
-    Chance& chance_;
+    const WorkloadSpec& spec_;
+    PortableRandom& random_;
     std::map<ServerId, Server> servers_;
     std::set<ServerId> changed_;  // in this turn
-    int named_ = 0;
+    int last_server_number_ = 0;
 };
 
-// The reports of one interval: what proxies met at the servers, and what came to the proxies.
-std::vector<core_event::ReportReceived> draw_reports(const Shape& shape, Chance& chance,
-                                                     const Fleet& fleet,
+// Returns the reports of one interval: load reports of servers and demand reports of proxies.
+std::vector<core_event::ReportReceived> draw_reports(const WorkloadSpec& spec,
+                                                     PortableRandom& random, const Fleet& fleet,
                                                      const std::set<int>& proxies) {
     std::vector<core_event::ReportReceived> reports;
     for (const auto& [id, server] : fleet.servers()) {
-        if (server.entry.phase == EndpointPhase::gone || chance.one_in(4)) {
+        if (server.entry.phase == EndpointPhase::gone || random.one_in(4)) {
             continue;
         }
-        const int tries = chance.between(1, 20);
-        const int bad = server.fails ? chance.below(tries + 1) : 0;
-        const Duration mean = ms(server.mean * chance.between(2, 8) / 4);
+        const int attempts = random.between(1, 20);
+        const int failures = server.fails ? random.below(attempts + 1) : 0;
+        const Duration mean_latency = ms(server.mean_latency_ms * random.between(2, 8) / 4);
         reports.push_back({event::EndpointLoadReport{
-            id, {chance.below(kZones)}, 1.0 * tries, 1.0 * bad, mean, ms(500)}});
+            id, {random.below(kZones)}, 1.0 * attempts, 1.0 * failures, mean_latency, ms(500)}});
     }
     for (const int proxy : proxies) {
-        if (chance.one_in(2)) {
+        if (random.one_in(2)) {
             continue;
         }
-        const MethodId method{chance.below(shape.pools)};
+        const MethodId method{random.below(spec.pools)};
         reports.push_back(
-            {event::DemandReport{{proxy}, method, 1.0 * chance.between(1, 30), 0, ms(500)}});
+            {event::DemandReport{{proxy}, method, 1.0 * random.between(1, 30), 0, ms(500)}});
     }
     return reports;
 }
 
-// One planner process: a core, the streams of its proxies, and what it has to hear in its next
-// turn.
-class Station : public Transport, public Observer {
+// A planner process: a core, the streams of its proxies, and the events for its next turn.
+class RecordedProcess : public Transport, public Observer {
  public:
-    Station(int number, const DeploymentSettings& settings, const SymbolTable& names, int seed,
-            Recording& recording)
+    RecordedProcess(int number, const DeploymentSettings& settings, const SymbolTable& names,
+                    int seed, Recording& recording)
         : number_(number),
           recording_(recording),
           core_(settings, names, static_cast<std::uint64_t>(seed), *this, quiet_.log, this) {}
 
-    template <class AnyArrival>
-    void tell(AnyArrival arrival) {
-        arrivals_.emplace_back(std::move(arrival));
+    template <class AnyEvent>
+    void add_event(AnyEvent event) {
+        pending_events_.emplace_back(std::move(event));
     }
-    void tell_list(std::int64_t version, const event::EndpointListUpdate& list) {
-        protocol::EndpointListMessage said{version, list, {}, {}};
+    void add_list(std::int64_t version, const event::EndpointListUpdate& list) {
+        protocol::EndpointListMessage message{version, list, {}, {}};
         for (const ListedEndpoint& server : list.servers) {
-            said.addresses[server.server] = "127.0.0.1:9";
+            message.addresses[server.server] = "127.0.0.1:9";
         }
-        tell(core_event::EndpointListReceived{std::move(said)});
+        add_event(core_event::EndpointListReceived{std::move(message)});
     }
     void join(StreamId stream, int proxy, double rpcs_per_second, bool initial_table_only) {
         streams_[proxy] = stream;
-        tell(core_event::StreamOpened{
+        add_event(core_event::StreamOpened{
             stream, {{proxy}, {proxy % kZones}, rpcs_per_second, initial_table_only}});
     }
     void leave(int proxy) {
-        tell(core_event::StreamClosed{streams_.at(proxy), "its end"});
+        add_event(core_event::StreamClosed{streams_.at(proxy), "its end"});
         streams_.erase(proxy);
     }
-    void answer_marks(Chance& chance) {
-        for (const Nonce mark : std::exchange(marks_, {})) {
+    void acknowledge_nonces(PortableRandom& random) {
+        for (const Nonce nonce : std::exchange(pending_nonces_, {})) {
             for (const auto& [proxy, stream] : streams_) {
-                if (!chance.one_in(10)) {
-                    tell(core_event::StreamAcknowledged{stream, {{proxy}, mark}});
+                if (!random.one_in(10)) {
+                    add_event(core_event::StreamAcknowledged{stream, {{proxy}, nonce}});
                 }
             }
         }
     }
     void turn(TimePoint now) {
         std::vector<Inbox::Item> items;
-        for (CoreEvent& arrival : std::exchange(arrivals_, {})) {
-            items.push_back({now, std::move(arrival)});
+        for (CoreEvent& event : std::exchange(pending_events_, {})) {
+            items.push_back({now, std::move(event)});
         }
         core_.process(items, now);
     }
-    bool must_fetch() { return std::exchange(must_fetch_, false); }
+    bool take_fetch_request() { return std::exchange(fetch_requested_, false); }
     const std::map<int, StreamId>& streams() const { return streams_; }
 
     void write(StreamId stream, std::string_view message) override {
@@ -484,16 +488,16 @@
     }
     void close(StreamId) override {}
     void check_health(const ServerId& server, const std::string&) override {
-        tell(core_event::HealthCheckCompleted{{server, true, ms(5)}});
+        add_event(core_event::HealthCheckCompleted{{server, true, ms(5)}});
     }
-    void fetch_list() override { must_fetch_ = true; }
+    void fetch_list() override { fetch_requested_ = true; }
     void follow(const std::string&) override {}
     void on_event(const Event&) override {}
     void on_decision(TimePoint now, const std::vector<Order>& orders) override {
         recording_.add_orders(number_, now, orders);
         for (const Order& order : orders) {
-            if (const auto* mark = std::get_if<order::SendNonce>(&order)) {
-                marks_.push_back(mark->nonce);
+            if (const auto* nonce_order = std::get_if<order::SendNonce>(&order)) {
+                pending_nonces_.push_back(nonce_order->nonce);
             }
         }
     }
@@ -502,162 +506,162 @@
     const int number_;
     Recording& recording_;
     test::Quiet quiet_;
-    std::vector<CoreEvent> arrivals_;
-    std::map<int, StreamId> streams_;  // by proxy
-    std::vector<Nonce> marks_;         // not yet answered
-    bool must_fetch_ = false;
+    std::vector<CoreEvent> pending_events_;
+    std::map<int, StreamId> streams_;    // by proxy
+    std::vector<Nonce> pending_nonces_;  // to acknowledge in the next turn
+    bool fetch_requested_ = false;
     Core core_;
 };
 
-// A day of one or two cores.
-class Day {
+// Runs a workload with one or two cores.
+class Workload {
  public:
-    Day(const Shape& shape, int seed, Recording& recording)
-        : shape_(shape),
-          chance_(seed),
+    Workload(const WorkloadSpec& spec, int seed, Recording& recording)
+        : spec_(spec),
+          random_(seed),
           seed_(seed),
           recording_(recording),
-          terms_(draw_terms(shape, chance_)),
-          names_(numbered_names(terms_.methods.size(), kZones, shape.pools)),
-          fleet_(shape_, chance_) {}
+          settings_(draw_settings(spec, random_)),
+          names_(numbered_names(settings_.methods.size(), kZones, spec.pools)),
+          fleet_(spec_, random_) {}
 
-    void play() {
-        for (int i = 0; i < shape_.servers; ++i) {
-            fleet_.add(now_, chance_.one_in(3));
+    void run() {
+        for (int i = 0; i < spec_.servers; ++i) {
+            fleet_.add(now_, random_.one_in(3));
         }
         start(0);
-        if (shape_.takeover) {
+        if (spec_.takeover) {
             start(1);
         }
-        for (int proxy = 0; proxy < shape_.proxies; ++proxy) {
+        for (int proxy = 0; proxy < spec_.proxies; ++proxy) {
             join(proxy, true);
         }
-        for (int turn = 0; turn < shape_.turns; ++turn) {
+        for (int turn = 0; turn < spec_.turns; ++turn) {
             now_ += kTurn;
-            if (shape_.takeover && turn == shape_.turns / 3) {
+            if (spec_.takeover && turn == spec_.turns / 3) {
                 fail_over();
             }
-            if (shape_.takeover && turn == shape_.turns * 2 / 3) {
+            if (spec_.takeover && turn == spec_.turns * 2 / 3) {
                 start(1);
             }
             if (const auto list = fleet_.change(now_, turn)) {
                 ++version_;
-                for (auto& [number, station] : stations_) {
-                    station->tell_list(version_, *list);
+                for (auto& [number, process] : processes_) {
+                    process->add_list(version_, *list);
                 }
             }
             change_proxies();
-            for (auto& [number, station] : stations_) {
-                play_turn(*station, turn);
+            for (auto& [number, process] : processes_) {
+                run_turn(*process, turn);
             }
         }
     }
 
  private:
     void start(int number) {
-        stations_[number] =
-            std::make_unique<Station>(number, terms_, names_, seed_ * 2 + number, recording_);
-        stations_[number]->tell_list(version_, fleet_.whole_list());
+        processes_[number] = std::make_unique<RecordedProcess>(number, settings_, names_,
+                                                               seed_ * 2 + number, recording_);
+        processes_[number]->add_list(version_, fleet_.complete_list());
     }
     void join(int proxy, bool initial_table_only) {
-        const int number = proxy % static_cast<int>(stations_.size());
-        stations_.at(number)->join({++last_stream_}, proxy, chance_.below(20), initial_table_only);
+        const int number = proxy % static_cast<int>(processes_.size());
+        processes_.at(number)->join({++last_stream_}, proxy, random_.below(20), initial_table_only);
     }
-    // The second planner dies; its proxies come to the first with the tables that it gave them.
+    // Stops the second planner; its proxies join the first with the tables that it gave them.
     void fail_over() {
-        const std::map<int, StreamId> streams = stations_.at(1)->streams();
-        stations_.erase(1);
+        const std::map<int, StreamId> streams = processes_.at(1)->streams();
+        processes_.erase(1);
         for (const auto& [proxy, stream] : streams) {
             join(proxy, false);
         }
     }
     void change_proxies() {
-        const int proxy = chance_.below(shape_.proxies);
-        if (!chance_.one_in(4)) {
+        const int proxy = random_.below(spec_.proxies);
+        if (!random_.one_in(4)) {
             return;
         }
-        for (auto& [number, station] : stations_) {
-            if (station->streams().contains(proxy)) {
-                return station->leave(proxy);
+        for (auto& [number, process] : processes_) {
+            if (process->streams().contains(proxy)) {
+                return process->leave(proxy);
             }
         }
-        join(proxy, chance_.one_in(2));
+        join(proxy, random_.one_in(2));
     }
-    void play_turn(Station& station, int turn) {
-        if (station.must_fetch()) {
-            station.tell_list(version_, fleet_.whole_list());
+    void run_turn(RecordedProcess& process, int turn) {
+        if (process.take_fetch_request()) {
+            process.add_list(version_, fleet_.complete_list());
         }
         std::set<int> proxies;
-        for (const auto& [proxy, stream] : station.streams()) {
+        for (const auto& [proxy, stream] : process.streams()) {
             proxies.insert(proxy);
         }
         if (turn % 5 == 0) {
-            for (auto& report : draw_reports(shape_, chance_, fleet_, proxies)) {
-                station.tell(std::move(report));
+            for (auto& report : draw_reports(spec_, random_, fleet_, proxies)) {
+                process.add_event(std::move(report));
             }
         }
-        station.answer_marks(chance_);
-        station.turn(now_);
+        process.acknowledge_nonces(random_);
+        process.turn(now_);
     }
 
-    const Shape& shape_;
-    Chance chance_;
+    const WorkloadSpec& spec_;
+    PortableRandom random_;
     const int seed_;
     Recording& recording_;
-    const DeploymentSettings terms_;
+    const DeploymentSettings settings_;
     const SymbolTable names_;
     Fleet fleet_;
     TimePoint now_{ms(1'000'000'000)};
     std::int64_t version_ = 1;
     std::uint64_t last_stream_ = 0;
-    std::map<int, std::unique_ptr<Station>> stations_;
+    std::map<int, std::unique_ptr<RecordedProcess>> processes_;
 };
 
-// A day with slices, of the module alone.
-void play_slices(const Shape& shape, int seed, Recording& recording) {
+// Runs a workload with slices, with the planner and the update builder alone.
+void run_slices(const WorkloadSpec& spec, int seed, Recording& recording) {
     current_recording = &recording;
-    Chance chance(seed);
-    const DeploymentSettings settings = draw_terms(shape, chance);
+    PortableRandom random(seed);
+    const DeploymentSettings settings = draw_settings(spec, random);
     RecordedPlanner planner(settings, static_cast<std::uint64_t>(seed));
-    Fleet fleet(shape, chance);
+    Fleet fleet(spec, random);
     TimePoint now{ms(1'000'000'000)};
     std::multimap<TimePoint, TimerId> timers;
     std::set<int> proxies;
-    for (int i = 0; i < shape.servers; ++i) {
-        fleet.add(now, chance.one_in(3));
+    for (int i = 0; i < spec.servers; ++i) {
+        fleet.add(now, random.one_in(3));
     }
-    planner.handle(fleet.whole_list());
-    for (int proxy = 0; proxy < shape.proxies; ++proxy) {
+    planner.handle(fleet.complete_list());
+    for (int proxy = 0; proxy < spec.proxies; ++proxy) {
         proxies.insert(proxy);
-        planner.handle(event::ProxyJoined{{proxy}, {proxy % kZones}, 1.0 * chance.below(20), true});
+        planner.handle(event::ProxyJoined{{proxy}, {proxy % kZones}, 1.0 * random.below(20), true});
     }
-    for (int slice = 0; slice < shape.slices; ++slice) {
+    for (int slice = 0; slice < spec.slices; ++slice) {
         planner.handle(event::SliceAssigned{{slice}, true});
-        if (chance.one_in(2)) {
-            planner.handle(event::SliceOwnerReported{{slice}, fleet.any(), 1});
+        if (random.one_in(2)) {
+            planner.handle(event::SliceOwnerReported{{slice}, fleet.random_server(), 1});
         }
     }
-    for (int turn = 0; turn < shape.turns; ++turn) {
+    for (int turn = 0; turn < spec.turns; ++turn) {
         now += kTurn;
         if (const auto list = fleet.change(now, turn)) {
             planner.handle(*list);
         }
-        const TableId slice{chance.below(shape.slices)};
-        if (chance.one_in(12)) {
-            planner.handle(event::SliceAssigned{slice, !chance.one_in(3)});
+        const TableId slice{random.below(spec.slices)};
+        if (random.one_in(12)) {
+            planner.handle(event::SliceAssigned{slice, !random.one_in(3)});
         }
-        if (chance.one_in(6)) {
-            planner.handle(event::SliceOwnerReported{slice, fleet.any(), 1});
+        if (random.one_in(6)) {
+            planner.handle(event::SliceOwnerReported{slice, fleet.random_server(), 1});
         }
         if (turn % 5 == 0) {
-            for (const auto& reported : draw_reports(shape, chance, fleet, proxies)) {
+            for (const auto& reported_event : draw_reports(spec, random, fleet, proxies)) {
                 std::visit([&planner](const auto& report) { planner.handle(report); },
-                           reported.report);
+                           reported_event.report);
             }
-            for (int each = 0; each < shape.slices; ++each) {
-                const MethodId method{chance.below(shape.pools)};
+            for (int reporting_slice = 0; reporting_slice < spec.slices; ++reporting_slice) {
+                const MethodId method{random.below(spec.pools)};
                 planner.handle(event::SliceDemandReport{
-                    {each}, method, 1.0 * chance.between(1, 30), 0, ms(500)});
+                    {reporting_slice}, method, 1.0 * random.between(1, 30), 0, ms(500)});
             }
         }
         for (; !timers.empty() && timers.begin()->first <= now; timers.erase(timers.begin())) {
@@ -666,16 +670,16 @@
         for (const Order& order : planner.decide(now)) {
             if (const auto* timer = std::get_if<order::StartTimer>(&order)) {
                 timers.emplace(now + timer->after, timer->timer);
-            } else if (const auto* mark = std::get_if<order::SendNonce>(&order)) {
+            } else if (const auto* nonce_order = std::get_if<order::SendNonce>(&order)) {
                 for (const int proxy : proxies) {
-                    planner.handle(event::Acknowledgement{{proxy}, mark->nonce});
+                    planner.handle(event::Acknowledgement{{proxy}, nonce_order->nonce});
                 }
             }
         }
     }
 }
 
-std::vector<Shape> shapes() {
+std::vector<WorkloadSpec> workload_specs() {
     return {
         {.name = "one-pool", .seeds = 4, .pools = 1},
         {.name = "four-pools", .seeds = 5},
@@ -686,9 +690,9 @@
          .proxies = 60,
          .turns = 400,
          .lines_per_second = 800,
-         .change_in = 8},
-        {.name = "draining", .seeds = 4, .drain_in = 30},
-        {.name = "takeover", .seeds = 5, .drain_in = 40, .takeover = true},
+         .change_period = 8},
+        {.name = "draining", .seeds = 4, .drain_period = 30},
+        {.name = "takeover", .seeds = 5, .drain_period = 40, .takeover = true},
         {.name = "slices", .seeds = 2, .pools = 1, .servers = 20, .proxies = 8, .slices = 12},
         {.name = "owned-slices",
          .seeds = 2,
@@ -697,13 +701,13 @@
          .proxies = 8,
          .slices = 12,
          .single_owner = true},
-        {.name = "rates", .seeds = 4, .levels = AdmissionKind::rate},
+        {.name = "rates", .seeds = 4, .admission_kind = AdmissionKind::rate},
         {.name = "reload", .seeds = 4, .servers = 60, .reload_every = 60},
     };
 }
 
-// The golden line of every scenario and day, by name.
-std::map<std::string, std::string> play_all() {
+// Returns the golden line of every scenario and workload, by name.
+std::map<std::string, std::string> record_all() {
     std::map<std::string, std::string> lines;
     for (const auto& file : test::scenario_files()) {
         Recording recording;
@@ -712,12 +716,12 @@
         const std::string name = "scenario/" + file.stem().string();
         lines[name] = recording.line(name);
     }
-    for (const Shape& shape : shapes()) {
-        for (int seed = 1; seed <= shape.seeds; ++seed) {
+    for (const WorkloadSpec& spec : workload_specs()) {
+        for (int seed = 1; seed <= spec.seeds; ++seed) {
             Recording recording;
-            shape.slices > 0 ? play_slices(shape, seed, recording)
-                             : Day(shape, seed, recording).play();
-            const std::string name = fmt::format("day/{}/{}", shape.name, seed);
+            spec.slices > 0 ? run_slices(spec, seed, recording)
+                            : Workload(spec, seed, recording).run();
+            const std::string name = fmt::format("day/{}/{}", spec.name, seed);
             lines[name] = recording.line(name);
         }
     }
@@ -725,7 +729,7 @@
     return lines;
 }
 
-std::map<std::string, std::string> read_goldens() {
+std::map<std::string, std::string> read_expected() {
     std::map<std::string, std::string> lines;
     std::ifstream in(kGoldenFile);
     for (std::string line; std::getline(in, line);) {
@@ -739,25 +743,25 @@
 }  // namespace
 
 TEST_CASE("golden orders and bytes") {
-    const std::map<std::string, std::string> found = play_all();
+    const std::map<std::string, std::string> actual = record_all();
     if (const char* write = std::getenv("MICAROAD_WRITE_GOLDENS");
         write != nullptr && std::string(write) == "1") {
         std::ofstream out(kGoldenFile);
-        for (const auto& [name, line] : found) {
+        for (const auto& [name, line] : actual) {
             out << line << '\n';
         }
         out.close();
         REQUIRE(out.good());
-        FAIL("wrote " << found.size() << " lines to " << kGoldenFile << "; nothing was compared");
+        FAIL("wrote " << actual.size() << " lines to " << kGoldenFile << "; nothing was compared");
     }
-    const std::map<std::string, std::string> goldens = read_goldens();
-    for (const auto& [name, line] : found) {
+    const std::map<std::string, std::string> expected_lines = read_expected();
+    for (const auto& [name, line] : actual) {
         INFO(name);
-        const auto golden = goldens.find(name);
-        CHECK((golden == goldens.end() ? "no golden line" : golden->second) == line);
+        const auto expected = expected_lines.find(name);
+        CHECK((expected == expected_lines.end() ? "no golden line" : expected->second) == line);
     }
-    for (const auto& [name, golden] : goldens) {
-        INFO(golden);
-        CHECK(found.contains(name));
+    for (const auto& [name, expected] : expected_lines) {
+        INFO(expected);
+        CHECK(actual.contains(name));
     }
 }
