--- a/tests/reference/balance.cpp
+++ b/tests/reference/balance.cpp
@@ -1,11 +1,10 @@
-/// Frozen reference implementation. tests/differential_test.cpp holds the optimized decisions of
-/// src/ against it: both get the same events, and every order must be equal to the bit. Change it
-/// only together with an intended change of behaviour, never for speed or style.
+/// Frozen reference implementation. tests/differential_test.cpp compares the optimized decisions of
+/// src/ with it: both get the same events, and every order must be equal to the bit. Change it only
+/// together with an intended change of behaviour, never for speed or style.
 ///
-/// The module as it was before its state went by pool and its work by what changed: every turn
-/// walks all servers and all pools. Kept plain, as what tests/differential_test.cpp holds the
-/// module against: a change of a decision is made here and there alike, a change of speed only
-/// there.
+/// The planner in its simple form, without bookkeeping by pool and by change: every turn iterates
+/// over all servers and all pools. Make a change of a decision here and in src/, and a change for
+/// speed only in src/.
 #include <map>
 #include <random>
 #include <ranges>
@@ -18,343 +17,383 @@
 namespace micaroad::reference {
 namespace {
 
-// The design starts at 5 s. Shorter steps act again before what the last one did is heard.
-constexpr Duration kStepEvery = std::chrono::seconds(4);
-constexpr double kMemory =
-    0.25;  // of what was heard before a step: one alone sees few RPCs a server
+// The original design starts at 5 s. With shorter intervals a step starts before reports show the
+// effect of the previous one.
+constexpr Duration kOptimizerStepInterval = std::chrono::seconds(4);
+constexpr double kEvidenceRetention =
+    0.25;  // kept from one step to the next: a single step sees few RPCs per server
 
-struct Desk {  // what every part may look at
+struct DecisionContext {  // shared by all components
     const DeploymentSettings settings;
-    std::minstd_rand chance;
-    // A whole number of report periods, as one that cuts through them sees now more, now fewer.
-    Duration step = (kStepEvery + settings.report_interval - Duration{1}) /
+    std::minstd_rand random_engine;
+    // A whole number of report intervals, as otherwise the number of reports would differ from step
+    // to step.
+    Duration step = (kOptimizerStepInterval + settings.report_interval - Duration{1}) /
                     settings.report_interval * settings.report_interval;
     TimePoint now{};
     std::vector<Order> orders{};
 };
 
-// ---- A server
-// --------------------------------------------------------------------------------------------
+// ---- Endpoint tracker
 
-struct Server : Part {
-    Desk& desk;
-    Part &weigher, &keeper, &gate;
-    Standing self{};
+struct EndpointTracker : Component {
+    DecisionContext& context;
+    Component &optimizer, &slice_assigner, &admission;
+    EndpointStatus status{};
 
-    void on(const Listed& note) {
-        if (note.entry.phase == EndpointPhase::gone) {
-            return on(Unlisted{});
+    void on(const EndpointListed& message) {
+        if (message.entry.phase == EndpointPhase::gone) {
+            return on(EndpointUnlisted{});
         }
-        if (note.entry.last_start && note.entry.last_start != self.entry.last_start) {
-            self = Standing{};
+        if (message.entry.last_start && message.entry.last_start != status.entry.last_start) {
+            status = EndpointStatus{};
         }
-        self.entry = note.entry;
-        if (!std::isfinite(self.entry.size) || self.entry.size <= 0) {
-            self.entry.size = 1;
+        status.entry = message.entry;
+        if (!std::isfinite(status.entry.size) || status.entry.size <= 0) {
+            status.entry.size = 1;
         }
-        self.open = self.entry.phase == EndpointPhase::ready;
-        self.steady = (self.steady || note.at_first) && self.open && !self.entry.last_start;
-        tell();
+        status.open = status.entry.phase == EndpointPhase::ready;
+        status.steady =
+            (status.steady || message.in_first_list) && status.open && !status.entry.last_start;
+        send_status();
     }
 
-    // Guards against a list that drops servers which run, where the settings say that this does not
-    // bind: what still answers stays. It costs RPCs where one is truly gone.
-    void on(const Unlisted&) {
-        if (std::exchange(self.entry.phase, EndpointPhase::gone) == EndpointPhase::gone) {
+    // Guards against a list that drops running servers, if the settings allow unlisted servers to
+    // serve: those that still answer stay. It costs RPCs if a server is really gone.
+    void on(const EndpointUnlisted&) {
+        if (std::exchange(status.entry.phase, EndpointPhase::gone) == EndpointPhase::gone) {
             return;
         }
-        self.steady = false;
-        self.open = self.open && self.last_ok && desk.settings.unlisted_may_serve;
-        tell();
+        status.steady = false;
+        status.open = status.open && status.last_success && context.settings.unlisted_may_serve;
+        send_status();
     }
 
-    void on(const event::EndpointLoadReport& met) {
-        gate.inbox.push_back(Met{met, self.entry.zone});
-        // Guards against reports of the life before a restart; it costs but a little evidence.
-        if (!self.open ||
-            (self.entry.last_start && desk.now - met.window < *self.entry.last_start)) {
+    void on(const event::EndpointLoadReport& report) {
+        admission.mailbox.push_back(ZonedLoadReport{report, status.entry.zone});
+        // Guards against reports from before a restart; it costs only a little evidence.
+        if (!status.open ||
+            (status.entry.last_start && context.now - report.window < *status.entry.last_start)) {
             return;
         }
-        self.tries += met.attempts, self.bad += met.failures;
-        self.answer_seconds += (met.attempts - met.failures) * seconds(met.mean_latency);
-        if (!std::exchange(self.last_ok, met.failures < met.attempts ? desk.now : self.last_ok)) {
-            tell();
+        status.attempts += report.attempts, status.failures += report.failures;
+        status.success_latency_sum +=
+            (report.attempts - report.failures) * seconds(report.mean_latency);
+        if (!std::exchange(status.last_success,
+                           report.failures < report.attempts ? context.now : status.last_success)) {
+            send_status();
         }
     }
 
-    void on(const Beat&) {
-        self.window += seconds(desk.step);
-        const bool lost =
-            self.entry.phase == EndpointPhase::gone &&
-            desk.now - self.last_ok.value_or(TimePoint{}) >= desk.settings.warm_up_duration;
-        if (std::exchange(self.open, self.open && !lost)) {
-            tell();
-        }
-        for (double* sum : {&self.tries, &self.bad, &self.answer_seconds, &self.window}) {
-            *sum *= kMemory;
+    void on(const EvidenceWindowClosed&) {
+        status.window_seconds += seconds(context.step);
+        const bool is_expired = status.entry.phase == EndpointPhase::gone &&
+                                context.now - status.last_success.value_or(TimePoint{}) >=
+                                    context.settings.warm_up_duration;
+        if (std::exchange(status.open, status.open && !is_expired)) {
+            send_status();
+        }
+        for (double* sum : {&status.attempts, &status.failures, &status.success_latency_sum,
+                            &status.window_seconds}) {
+            *sum *= kEvidenceRetention;
         }
     }
 
-    void tell() { weigher.inbox.push_back(self), keeper.inbox.push_back(self); }
+    void send_status() {
+        optimizer.mailbox.push_back(status), slice_assigner.mailbox.push_back(status);
+    }
 };
 
-// ---- The design: weights, cost, steps
-// --------------------------------------------------------------------
+// ---- Weight optimizer
 
-struct Weigher : Part {
+struct WeightOptimizer : Component {
     struct Member {
-        Standing seen{};
-        RealVector weight{}, share{};  // figures by pool
-        bool trusted = false, doubted = false;
+        EndpointStatus status{};
+        RealVector weight{}, share{};  // by pool
+        bool trusted = false, on_probation = false;
     };
     struct Pool {
-        Binding binding;
-        Method like;
-        double part = 1;
-    };  // part: of the traffic
+        PoolBinding binding;
+        Method method;
+        double traffic_fraction = 1;  // of all traffic
+    };
     using Members = std::vector<Member*>;
     using Shares = std::vector<RealVector>;  // by pool, of the open servers
 
-    Desk& desk;
-    Part& channel;
+    DecisionContext& context;
+    Component& scheduler;
     std::vector<Pool> pools;
     std::map<ServerId, Member> members;
-    bool changed = false;
-    Demand demand{};
-    // Seconds; RPCs a second from all proxies, and by size; sizes of all open servers, not long
-    // ago.
-    double limit = 0, total = 0, usual = 0, size_most = 0;
+    bool shares_outdated = false;
+    DemandEstimate demand{};
+    // Seconds; RPCs a second of all proxies; RPCs a second per unit of size; a decaying maximum of
+    // the total size of the open servers.
+    double latency_limit = 0, total_rate = 0, usual_rate_per_size = 0, max_total_size = 0;
 
-    Weigher(Desk& desk, Part& channel) : desk(desk), channel(channel) {
-        for (int m = 0; m < std::ssize(desk.settings.methods) && desk.settings.slice_count == 0;
-             ++m) {
-            const Method& method = desk.settings.methods[m];
-            for (int zone = 0; zone < (method.own_zone_only ? desk.settings.zone_count : 1);
+    WeightOptimizer(DecisionContext& context, Component& scheduler)
+        : context(context), scheduler(scheduler) {
+        for (int m = 0;
+             m < std::ssize(context.settings.methods) && context.settings.slice_count == 0; ++m) {
+            const Method& method = context.settings.methods[m];
+            for (int zone = 0; zone < (method.own_zone_only ? context.settings.zone_count : 1);
                  ++zone) {
-                const auto home = method.own_zone_only ? std::optional{ZoneId{zone}} : std::nullopt;
-                auto pool = std::find_if(pools.begin(), pools.end(), [&](const Pool& p) {
-                    return open_alike(p.like, method) && p.binding.zone == home;
+                const auto own_zone =
+                    method.own_zone_only ? std::optional{ZoneId{zone}} : std::nullopt;
+                auto pool = std::find_if(pools.begin(), pools.end(), [&](const Pool& candidate) {
+                    return same_eligibility(candidate.method, method) &&
+                           candidate.binding.zone == own_zone;
                 });
                 const TableId table{static_cast<int>(pools.size()) + 1};
                 if (pool == pools.end()) {
-                    pool = pools.insert(pool, {{table, {}, home}, method});
+                    pool = pools.insert(pool, {{table, {}, own_zone}, method});
                 }
                 pool->binding.methods.push_back(MethodId{m});
             }
         }
         for (const Pool& pool : pools) {
-            channel.inbox.push_back(pool.binding);
+            scheduler.mailbox.push_back(pool.binding);
         }
     }
 
-    void on(const Standing& note) {
-        auto [at, added] = members.try_emplace(note.entry.server);
-        Member& member = at->second;
-        // The first servers are taken on trust: a planner that starts over has nobody else.
+    void on(const EndpointStatus& message) {
+        auto [found, added] = members.try_emplace(message.entry.server);
+        Member& member = found->second;
+        // The first servers are trusted: a restarted planner has no others.
         if (added) {
-            member.trusted = usual == 0, member.weight = member.share = RealVector(pools.size());
-        }
-        // Steps leave the mean of the weights as it is, so a server may enter at its listed weight.
-        if (note.open && !member.seen.open) {
-            member.weight = std::log(note.entry.size);
-        }
-        const bool doubted = !member.trusted && !note.last_ok && note.tries > 0;
-        changed |= added || doubted != member.doubted || note.open != member.seen.open ||
-                   note.entry.last_start != member.seen.entry.last_start;
-        member.seen = note, member.doubted = doubted;
+            member.trusted = usual_rate_per_size == 0,
+            member.weight = member.share = RealVector(pools.size());
+        }
+        // Steps leave the mean of the weights unchanged, so a server may start with its listed
+        // weight.
+        if (message.open && !member.status.open) {
+            member.weight = std::log(message.entry.size);
+        }
+        const bool on_probation = !member.trusted && !message.last_success && message.attempts > 0;
+        shares_outdated |= added || on_probation != member.on_probation ||
+                           message.open != member.status.open ||
+                           message.entry.last_start != member.status.entry.last_start;
+        member.status = message, member.on_probation = on_probation;
     }
 
-    void on(const Pulse&) {
-        if (std::exchange(changed, false)) {
+    void on(const Tick&) {
+        if (std::exchange(shares_outdated, false)) {
             publish();
         }
     }
-    void on(const Demand& note) {
-        demand = note;
+    void on(const DemandEstimate& message) {
+        demand = message;
         for (Pool& pool : pools) {
-            const double rate = sum_of(note.rates, pool.binding.methods);
+            const double rate = sum_of(message.rates, pool.binding.methods);
             if (rate > 0) {
-                pool.part = rate / note.rates.sum();
+                pool.traffic_fraction = rate / message.rates.sum();
             }
         }
     }
 
-    void on(const Step&) {
-        // Zones that none of our proxies reaches are left out: nothing of ours shows there or moves
-        // there.
-        const Members all = open_members(), open = in_tried_zones(all, kTried);
-        RealVector rate, answer;
-        if (!weigh_evidence(open, rate, answer)) {
+    void on(const OptimizerStep&) {
+        // Leaves out zones that none of this planner's proxies reaches: there is no evidence from
+        // them, and changes have no effect there.
+        const Members all = open_members(),
+                      open = members_in_attempted_zones(all, kMinZoneAttempts);
+        RealVector rate, latency;
+        if (!estimate(open, rate, latency)) {
             return publish();
         }
-        const double ours = rate.sum(), reached = zone_count(open) / zone_count(all);
-        // Proxies that are not ours are taken to load the servers as ours do, those of all zones
-        // alike.
-        rate *= std::max(1.0, demand.all_over_ours * reached), total = ours * demand.all_over_ours;
-        // What a server surely can do. Neither tries of who comes again count, nor what is sent to
-        // those that are left when others go: these are forgotten by a tenth a step.
-        size_most =
-            std::max(size_most * 0.9, row_of(all, [](auto& m) { return m.seen.entry.size; }).sum());
-        usual = std::max(std::min(total, demand.told) / size_most, usual * 0.9);
-        const RealVector capacity = rate + 1.0 / answer;
-        Shares now(pools.size());  // as published
-        for (int k = 0; k < std::ssize(now); ++k) {
-            now[k] = parts_of(open, [k](auto& m) { return m.share[k]; });
-        }
-        const auto ahead = [&](const Shares& to, TailPenalty tail) {
-            RealVector at = rate;
-            for (int k = 0; k < std::ssize(now); ++k) {
-                at += ours * pools[k].part * (to[k] - now[k]);
+        const double own_rate = rate.sum(),
+                     reached_zone_fraction = zone_count(open) / zone_count(all);
+        // Assumes that the other planners' proxies load the servers as this planner's do, those of
+        // all zones alike.
+        rate *= std::max(1.0, demand.total_to_own_load * reached_zone_fraction),
+            total_rate = own_rate * demand.total_to_own_load;
+        // The rate that a server sustains in any case. It counts neither retries nor the load that
+        // remaining servers get when others leave; both decay by a tenth per step.
+        max_total_size =
+            std::max(max_total_size * 0.9,
+                     values_of(all, [](auto& m) { return m.status.entry.size; }).sum());
+        usual_rate_per_size = std::max(std::min(total_rate, demand.announced_rate) / max_total_size,
+                                       usual_rate_per_size * 0.9);
+        const RealVector capacity = rate + 1.0 / latency;
+        Shares current(pools.size());  // as published
+        for (int k = 0; k < std::ssize(current); ++k) {
+            current[k] = fractions_of(open, [k](auto& m) { return m.share[k]; });
+        }
+        const auto predict = [&](const Shares& target, TailPenalty tail) {
+            RealVector predicted_rate = rate;
+            for (int k = 0; k < std::ssize(current); ++k) {
+                predicted_rate += own_rate * pools[k].traffic_fraction * (target[k] - current[k]);
             }
-            at[at < 0.0] = 0;
-            return predict_queues(at, capacity, tail);
+            predicted_rate[predicted_rate < 0.0] = 0;
+            return predict_queues(predicted_rate, capacity, tail);
         };
-        const Shares stay = shares(open, 0, {});
-        // The factor stops at the limit: past it the model is so stiff that a larger one allows no
-        // step.
-        const double lateness = std::min(ahead(stay, {0, 1, kClamp}).p95 / limit, 1.0);
-        const TailPenalty tail{5 * std::exp(10 * (lateness - 1)), limit, kClamp};
-        const QueuePrediction here = ahead(stay, tail);
-        Shares downhill = stay;  // how far the weights go in a whole step
-        const double scale = kStepScale * std::ssize(open) / std::max(here.cost, 1e-9) * ours;
+        const Shares unchanged = shares(open, 0, {});
+        // The factor does not grow above the limit: there the model is so stiff that a larger
+        // factor would allow no step.
+        const double lateness =
+            std::min(predict(unchanged, {0, 1, kUtilizationClamp}).p95 / latency_limit, 1.0);
+        const TailPenalty tail{5 * std::exp(10 * (lateness - 1)), latency_limit, kUtilizationClamp};
+        const QueuePrediction prediction = predict(unchanged, tail);
+        Shares descent = unchanged;  // change of the weights in a full step
+        const double scale =
+            kStepScale * std::ssize(open) / std::max(prediction.cost, 1e-9) * own_rate;
         for (std::size_t k = 0; k < pools.size(); ++k) {
-            downhill[k] *=
-                scale * pools[k].part * (here.gradient - (stay[k] * here.gradient).sum());
+            descent[k] *= scale * pools[k].traffic_fraction *
+                          (prediction.gradient - (unchanged[k] * prediction.gradient).sum());
         }
-        const auto room = [&](double c) {
-            const Shares share = shares(open, c, downhill);
-            double moved = 0;
+        const auto remaining_change = [&](double fraction) {
+            const Shares share = shares(open, fraction, descent);
+            double squared_change = 0;
             for (std::size_t k = 0; k < pools.size(); ++k) {
-                moved += std::pow(share[k] - stay[k], 2.0).sum();
+                squared_change += std::pow(share[k] - unchanged[k], 2.0).sum();
             }
-            return kMostMove - std::sqrt(moved);
+            return kMaxShareChange - std::sqrt(squared_change);
         };
-        const auto cost = [&](double c) { return ahead(shares(open, c, downhill), tail).cost; };
-        double c = room(1) >= 0 ? 1 : crossing(0, 1, 0, room);
-        // A step within the bound can still overshoot what the model says is best along it: halved
-        // until not.
-        double best = cost(c);
-        for (double half; c > 1e-3 && (half = cost(c / 2)) < best; c /= 2) {
-            best = half;
-        }
-        for (std::size_t k = 0; k < pools.size() && here.cost - best > kLeastGain * here.cost;
-             ++k) {
+        const auto cost = [&](double fraction) {
+            return predict(shares(open, fraction, descent), tail).cost;
+        };
+        double fraction = remaining_change(1) >= 0 ? 1 : bisect_falling(0, 1, 0, remaining_change);
+        // A step within the bound can still overshoot the minimum of the predicted cost along it,
+        // so it is halved while that lowers the cost.
+        double best_cost = cost(fraction);
+        for (double half_cost; fraction > 1e-3 && (half_cost = cost(fraction / 2)) < best_cost;
+             fraction /= 2) {
+            best_cost = half_cost;
+        }
+        for (std::size_t k = 0;
+             k < pools.size() && prediction.cost - best_cost > kMinGain * prediction.cost; ++k) {
             for (std::size_t i = 0; i < open.size(); ++i) {
-                const double least = std::log(open[i]->seen.entry.size) + kLeast;
-                open[i]->weight[k] = std::max(open[i]->weight[k] - c * downhill[k][i], least);
+                const double min_weight = std::log(open[i]->status.entry.size) + kMinLogWeight;
+                open[i]->weight[k] =
+                    std::max(open[i]->weight[k] - fraction * descent[k][i], min_weight);
             }
         }
         publish();
     }
 
  private:
-    static constexpr double kMostMove = 0.15, kClamp = 0.95, kTried = 1;  // the design's; one try
-    // The design's are 0.5 (here of the cost's logarithm a server, whatever size and traffic) and a
-    // tenth.
-    static constexpr double kStepScale = 0.2, kLeastGain = 0.01;
-    static constexpr double kLeast =
-        -3;  // a twentieth: what is never tried can't show that it recovered
-    // RPCs that weigh as much as the kind's mean: answers vary four- to fivefold more than servers
-    // of a kind.
-    static constexpr double kDoubt = 20, kDoubtBad = 10;  // failures are few where nothing is wrong
-    // Of a listed share: many must not cost much, one must be tried. More comes by chance once a
-    // day.
-    static constexpr double kTrial = 0.1, kDeviations = 4;
+    static constexpr double kMaxShareChange = 0.15, kUtilizationClamp = 0.95,
+                            kMinZoneAttempts =
+                                1;  // the first two from the original design; one attempt
+    // In the original design these are 0.5 and 0.1. Here the step refers to the logarithm of the
+    // cost and is independent of fleet size and traffic.
+    static constexpr double kStepScale = 0.2, kMinGain = 0.01;
+    static constexpr double kMinLogWeight = -3;  // a twentieth of the listed weight: a server
+                                                 // without attempts can't show that it recovered
+    // Number of RPCs that weigh as much as the mean of the kind: latencies vary four to five times
+    // more than servers of a kind do.
+    static constexpr double kLatencyPriorAttempts = 20,
+                            kFailurePriorAttempts =
+                                10;  // fewer, as failures are rare in a healthy fleet
+    // The fraction of a listed share on probation: many such servers must not cost much, but each
+    // needs attempts. A load above the deviations occurs by chance once a day.
+    static constexpr double kProbationFraction = 0.1, kOverloadMarginDeviations = 4;
 
     Members open_members() {
         Members open;
         for (auto& [id, member] : members) {
-            if (member.seen.open) {
+            if (member.status.open) {
                 open.push_back(&member);
             }
         }
         return open;
     }
-    // Mechanism 1. Guards against a server that fails fast (looks idle), hangs or can't be reached:
-    // a failed try is an answer at twice the tail's limit. It could harm where few RPCs come: hence
-    // the doubts.
-    bool weigh_evidence(const Members& open, RealVector& rate, RealVector& answer) {
-        const RealVector tries = row_of(open, [](const Member& m) { return m.seen.tries; });
-        const RealVector bad = row_of(open, [](const Member& m) { return m.seen.bad; });
-        const RealVector answers =
-            row_of(open, [](const Member& m) { return m.seen.answer_seconds; });
-        const RealVector ok = tries - bad;
-        if (open.empty() || pools.empty() || ok.sum() <= 0) {
+    // Mechanism 1. Guards against a server that fails fast (and so looks idle), hangs or is
+    // unreachable: a failed attempt counts as a response at twice the latency limit. It could do
+    // harm where there are few RPCs, hence the prior attempts.
+    bool estimate(const Members& open, RealVector& rate, RealVector& latency) {
+        const RealVector attempts =
+            values_of(open, [](const Member& m) { return m.status.attempts; });
+        const RealVector failures =
+            values_of(open, [](const Member& m) { return m.status.failures; });
+        const RealVector latency_sums =
+            values_of(open, [](const Member& m) { return m.status.success_latency_sum; });
+        const RealVector successes = attempts - failures;
+        if (open.empty() || pools.empty() || successes.sum() <= 0) {
             return false;
         }
-        const double mean = answers.sum() / ok.sum();
-        if (limit == 0) {
-            limit = std::max(shortest_soft_deadline(desk.settings), 2 * mean);
-        }
-        const RealVector usual_here =
-            (kind_sums(open, answers) + kDoubt * mean) / (kind_sums(open, ok) + kDoubt);
-        const RealVector failing =
-            (bad + kDoubtBad * bad.sum() / tries.sum()) / (tries + kDoubtBad);
-        answer = 2.0 * limit * failing +
-                 (1.0 - failing) * (answers + kDoubt * usual_here) / (ok + kDoubt);
-        rate = tries / row_of(open, [](const Member& m) { return m.seen.window; }).max();
+        const double mean_latency = latency_sums.sum() / successes.sum();
+        if (latency_limit == 0) {
+            latency_limit = std::max(shortest_soft_deadline(context.settings), 2 * mean_latency);
+        }
+        const RealVector kind_latency =
+            (kind_sums(open, latency_sums) + kLatencyPriorAttempts * mean_latency) /
+            (kind_sums(open, successes) + kLatencyPriorAttempts);
+        const RealVector failure_fraction =
+            (failures + kFailurePriorAttempts * failures.sum() / attempts.sum()) /
+            (attempts + kFailurePriorAttempts);
+        latency = 2.0 * latency_limit * failure_fraction +
+                  (1.0 - failure_fraction) * (latency_sums + kLatencyPriorAttempts * kind_latency) /
+                      (successes + kLatencyPriorAttempts);
+        rate = attempts /
+               values_of(open, [](const Member& m) { return m.status.window_seconds; }).max();
         return true;
     }
 
-    double warmth(const Member& member) const {  // by age, 1: warm
-        const auto& start = member.seen.entry.last_start;
-        return start ? seconds(desk.now - *start) / seconds(desk.settings.warm_up_duration) : 1;
+    double warm_up_fraction(const Member& member) const {  // by age; 1 or more: warm
+        const auto& start = member.status.entry.last_start;
+        return start ? seconds(context.now - *start) / seconds(context.settings.warm_up_duration)
+                     : 1;
     }
 
-    // Mechanism 2. Guards against pushing over a cold server: it gets what it can do at least by
-    // its age (the design: a quarter), four deviations under the limit from all, and nothing in its
-    // first quarter (half if no load is known). It costs capacity. One whose tries all failed so
-    // far is on trial.
-    double ceiling(const Member& member, double listed) const {
-        const DeploymentSettings& t = desk.settings;
-        const double most = member.doubted ? kTrial * listed : 1;
-        const double age = warmth(member);
-        if (age >= 1 || age < (usual == 0 ? 0.5 : 0.25)) {
-            return age >= 1 ? most : 0;
-        }
-        const double able = t.cold_capacity_fraction + (1 - t.cold_capacity_fraction) * age;
-        if (usual == 0) {
-            return std::min(most, able * listed);
-        }
-        // RPCs within the span that pushes it over: x + kDeviations sqrt(x) is to stay under its
-        // limit.
-        const double warm = usual * member.seen.entry.size * seconds(t.overload_window),
-                     half = kDeviations / 2;
-        const double root = std::sqrt(half * half + t.overload_factor * able * warm) - half;
-        return std::min(most,
-                        std::min(able * warm, root * root) / (total * seconds(t.overload_window)));
+    // Mechanism 2. Guards against overloading a cold server: it gets at most its capacity by age
+    // (in the original design a quarter), stays four deviations below its overload limit, and gets
+    // nothing in the first quarter of its warm-up (half if no load is known). It costs capacity. A
+    // server whose attempts all failed so far is on probation.
+    double share_limit(const Member& member, double listed_share) const {
+        const DeploymentSettings& settings = context.settings;
+        const double max_share = member.on_probation ? kProbationFraction * listed_share : 1;
+        const double age = warm_up_fraction(member);
+        if (age >= 1 || age < (usual_rate_per_size == 0 ? 0.5 : 0.25)) {
+            return age >= 1 ? max_share : 0;
+        }
+        const double capacity_fraction =
+            settings.cold_capacity_fraction + (1 - settings.cold_capacity_fraction) * age;
+        if (usual_rate_per_size == 0) {
+            return std::min(max_share, capacity_fraction * listed_share);
+        }
+        // Of the RPCs x within the overload window, x + kOverloadMarginDeviations * sqrt(x) must
+        // stay below the overload limit.
+        const double warm_rpcs = usual_rate_per_size * member.status.entry.size *
+                                 seconds(settings.overload_window),
+                     half_deviations = kOverloadMarginDeviations / 2;
+        const double root = std::sqrt(half_deviations * half_deviations +
+                                      settings.overload_factor * capacity_fraction * warm_rpcs) -
+                            half_deviations;
+        return std::min(max_share, std::min(capacity_fraction * warm_rpcs, root * root) /
+                                       (total_rate * seconds(settings.overload_window)));
     }
 
     RealVector sizes(std::size_t k, const Members& open) const {
         const Pool& pool = pools[k];
-        return row_of(open, [&pool](const Member& m) {
-            return open_to(pool.like, pool.binding.zone, m.seen.entry) ? m.seen.entry.size : 0;
+        return values_of(open, [&pool](const Member& m) {
+            return is_eligible(pool.method, pool.binding.zone, m.status.entry) ? m.status.entry.size
+                                                                               : 0;
         });
     }
 
-    // Softmax over the servers that a pool is open to, after a part of a step; none above its
-    // ceiling while others have room.
-    Shares shares(const Members& open, double c, const Shares& downhill) const {
+    // Returns the softmax of the weights over the eligible servers of each pool, after a fraction
+    // of a step. No server exceeds its share limit while others have none.
+    Shares shares(const Members& open, double fraction, const Shares& descent) const {
         Shares all(pools.size(), RealVector(open.size()));
         for (std::size_t k = 0; k < pools.size() && !open.empty(); ++k) {
             const RealVector size = sizes(k, open);
             if (size.sum() == 0) {
                 continue;
             }
-            RealVector weight = row_of(open, [k](const Member& m) { return m.weight[k]; });
-            if (!downhill.empty()) {
-                weight -= c * downhill[k];
+            RealVector weight = values_of(open, [k](const Member& m) { return m.weight[k]; });
+            if (!descent.empty()) {
+                weight -= fraction * descent[k];
             }
             RealVector share = std::exp(weight - RealVector(weight[size > 0.0]).max());
             share[size == 0.0] = 0, share /= share.sum();
-            RealVector eased = share, free = share;
+            RealVector limited = share, unlimited = share;
             for (std::size_t i = 0; i < open.size(); ++i) {
-                const double most = ceiling(*open[i], size[i] / size.sum());
-                (most < 1 ? free : eased)[i] = 0;
-                eased[i] = std::min(eased[i], most);
+                const double max_share = share_limit(*open[i], size[i] / size.sum());
+                (max_share < 1 ? unlimited : limited)[i] = 0;
+                limited[i] = std::min(limited[i], max_share);
             }
-            all[k] =
-                free.sum() > 0 ? RealVector(eased + free * (1 - eased.sum()) / free.sum()) : share;
+            all[k] = unlimited.sum() > 0
+                         ? RealVector(limited + unlimited * (1 - limited.sum()) / unlimited.sum())
+                         : share;
         }
         return all;
     }
@@ -374,316 +413,378 @@
             }
         }
         for (const auto& [id, m] : members) {
-            channel.inbox.push_back(Wish{m.seen, m.share, warmth(m) < 1});
+            scheduler.mailbox.push_back(DesiredWeights{m.status, m.share, warm_up_fraction(m) < 1});
         }
-        channel.inbox.push_back(
-            Cold{std::ranges::any_of(open, [&](auto* m) { return warmth(*m) < 1; })});
-        std::erase_if(members, [](const auto& member) { return member.second.seen.gone(); });
+        scheduler.mailbox.push_back(WarmUpState{
+            std::ranges::any_of(open, [&](auto* m) { return warm_up_fraction(*m) < 1; })});
+        std::erase_if(members, [](const auto& member) { return member.second.status.gone(); });
     }
 };
 
-// ---- Levels
-// ----------------------------------------------------------------------------------------------
+// ---- Admission controller
 
-// Mechanism 3. Guards against a fleet that is late as a whole: when the median try is later than a
-// part of the soft deadline, less is let in than it bears, until answers are early. Failures
-// between zones that nothing comes back from don't count. It could harm where load isn't why: hence
-// the floor.
-struct Gate : Part {
-    Desk& desk;
-    Part &weigher, &channel;
-    RealVector came = RealVector(desk.settings.methods.size()),
-               level = RealVector(1.0, came.size());  // came: older RPCs fade
-    // Parts of base, what came for each RPC told of when last all were let in (whole): who is
-    // refused comes again. Bearable: once queues are short again. Told is summed over time, as what
-    // comes is.
-    double told = 0, telling = 0, window = 0, tries = 0, base = 1, let_in = 1, bearable = 1,
-           last = kLost;
-    bool whole = true;
-    int beats = 0;
-    std::map<ProxyId, double> joined{};
-    TimePoint next_cut{}, last_look{}, summed{};
+// Mechanism 3. Guards against a fleet that is late as a whole: when the median latency exceeds a
+// fraction of the soft deadline, it admits less than the fleet sustains until latencies are low.
+// Failures between zones without any success do not count. It could do harm if load is not the
+// cause, hence the minimum.
+struct AdmissionController : Component {
+    DecisionContext& context;
+    Component &optimizer, &scheduler;
+    RealVector requests = RealVector(context.settings.methods.size()),
+               admitted_by_method = RealVector(1.0, requests.size());  // requests decay
+    // admitted_fraction and sustainable_fraction refer to requests_per_announced, the ratio of
+    // requests to announced requests when all were last admitted (all_admitted), because rejected
+    // RPCs are sent again. sustainable_fraction holds once queues are short again.
+    // announced_requests is integrated over time like the requests.
+    double announced_requests = 0, announced_rate = 0, window_seconds = 0, attempts = 0,
+           requests_per_announced = 1, admitted_fraction = 1, sustainable_fraction = 1,
+           last_latency = kFailureLatency;
+    bool all_admitted = true;
+    int windows_closed = 0;
+    std::map<ProxyId, double> announced_rates{};
+    TimePoint next_reduction{}, last_evaluation{}, announced_until{};
     std::vector<std::pair<double, double>>
-        met{};  // answer times and their weights, since the last look
+        latency_samples{};  // latencies and attempts since the last evaluation
     std::map<std::pair<ZoneId, ZoneId>, std::pair<double, double>>
-        ways{};  // ok and bad, by both zones
+        outcomes{};  // successes and failures, by the zones of proxy and server
 
-    void on(const event::ProxyJoined& n) {
-        on(event::ProxyLeft{n.proxy}),
-            telling += joined[n.proxy] = std::max(n.rpcs_per_second, 1e-3);
+    void on(const event::ProxyJoined& message) {
+        on(event::ProxyLeft{message.proxy}), announced_rate += announced_rates[message.proxy] =
+                                                 std::max(message.rpcs_per_second, 1e-3);
+    }
+    void on(const event::ProxyLeft& message) {
+        update_announced_requests(), announced_rate -= announced_rates[message.proxy],
+            announced_rates.erase(message.proxy);
     }
-    void on(const event::ProxyLeft& n) {
-        sum_up(), telling -= joined[n.proxy], joined.erase(n.proxy);
+    void update_announced_requests() {
+        announced_requests +=
+            announced_rate * seconds(context.now - std::exchange(announced_until, context.now));
     }
-    void sum_up() { told += telling * seconds(desk.now - std::exchange(summed, desk.now)); }
-    void on(const event::DemandReport& note) { came[note.method.value] += note.requests; }
-    void on(const Met& note) {
-        auto& [ok, bad] = ways[{note.said.proxy_zone, note.at}];
-        ok += note.said.attempts - note.said.failures, bad += note.said.failures,
-            tries += note.said.attempts;
-        met.emplace_back(seconds(note.said.mean_latency), note.said.attempts - note.said.failures);
+    void on(const event::DemandReport& message) {
+        requests[message.method.value] += message.requests;
+    }
+    void on(const ZonedLoadReport& message) {
+        auto& [successes, failures] = outcomes[{message.report.proxy_zone, message.server_zone}];
+        successes += message.report.attempts - message.report.failures,
+            failures += message.report.failures, attempts += message.report.attempts;
+        latency_samples.emplace_back(seconds(message.report.mean_latency),
+                                     message.report.attempts - message.report.failures);
     }
 
-    void on(const Beat&) {
-        sum_up(), ++beats, window += seconds(desk.step);
-        const double all =
-            telling * std::max(1.0, desk.settings.proxy_count / std::max(1.0, 1.0 * joined.size()));
-        const double heard =
-            std::max(told / window, telling / 4);  // four times more would be guessed
-        weigher.inbox.push_back(Demand{came * level, std::max(1.0, all / heard), all});
-        weigher.inbox.push_back(Step{});  // behind what the servers have told it of this beat
-        told *= kMemory, window *= kMemory, came *= kMemory;
+    void on(const EvidenceWindowClosed&) {
+        update_announced_requests(), ++windows_closed, window_seconds += seconds(context.step);
+        const double total_rate =
+            announced_rate * std::max(1.0, context.settings.proxy_count /
+                                               std::max(1.0, 1.0 * announced_rates.size()));
+        const double observed_rate =
+            std::max(announced_requests / window_seconds,
+                     announced_rate / 4);  // at most a fourfold extrapolation
+        optimizer.mailbox.push_back(DemandEstimate{
+            requests * admitted_by_method, std::max(1.0, total_rate / observed_rate), total_rate});
+        optimizer.mailbox.push_back(
+            OptimizerStep{});  // after the trackers' statuses of this window
+        announced_requests *= kEvidenceRetention, window_seconds *= kEvidenceRetention,
+            requests *= kEvidenceRetention;
     }
 
-    void on(const Pulse&) {
-        if (desk.now < last_look + std::max(kLookEvery, desk.settings.report_interval) ||
-            tries < kEnough) {
+    void on(const Tick&) {
+        if (context.now <
+                last_evaluation + std::max(kEvaluationInterval, context.settings.report_interval) ||
+            attempts < kMinAttempts) {
             return;
         }
-        const bool ok =
-            std::any_of(ways.begin(), ways.end(), [](auto& way) { return way.second.first > 0; });
-        for (auto [_, n] : ways) {
-            if (!ok || n.first > 0 || n.second < kCut) {
-                met.emplace_back(kLost, n.second);
+        const bool any_success = std::any_of(outcomes.begin(), outcomes.end(), [](auto& outcome) {
+            return outcome.second.first > 0;
+        });
+        for (auto [_, counts] : outcomes) {
+            if (!any_success || counts.first > 0 || counts.second < kPartitionFailures) {
+                latency_samples.emplace_back(kFailureLatency, counts.second);
             }
         }
-        const double answer = middle(std::exchange(met, {}));
-        // What is heard is two looks old, and queues grow on meanwhile.
-        const double ahead =
-            std::clamp(3 * answer - 2 * std::exchange(last, answer), answer, 1.5 * answer);
-        ways.clear(), tries = 0;
-        if (whole) {
-            base = std::max(rate(), beats < 2 ? 1.0 : 0.0);  // less is heard at first than came
-        }
-        if (ahead > aim && desk.now >= next_cut) {
-            bearable = std::max(bearable * kBackOff, 2 * kLeastLetIn);
-            let_in = std::max(bearable * std::max(aim / ahead, 0.5), kLeastLetIn), whole = false;
-            const Duration on_the_way{
-                static_cast<Duration::rep>(3 * aim / seconds(Duration{1}))};  // heard late
-            next_cut = desk.now +
-                       2 * (desk.settings.max_message_delay + desk.settings.report_interval) +
-                       on_the_way;
-        } else if (answer < 0.75 * aim) {
-            bearable *= 1 + kGrowth * (1 - answer / aim) * seconds(desk.now - last_look);
-            let_in = std::min(bearable, let_in * 1.5);
-        }
-        last_look = desk.now, share_out();
+        const double latency = weighted_median(std::exchange(latency_samples, {}));
+        // Reports are two evaluations old, and queues keep growing meanwhile.
+        const double expected_latency = std::clamp(
+            3 * latency - 2 * std::exchange(last_latency, latency), latency, 1.5 * latency);
+        outcomes.clear(), attempts = 0;
+        if (all_admitted) {
+            requests_per_announced = std::max(
+                demand_ratio(),
+                windows_closed < 2 ? 1.0
+                                   : 0.0);  // at first, fewer requests are reported than arrived
+        }
+        if (expected_latency > latency_objective && context.now >= next_reduction) {
+            sustainable_fraction =
+                std::max(sustainable_fraction * kReductionFactor, 2 * kMinAdmittedFraction);
+            admitted_fraction =
+                std::max(sustainable_fraction * std::max(latency_objective / expected_latency, 0.5),
+                         kMinAdmittedFraction),
+            all_admitted = false;
+            const Duration in_flight{static_cast<Duration::rep>(
+                3 * latency_objective / seconds(Duration{1}))};  // their reports arrive late
+            next_reduction =
+                context.now +
+                2 * (context.settings.max_message_delay + context.settings.report_interval) +
+                in_flight;
+        } else if (latency < 0.75 * latency_objective) {
+            sustainable_fraction *= 1 + kGrowthPerSecond * (1 - latency / latency_objective) *
+                                            seconds(context.now - last_evaluation);
+            admitted_fraction = std::min(sustainable_fraction, admitted_fraction * 1.5);
+        }
+        last_evaluation = context.now, distribute_admission();
     }
-    static constexpr Duration kLookEvery = std::chrono::seconds(1);  // a fleet jams within a few
-    static constexpr double kEnough = 20, kLost = 3600;  // tries for a median; seconds: no answer
-    static constexpr double kCut =
-        8;  // bad ones alone: by chance in 1 of 256 looks, where a half is bad
-    // A second, of what the answers leave; a mean so late puts a quarter of exponential answers
-    // past it.
-    static constexpr double kGrowth = 0.2, kAim = 0.7, kLeastLetIn = 0.15, kBackOff = 0.85;
-    const double aim = kAim * shortest_soft_deadline(desk.settings);
+    static constexpr Duration kEvaluationInterval =
+        std::chrono::seconds(1);  // a fleet becomes overloaded within a few seconds
+    static constexpr double kMinAttempts = 20,
+                            kFailureLatency =
+                                3600;  // attempts for a median; seconds, for a failure
+    static constexpr double kPartitionFailures =
+        8;  // failures without a success: a chance of 1 in 256 if half of the attempts fail
+    // Growth per second, times the unused part of the objective; with a mean latency at the
+    // objective, a quarter of exponential latencies exceeds the deadline.
+    static constexpr double kGrowthPerSecond = 0.2, kObjectivePerDeadline = 0.7,
+                            kMinAdmittedFraction = 0.15, kReductionFactor = 0.85;
+    const double latency_objective =
+        kObjectivePerDeadline * shortest_soft_deadline(context.settings);
 
-    double rate() { return sum_up(), came.sum() / std::max(told, 1e-9); }
-    void share_out() {  // least criticality first
-        if (desk.settings.admission_kind != AdmissionKind::fraction) {
-            return;  // no other level goes out: all are let in
-        }
-        std::multimap<double, std::size_t> order;
-        if (whole |= let_in * base >= rate()) {
-            let_in = bearable = 1, base = rate();
-        }
-        double spare = (1 - let_in * base / std::max(rate(), 1e-9)) * came.sum();
-        for (std::size_t m = 0; m < came.size(); ++m) {
-            order.emplace(desk.settings.methods[m].criticality, m);
-        }
-        for (const auto& [criticality, m] : order) {
-            const double cut = std::min(spare, came[m]);
-            level[m] = came[m] > 0 ? 1 - cut / came[m] : 1, spare -= cut;
-        }
-        channel.inbox.push_back(Levels{level});
+    double demand_ratio() {
+        return update_announced_requests(), requests.sum() / std::max(announced_requests, 1e-9);
+    }
+    void distribute_admission() {  // rejects the least critical methods first
+        if (context.settings.admission_kind != AdmissionKind::fraction) {
+            return;  // no other kind of level is sent: all are admitted
+        }
+        std::multimap<double, std::size_t> methods_by_criticality;
+        if (all_admitted |= admitted_fraction * requests_per_announced >= demand_ratio()) {
+            admitted_fraction = sustainable_fraction = 1, requests_per_announced = demand_ratio();
+        }
+        double excess =
+            (1 - admitted_fraction * requests_per_announced / std::max(demand_ratio(), 1e-9)) *
+            requests.sum();
+        for (std::size_t m = 0; m < requests.size(); ++m) {
+            methods_by_criticality.emplace(context.settings.methods[m].criticality, m);
+        }
+        for (const auto& [criticality, m] : methods_by_criticality) {
+            const double rejected = std::min(excess, requests[m]);
+            admitted_by_method[m] = requests[m] > 0 ? 1 - rejected / requests[m] : 1,
+            excess -= rejected;
+        }
+        scheduler.mailbox.push_back(AdmissionFractions{admitted_by_method});
     }
 };
 
-// ---- The channel: what goes to the proxies, and when
-// -----------------------------------------------------
+// ---- Update scheduler: which orders go to the proxies, and when
 
-// Mechanism 5. Guards against proxies that go by what no longer holds and a channel choked by its
-// own orders: what must stop goes first, as withdrawals; learnt changes keep to half the pace; who
-// joins is bound in what room is left, busiest first. Answered marks tell what waits; where they
-// get lost the told pace frees room.
-struct Channel : Part {
-    // Mechanism 4. Only on proof that the first never ran; none while a level is cut or a server
-    // cold.
-    static constexpr RetryPolicy kFurther = RetryPolicy::once_if_not_executed;
+// Mechanism 5. Guards against proxies that act on outdated tables and against a channel congested
+// by its own orders. Withdrawals go first; learnt changes use at most half of the pace; joined
+// proxies are bound with the rest of the window, the busiest first. Acknowledgements show what is
+// pending; if they get lost, the configured pace frees the window.
+struct UpdateScheduler : Component {
+    // Mechanism 4. Retries only with proof that the first attempt was not executed; none while an
+    // admission level is reduced or a server is cold.
+    static constexpr RetryPolicy kRetryPolicy = RetryPolicy::once_if_not_executed;
     struct Entry {
         RealVector wanted, sent;  // shares by pool
-        bool out = false, shaky = false,
-             cold = false;  // withdrawn; may be shut out at a proxy that joins
-        int known_to = 0;   // the last to join of the proxies that were told that it is out
+        bool withdrawn = false, may_be_withdrawn = false,
+             warming_up = false;     // may_be_withdrawn: at a proxy that joins
+        int last_notified_join = 0;  // the last join among the proxies that know of the withdrawal
         ZoneId zone{};
         std::size_t subset = 0;
-        // Since when it should be, when first it was, last heard of; part of the latest tries.
-        TimePoint due{}, left{}, wished{};
-        double ok = 1;
+        // Times when the withdrawal was due, when it was first sent, and of the last message about
+        // the server; then the successful fraction of the latest attempts.
+        TimePoint withdrawal_due{}, withdrawn_at{}, updated_at{};
+        double success_fraction = 1;
     };
-    // Of one zone or all; servers and shares by pool, RPCs a second of its proxies; jammed if fit
-    // is below 0.
+    // Serves one zone or all. Endpoint counts and share sums are by pool, the rate is that of its
+    // proxies; it is overloaded if its success margin is negative.
     struct Subset {
         std::optional<ZoneId> zone;
-        RealVector dealt, held;
-        double rate, fit;
-        std::set<ProxyId> all;
+        RealVector endpoint_counts, share_sums;
+        double rpcs_per_second, success_margin;
+        std::set<ProxyId> proxies;
     };
-    Desk& desk;
-    std::vector<Binding> bindings{};  // by pool
+    DecisionContext& context;
+    std::vector<PoolBinding> bindings{};  // by pool
     std::map<ServerId, Entry> servers{};
     std::vector<Subset> subsets{};
-    std::map<ProxyId, Bound> bound{};
-    std::map<std::tuple<bool, double, ProxyId>, Loose> unbound{};  // in the order of binding
-    std::deque<Handover> handovers{};
-    std::deque<Change> plan{};
-    int pressed = 0;  // withdrawals in it, the first due since oldest
-    bool stale = false, again = false, cold = false, braked = false, sent_never = false;
-    RealVector wanted_levels = RealVector(1.0, desk.settings.methods.size());
-    // Where proxies do not try so by themselves, the first level tells them.
-    RealVector sent_levels = RealVector(desk.settings.default_retry_policy == kFurther ? 1.0 : 0.0,
-                                        desk.settings.methods.size());
-    const double head = desk.settings.overhead_lines_per_message + 1;  // and a mark
-    const double top = desk.settings.admission_kind == AdmissionKind::rate
-                           ? 1e6
-                           : 1;  // lets all in: none gets so many
-    Ledger ledger{};             // charged with no fewer lines than are written
-    double allowance = 0;
-    int joinings = 0;  // lines that learnt changes may use; how many joined
-    TimePoint counted{}, answered{}, next_pressing{}, next_learnt{}, oldest{};
-    std::deque<ProxyId> few_bound{};  // to tables of their own, in order; some have left since
-    bool levels_told = false;
-    int owed = 0;  // withdrawals that each proxy which is not bound has to hear, at the last plan
-    void on(const Resubscribe&) { desk.orders.push_back(order::Subscribe{}); }
-    void on(const Binding& note) { bindings.push_back(note); }
-    void on(const Levels& note) { wanted_levels = note.amounts; }
-    void on(const Cold& note) { cold = note.any; }
-    void on(const Handover& note) { handovers.push_back(note); }
-    void on(const event::ProxyJoined& note) {
-        on(event::ProxyLeft{note.proxy}), again = true;
-        unbound[{!note.initial_table_only, -note.rpcs_per_second, note.proxy}] = {note.zone,
-                                                                                  ++joinings};
+    std::map<ProxyId, BoundProxy> bound_proxies{};
+    std::map<std::tuple<bool, double, ProxyId>, UnboundProxy>
+        unbound_proxies{};  // in the order in which they are bound
+    std::deque<OwnershipTransfer> transfers{};
+    std::deque<Change> pending_changes{};
+    int pending_withdrawals = 0;  // among pending_changes; the first has been due since oldest_due
+    bool weights_changed = false, proxy_joined = false, warming_up = false,
+         admission_paused = false, sent_no_retries = false;
+    RealVector wanted_admission = RealVector(1.0, context.settings.methods.size());
+    // If this is not the proxies' default retry policy, the first admission level carries it.
+    RealVector sent_admission =
+        RealVector(context.settings.default_retry_policy == kRetryPolicy ? 1.0 : 0.0,
+                   context.settings.methods.size());
+    const double lines_per_message =
+        context.settings.overhead_lines_per_message + 1;  // with the nonce
+    const double full_admission = context.settings.admission_kind == AdmissionKind::rate
+                                      ? 1e6
+                                      : 1;  // admits everything: no proxy gets so many RPCs
+    SendWindow send_window{};               // charged with no fewer lines than are written
+    double learnt_allowance = 0;            // lines that learnt changes may use
+    int last_join = 0;                      // number of joins
+    TimePoint last_tick{}, last_acknowledgement{}, next_urgent_round{}, next_learnt_round{},
+        oldest_due{};
+    std::deque<ProxyId>
+        partially_bound{};  // bound to tables of their own, in sequence; some may have left
+    bool admission_sent = false;
+    int owed_withdrawals = 0;  // withdrawals that each unbound proxy must get, as of the last plan
+    void on(const RenewSubscription&) { context.orders.push_back(order::Subscribe{}); }
+    void on(const PoolBinding& message) { bindings.push_back(message); }
+    void on(const AdmissionFractions& message) { wanted_admission = message.by_method; }
+    void on(const WarmUpState& message) { warming_up = message.any_warming_up; }
+    void on(const OwnershipTransfer& message) { transfers.push_back(message); }
+    void on(const event::ProxyJoined& message) {
+        on(event::ProxyLeft{message.proxy}), proxy_joined = true;
+        unbound_proxies[{!message.initial_table_only, -message.rpcs_per_second, message.proxy}] = {
+            message.zone, ++last_join};
     }
-    void on(const event::ProxyLeft& note) {
-        std::erase_if(unbound, [&](auto& at) { return std::get<ProxyId>(at.first) == note.proxy; });
-        release(note.proxy), ledger.left(note.proxy);
+    void on(const event::ProxyLeft& message) {
+        std::erase_if(unbound_proxies,
+                      [&](auto& at) { return std::get<ProxyId>(at.first) == message.proxy; });
+        release(message.proxy), send_window.on_proxy_left(message.proxy);
     }
     void on(const event::Acknowledgement& n) {
-        if (ledger.answered(n.proxy, n.nonce)) {
-            answered = desk.now;
+        if (send_window.on_acknowledgement(n.proxy, n.nonce)) {
+            last_acknowledgement = context.now;
         }
     }
-    void on(const Wish& note) {
-        Entry& entry = servers[note.seen.entry.server];
+    void on(const DesiredWeights& message) {
+        Entry& entry = servers[message.status.entry.server];
         if (entry.sent.size() == 0) {
-            entry.sent = 0 * note.shares;
+            entry.sent = 0 * message.shares;
         }
-        entry.wanted = note.shares, entry.wished = desk.now, stale = true;
-        entry.zone = note.seen.entry.zone, entry.shaky |= !note.seen.steady, entry.cold = note.cold;
+        entry.wanted = message.shares, entry.updated_at = context.now, weights_changed = true;
+        entry.zone = message.status.entry.zone, entry.may_be_withdrawn |= !message.status.steady,
+        entry.warming_up = message.warming_up;
     }
-    void on(const event::EndpointLoadReport& met) {
-        const auto at = servers.find(met.server);
+    void on(const event::EndpointLoadReport& report) {
+        const auto at = servers.find(report.server);
         if (at != servers.end()) {
-            at->second.ok = 1 - met.failures / met.attempts, stale |= cold;
+            at->second.success_fraction = 1 - report.failures / report.attempts,
+            weights_changed |= warming_up;
         }
     }
-    void on(const Pulse&) {
-        const double span = seconds(desk.now - std::exchange(counted, desk.now));
-        const double pace = desk.settings.channel_lines_per_second;
-        if (ledger.waiting() == 0) {
-            answered = desk.now;
-        }
-        const bool silent = desk.now > answered + 4 * desk.settings.max_message_delay;
-        ledger.pass(pace * span, kSurePace * pace * span, silent);
-        allowance = std::min(allowance + pace / 2 * span, pace * 2);
-        if (stale || again) {
-            make_plan();
+    void on(const Tick&) {
+        const double elapsed = seconds(context.now - std::exchange(last_tick, context.now));
+        const double pace = context.settings.channel_lines_per_second;
+        if (send_window.pending() == 0) {
+            last_acknowledgement = context.now;
+        }
+        const bool acknowledgements_stopped =
+            context.now > last_acknowledgement + 4 * context.settings.max_message_delay;
+        send_window.pass(pace * elapsed, kAssuredPaceFraction * pace * elapsed,
+                         acknowledgements_stopped);
+        learnt_allowance = std::min(learnt_allowance + pace / 2 * elapsed, pace * 2);
+        if (weights_changed || proxy_joined) {
+            plan_changes();
         }
         if (subsets.size() > 1) {
-            bind_joined(), bind_whole(), even_out();
+            bind_waiting_proxies(), complete_partial_bindings(), rebalance();
         }
-        // Withdrawals wait while proxies are bound that would otherwise have to be told each.
-        const bool soon = subsets.size() > 1 && !unbound.empty();
-        if (!soon || desk.now >= oldest + desk.settings.drain_grace / 4) {
+        // Withdrawals wait while proxies are being bound, as each unbound proxy would have to get
+        // each of them.
+        const bool bindings_pending = subsets.size() > 1 && !unbound_proxies.empty();
+        if (!bindings_pending || context.now >= oldest_due + context.settings.drain_grace / 4) {
             send_changes();
         }
         if (subsets.size() == 1) {
-            bind_joined(), bind_whole();
+            bind_waiting_proxies(), complete_partial_bindings();
         }
-        if (const auto mark = ledger.mark()) {
-            desk.orders.push_back(order::SendNonce{*mark, false});
+        if (const auto nonce = send_window.next_nonce()) {
+            context.orders.push_back(order::SendNonce{*nonce, false});
         }
     }
 
-    static constexpr double kSurePace = 0.6;  // of the told pace: what a channel surely sends
-    // The design's: share changes over a tenth go out, a message counts so. A level bears on all
-    // RPCs.
-    static constexpr double kWorthSending = 0.1, kDesignHead = 6, kLevelWorthSending = 0.03;
-    static constexpr int kForgotten = 8;       // steps after which no report comes
-    static constexpr double kBeforeAll = 1e6;  // larger than any change of a share
-    // Of the limit on waiting lines. Bindings leave half of it, learnt changes most of the grace
-    // too.
-    static constexpr double kLastRoom = 0.9, kOfGrace = 0.15, kJammed = 0.4;  // tries that are ok
-    // Bindings of all take so much of the grace; so many tables a proxy, servers a subset. Loads
-    // that differ by more than chance move proxies; one of another zone counts so much more.
-    static constexpr double kBindGrace = 0.2, kTables = 0.4, kLeastSubset = 8, kUneven = 1.25,
-                            kAway = 1.5;
-    // What comes together shares a message; learnt changes save more heads than waiting costs them.
-    static constexpr Duration kMerge = std::chrono::milliseconds(200),
-                              kMergeLearnt = std::chrono::seconds(1);
+    static constexpr double kAssuredPaceFraction =
+        0.6;  // of the configured pace, which the channel reaches in any case
+    // From the original design: weight changes above a tenth are sent, and a message counts as so
+    // many lines. An admission level affects all RPCs, so smaller changes are sent.
+    static constexpr double kMinRelativeWeightChange = 0.1, kDesignLinesPerMessage = 6,
+                            kMinFractionChange = 0.03;
+    static constexpr int kStepsUntilExpired = 8;  // after so many steps no report arrives any more
+    static constexpr double kBeforeAllWeights = 1e6;  // larger than any change of a weight
+    // Fraction of the limit of pending lines that is used. Bindings leave half of that free, and
+    // learnt changes also most of the grace.
+    static constexpr double kWindowFraction = 0.9, kLearntGraceFraction = 0.15,
+                            kOverloadedSuccessFraction = 0.4;  // fraction of successful attempts
+    // The fraction of the grace that binding all proxies may take; tables per proxy; servers per
+    // subset. Proxies move if loads differ by more than chance; the load of a subset of another
+    // zone counts for more.
+    static constexpr double kBindingGraceFraction = 0.2, kTablesPerProxy = 0.4, kMinSubsetSize = 8,
+                            kMinRebalanceLoadRatio = 1.25, kRemoteLoadFactor = 1.5;
+    // Changes within the interval share a message. For learnt changes, fewer messages save more
+    // than the delay costs.
+    static constexpr Duration kMergeInterval = std::chrono::milliseconds(200),
+                              kLearntMergeInterval = std::chrono::seconds(1);
 
-    double room(int rank) const {  // below 0: bindings
-        const double most = kLastRoom * desk.settings.max_pending_lines;
-        const double in_grace =
-            kOfGrace * seconds(desk.settings.drain_grace) * desk.settings.channel_lines_per_second;
+    double available_window(int rank) const {  // negative: bindings
+        const double max_lines = kWindowFraction * context.settings.max_pending_lines;
+        const double in_grace = kLearntGraceFraction * seconds(context.settings.drain_grace) *
+                                context.settings.channel_lines_per_second;
         const double half =
-            subsets.size() > 1 && rank < 0 ? std::min(most / 2, 2 * in_grace) : most / 2;
-        return (rank == 0 ? most : rank < 0 ? half : std::min(half, in_grace)) - ledger.waiting();
+            subsets.size() > 1 && rank < 0 ? std::min(max_lines / 2, 2 * in_grace) : max_lines / 2;
+        return (rank == 0  ? max_lines
+                : rank < 0 ? half
+                           : std::min(half, in_grace)) -
+               send_window.pending();
     }
 
-    // Mechanism 7. Guards against a channel that can't carry tables of all servers, nor each
-    // withdrawal, to all proxies in time: servers are dealt out, a proxy holds one subset. It could
-    // harm where few are left in one: proxies move on then.
-    void deal_out() {
-        if (bound.empty() &&
+    // Mechanism 7. Guards against a channel that can't carry tables of all servers, or each
+    // withdrawal, to all proxies in time: the servers are divided into subsets, and a proxy gets
+    // one subset. It could do harm if few servers are left in one; then proxies move to others.
+    void assign_subsets() {
+        if (bound_proxies.empty() &&
             std::ranges::all_of(servers, [](auto& s) { return s.second.sent.sum() == 0; })) {
-            double table = 0;
+            double table_size = 0;
             for (const auto& [id, entry] : servers) {
                 for (double share : entry.wanted) {
-                    table += share > 0;
+                    table_size += share > 0;
                 }
             }
             const double proxies =
-                1.0 * std::max(1, desk.settings.proxy_count) / desk.settings.planner_count;
-            const double in_time = kBindGrace * seconds(desk.settings.drain_grace) *
-                                   desk.settings.channel_lines_per_second;
-            const double most = in_time / proxies - head - 2.0 * sent_levels.size();
-            const double fit = std::ceil(table / std::max(most, kLeastSubset * bindings.size()));
-            const double parts =
-                std::min(fit, kTables * proxies / std::max(1.0, 1.0 * bindings.size()));
-            const double zones = desk.settings.zone_count > 1 && parts >= desk.settings.zone_count
-                                     ? desk.settings.zone_count
-                                     : 1;
+                1.0 * std::max(1, context.settings.proxy_count) / context.settings.planner_count;
+            const double lines_in_time = kBindingGraceFraction *
+                                         seconds(context.settings.drain_grace) *
+                                         context.settings.channel_lines_per_second;
+            const double max_table_lines =
+                lines_in_time / proxies - lines_per_message - 2.0 * sent_admission.size();
+            const double fitting_count =
+                std::ceil(table_size / std::max(max_table_lines, kMinSubsetSize * bindings.size()));
+            const double subset_count = std::min(
+                fitting_count, kTablesPerProxy * proxies / std::max(1.0, 1.0 * bindings.size()));
+            const double zones =
+                context.settings.zone_count > 1 && subset_count >= context.settings.zone_count
+                    ? context.settings.zone_count
+                    : 1;
             subsets.assign(
-                static_cast<std::size_t>(std::max(1.0, std::ceil(parts / zones) * zones)), {});
+                static_cast<std::size_t>(std::max(1.0, std::ceil(subset_count / zones) * zones)),
+                {});
             for (int p = 0; zones > 1 && p < std::ssize(subsets); ++p) {
                 subsets[p].zone = {p % int(zones)};
             }
-            // Who is out kept the number of a subset that may not be there any more: read and
-            // written past the end.
+            // Withdrawn servers keep their subset number. Without this limit, the number of a
+            // subset that no longer exists would cause accesses out of bounds.
             for (auto& [id, entry] : servers) {
                 entry.subset = std::min(entry.subset, subsets.size() - 1);
             }
         }
-        const auto uses = [](RealVector share) { return share[share > 0.0] = 1, share; };
+        const auto one_if_used = [](RealVector share) { return share[share > 0.0] = 1, share; };
         for (Subset& subset : subsets) {
-            subset.dealt = subset.held = RealVector(bindings.size()), subset.fit = 0;
+            subset.endpoint_counts = subset.share_sums = RealVector(bindings.size()),
+            subset.success_margin = 0;
         }
         for (auto& [id, e] : servers) {
             if (e.sent.sum() > 0) {
-                subsets[e.subset].held += e.wanted, subsets[e.subset].dealt += uses(e.wanted);
-                if (!e.cold) {
-                    subsets[e.subset].fit += (e.ok - kJammed) * e.wanted.sum();
+                subsets[e.subset].share_sums += e.wanted,
+                    subsets[e.subset].endpoint_counts += one_if_used(e.wanted);
+                if (!e.warming_up) {
+                    subsets[e.subset].success_margin +=
+                        (e.success_fraction - kOverloadedSuccessFraction) * e.wanted.sum();
                 }
             }
         }
@@ -691,162 +792,180 @@
             if (entry.sent.sum() > 0 || entry.wanted.sum() == 0) {
                 continue;
             }
-            const auto like = [&](const Subset& s) {
-                const bool away = s.zone.value_or(entry.zone) != entry.zone;
-                return std::pair(away, (s.dealt * uses(entry.wanted)).sum());
+            const auto preference = [&](const Subset& s) {
+                const bool is_remote = s.zone.value_or(entry.zone) != entry.zone;
+                return std::pair(is_remote, (s.endpoint_counts * one_if_used(entry.wanted)).sum());
             };
-            const auto fewest = std::ranges::min_element(subsets, {}, like);
-            entry.subset = fewest - subsets.begin(), fewest->dealt += uses(entry.wanted);
+            const auto fewest = std::ranges::min_element(subsets, {}, preference);
+            entry.subset = fewest - subsets.begin(),
+            fewest->endpoint_counts += one_if_used(entry.wanted);
         }
     }
     TableId table_of(std::size_t pool, std::size_t subset) const {
         return {bindings[pool].table.value + static_cast<int>(subset * bindings.size())};
     }
-    bool meant_for(std::size_t pool, ZoneId zone) const {
+    bool is_used_in(std::size_t pool, ZoneId zone) const {
         return bindings[pool].zone.value_or(zone) == zone;
     }
-    // RPCs of a subset's proxies, and of one more, for each part of the pool that it has least of.
-    double load(std::size_t subset, ZoneId zone, double more) const {
-        double least = 1;
+    // Returns the RPC rate of a subset's proxies plus extra_rate, divided by its smallest share of
+    // a pool.
+    double load(std::size_t subset, ZoneId zone, double extra_rate) const {
+        double min_share = 1;
         for (std::size_t k = 0; k < bindings.size(); ++k) {
-            if (meant_for(k, zone)) {
-                double all = 0;
+            if (is_used_in(k, zone)) {
+                double share_sum = 0;
                 for (const Subset& other : subsets) {
-                    all += other.held[k];
+                    share_sum += other.share_sums[k];
                 }
-                if (all > 0) {
-                    least = std::min(least, subsets[subset].held[k] / all);
+                if (share_sum > 0) {
+                    min_share = std::min(min_share, subsets[subset].share_sums[k] / share_sum);
                 }
             }
         }
-        const bool away = subsets[subset].zone.value_or(zone) != zone;
-        return (subsets[subset].rate + more) / std::max(least, 1e-9) * (away ? kAway : 1);
+        const bool is_remote = subsets[subset].zone.value_or(zone) != zone;
+        return (subsets[subset].rpcs_per_second + extra_rate) / std::max(min_share, 1e-9) *
+               (is_remote ? kRemoteLoadFactor : 1);
     }
-    std::size_t lightest(ZoneId zone, double more) const {
-        const auto its = [&](std::size_t p) { return load(p, zone, more); };
-        return std::ranges::min(std::views::iota(std::size_t{0}, subsets.size()), {}, its);
+    std::size_t least_loaded_subset(ZoneId zone, double extra_rate) const {
+        const auto load_of = [&](std::size_t p) { return load(p, zone, extra_rate); };
+        return std::ranges::min(std::views::iota(std::size_t{0}, subsets.size()), {}, load_of);
     }
     void release(ProxyId proxy) {
-        const auto at = bound.extract(proxy);
+        const auto at = bound_proxies.extract(proxy);
         if (!at) {
             return;
         }
-        subsets[at.mapped().subset].all.erase(proxy),
-            subsets[at.mapped().subset].rate -= at.mapped().rate;
-        for (std::size_t k = 0; at.mapped().few && k < bindings.size(); ++k) {
-            desk.orders.push_back(order::ClearTable{table_of(k, own_table(proxy))});
+        subsets[at.mapped().subset].proxies.erase(proxy),
+            subsets[at.mapped().subset].rpcs_per_second -= at.mapped().rpcs_per_second;
+        for (std::size_t k = 0; at.mapped().partial && k < bindings.size(); ++k) {
+            context.orders.push_back(order::ClearTable{table_of(k, own_table_set(proxy))});
         }
     }
-    // One proxy after the other moves from the most loaded subset.
-    void even_out() {
-        if (!unbound.empty() || desk.settings.max_messages_per_proxy > 0) {
+    // Moves proxies from the most loaded subset, one after another.
+    void rebalance() {
+        if (!unbound_proxies.empty() || context.settings.max_messages_per_proxy > 0) {
             return;
         }
-        for (double cost = 1; cost > 0; allowance -= cost) {
-            const auto its = [&](std::size_t p) {
+        for (double cost = 1; cost > 0; learnt_allowance -= cost) {
+            const auto load_of = [&](std::size_t p) {
                 return load(p, subsets[p].zone.value_or(ZoneId{}), 0);
             };
-            const auto most =
-                std::ranges::max(std::views::iota(std::size_t{0}, subsets.size()), {}, its);
-            if (subsets[most].all.empty()) {
+            const auto most_loaded =
+                std::ranges::max(std::views::iota(std::size_t{0}, subsets.size()), {}, load_of);
+            if (subsets[most_loaded].proxies.empty()) {
                 return;
             }
-            const ProxyId proxy = *subsets[most].all.begin();
-            const auto [zone, rate, from, few] = bound.at(proxy);
-            const std::size_t to = lightest(zone, rate);
-            if (to == most || load(most, zone, 0) < kUneven * load(to, zone, rate)) {
+            const ProxyId proxy = *subsets[most_loaded].proxies.begin();
+            const auto [zone, rate, from, partial] = bound_proxies.at(proxy);
+            const std::size_t to = least_loaded_subset(zone, rate);
+            if (to == most_loaded ||
+                load(most_loaded, zone, 0) < kMinRebalanceLoadRatio * load(to, zone, rate)) {
                 return;
             }
-            cost = bind(proxy, zone, rate, to, std::min(room(1), allowance));
+            cost = bind(proxy, zone, rate, to, std::min(available_window(1), learnt_allowance));
         }
     }
 
-    void make_plan() {
-        plan.clear(), pressed = 0, oldest = desk.now, deal_out();
-        // Guards against a cold server alone among jammed ones: proxies shut these out by
-        // themselves, and all that they have would come to it, however small its part. It costs
-        // capacity.
+    void plan_changes() {
+        pending_changes.clear(), pending_withdrawals = 0, oldest_due = context.now,
+                                 assign_subsets();
+        // Guards against a cold server alone among overloaded ones: proxies stop sending to those
+        // by themselves, and would send everything to the cold server, however small its share. It
+        // costs capacity.
         for (auto& [id, e] : servers) {
-            if (e.cold && subsets[e.subset].fit < 0) {
+            if (e.warming_up && subsets[e.subset].success_margin < 0) {
                 e.wanted = 0;
             }
         }
-        const int newest = unbound.empty() ? 0 : joinings;  // of those that are not bound
-        RealVector had(bindings.size()),
-            meant(bindings.size());  // of the servers that stay in use, by pool
+        const int newest_join =
+            unbound_proxies.empty() ? 0 : last_join;  // among the unbound proxies
+        RealVector sent_sums(bindings.size()),
+            wanted_sums(bindings.size());  // of the servers that stay in use, by pool
         for (const auto& [id, entry] : servers) {
-            for (int k = 0; k < std::ssize(bindings) && !entry.out; ++k) {
+            for (int k = 0; k < std::ssize(bindings) && !entry.withdrawn; ++k) {
                 if (entry.sent[k] * entry.wanted[k] > 0) {
-                    had[k] += entry.sent[k], meant[k] += entry.wanted[k];
+                    sent_sums[k] += entry.sent[k], wanted_sums[k] += entry.wanted[k];
                 }
             }
         }
-        // Gone: nobody speaks of it any more. Its lines go first, or whoever is bound later would
-        // get them.
-        const TimePoint old = desk.now - kForgotten * desk.step;
-        const auto over = [old](const Entry& entry) { return entry.out && entry.wished < old; };
+        // Erases servers without news for long. Their entries are removed first, as proxies that
+        // are bound later would get them.
+        const TimePoint expiry_time = context.now - kStepsUntilExpired * context.step;
+        const auto is_expired = [expiry_time](const Entry& entry) {
+            return entry.withdrawn && entry.updated_at < expiry_time;
+        };
         std::erase_if(servers,
-                      [&](auto& at) { return over(at.second) && at.second.sent.sum() == 0; });
+                      [&](auto& at) { return is_expired(at.second) && at.second.sent.sum() == 0; });
         for (auto& [server, entry] : servers) {
-            // Weights are relative: what a wave of withdrawals does to all others alike takes no
-            // line.
-            for (std::size_t k = 0; k < had.size(); ++k) {
-                if (had[k] > 0) {
-                    entry.wanted[k] *= had[k] / meant[k];
+            // Weights are relative: scales them so that a wave of withdrawals, which affects all
+            // others alike, costs no lines.
+            for (std::size_t k = 0; k < sent_sums.size(); ++k) {
+                if (sent_sums[k] > 0) {
+                    entry.wanted[k] *= sent_sums[k] / wanted_sums[k];
                 }
             }
-            const bool out = entry.wanted.sum() == 0;
-            const TimePoint told =
-                entry.left + desk.settings.drain_grace + desk.settings.max_message_delay;
-            const bool repeat =
-                out && entry.out && again && desk.now < told && entry.known_to < newest;
-            if (!out || entry.due == TimePoint{}) {
-                entry.due = out ? desk.now : TimePoint{};
+            const bool must_withdraw = entry.wanted.sum() == 0;
+            const TimePoint grace_end = entry.withdrawn_at + context.settings.drain_grace +
+                                        context.settings.max_message_delay;
+            const bool is_repeated = must_withdraw && entry.withdrawn && proxy_joined &&
+                                     context.now < grace_end &&
+                                     entry.last_notified_join < newest_join;
+            if (!must_withdraw || entry.withdrawal_due == TimePoint{}) {
+                entry.withdrawal_due = must_withdraw ? context.now : TimePoint{};
             }
-            if (out != entry.out || repeat) {
-                // The longest due first; then, for who has just joined, the latest; then who is
-                // back.
-                const double due = seconds((repeat ? told : entry.due).time_since_epoch());
-                const double size = repeat ? 1e12 - due
-                                    : out  ? due
-                                           : -kBeforeAll * (1 + entry.wanted.sum());
-                plan.push_back({out || had.max() == 0 ? 0 : 1, size, server, -1});
-                if (out && !repeat) {
-                    ++pressed, oldest = std::min(oldest, entry.due);
+            if (must_withdraw != entry.withdrawn || is_repeated) {
+                // Sorts withdrawals by due time, then repeated ones for proxies that have just
+                // joined, the latest first; reinstatements by weight.
+                const double due_seconds =
+                    seconds((is_repeated ? grace_end : entry.withdrawal_due).time_since_epoch());
+                const double sort_key = is_repeated ? 1e12 - due_seconds
+                                        : must_withdraw
+                                            ? due_seconds
+                                            : -kBeforeAllWeights * (1 + entry.wanted.sum());
+                pending_changes.push_back(
+                    {must_withdraw || sent_sums.max() == 0 ? 0 : 1, sort_key, server, -1});
+                if (must_withdraw && !is_repeated) {
+                    ++pending_withdrawals, oldest_due = std::min(oldest_due, entry.withdrawal_due);
                 }
                 continue;
             }
             for (std::size_t k = 0; k < bindings.size(); ++k) {
                 const double wanted = entry.wanted[k], sent = entry.sent[k],
                              size = std::abs(wanted - sent);
-                if (size <= (wanted > 0 && sent > 0 ? kWorthSending * sent : 0)) {
+                if (size <= (wanted > 0 && sent > 0 ? kMinRelativeWeightChange * sent : 0)) {
                     continue;
                 }
-                // Guards against lines that never find room and stay for good: at last before all
-                // learnt.
-                const bool first = over(entry);
-                const int rank = out && !first ? 2 : 1;
-                plan.push_back({rank, first ? -kBeforeAll : -size, server, static_cast<int>(k)});
+                // Guards against entries that never fit and stay forever: after a time they precede
+                // all learnt changes.
+                const bool is_first = is_expired(entry);
+                const int rank = must_withdraw && !is_first ? 2 : 1;
+                pending_changes.push_back(
+                    {rank, is_first ? -kBeforeAllWeights : -size, server, static_cast<int>(k)});
             }
         }
-        owed = pressed;
+        owed_withdrawals = pending_withdrawals;
         for (const auto& [server, entry] : servers) {
-            owed += entry.out && desk.now < entry.left + desk.settings.drain_grace +
-                                                desk.settings.max_message_delay;
+            owed_withdrawals +=
+                entry.withdrawn && context.now < entry.withdrawn_at + context.settings.drain_grace +
+                                                     context.settings.max_message_delay;
         }
-        std::sort(plan.begin(), plan.end()), stale = again = false;
+        std::sort(pending_changes.begin(), pending_changes.end()),
+            weights_changed = proxy_joined = false;
     }
 
-    // Most lines that a change costs each bound proxy; `only`: one pool, or below 0 its way out or
-    // back.
-    double lines_of(const Entry& entry, int only) const {
-        const bool out = entry.wanted.sum() == 0, said = out && entry.out;
-        if (only >= 0) {
-            return 1.0 + (entry.shaky && !out);
+    // Returns an upper bound of the lines that a change costs each bound proxy. A negative `pool`
+    // means a withdrawal or reinstatement.
+    double lines_for(const Entry& entry, int pool) const {
+        const bool must_withdraw = entry.wanted.sum() == 0,
+                   already_withdrawn = must_withdraw && entry.withdrawn;
+        if (pool >= 0) {
+            return 1.0 + (entry.may_be_withdrawn && !must_withdraw);
         }
         double lines =
-            !said && (!out || entry.sent.sum() > 0);  // who holds no line of it hears nothing
-        if (!out || said) {
+            !already_withdrawn &&
+            (!must_withdraw ||
+             entry.sent.sum() > 0);  // a proxy without an entry of the server gets nothing
+        if (!must_withdraw || already_withdrawn) {
             for (auto k = bindings.size(); k-- > 0;) {
                 lines += entry.wanted[k] != entry.sent[k];
             }
@@ -854,434 +973,479 @@
         return lines;
     }
 
-    void carry_out(const ServerId& server, int only) {
+    void apply_change(const ServerId& server, int pool) {
         Entry& entry = servers.at(server);
-        const bool out = entry.wanted.sum() == 0, said = out && entry.out;
+        const bool must_withdraw = entry.wanted.sum() == 0,
+                   already_withdrawn = must_withdraw && entry.withdrawn;
         for (int k = 0; k < std::ssize(bindings); ++k) {
-            // Said again, a withdrawal is to reach none that heard it: their tables drop the line
-            // first.
-            const bool meant = only < 0 ? !out || said : k == only;
-            if (!meant || entry.wanted[k] == entry.sent[k]) {
+            // A repeated withdrawal must not reach proxies that know of it, so their tables drop
+            // the entry first.
+            const bool applies = pool < 0 ? !must_withdraw || already_withdrawn : k == pool;
+            if (!applies || entry.wanted[k] == entry.sent[k]) {
                 continue;
             }
-            desk.orders.push_back(
+            context.orders.push_back(
                 order::SetTableEntry{table_of(k, entry.subset), server, entry.wanted[k]});
             entry.sent[k] = entry.wanted[k];
         }
-        if (only >= 0) {
+        if (pool >= 0) {
             return;
         }
-        desk.orders.push_back(order::SetWithdrawn{server, entry.out = out});
-        entry.shaky = true, entry.known_to = joinings;
-        if (!said) {
-            entry.left = desk.now;
+        context.orders.push_back(order::SetWithdrawn{server, entry.withdrawn = must_withdraw});
+        entry.may_be_withdrawn = true, entry.last_notified_join = last_join;
+        if (!already_withdrawn) {
+            entry.withdrawn_at = context.now;
         }
     }
 
     void send_changes() {
-        // What unbound proxies hold can't be seen: each is told what leaves or comes back since it
-        // joined.
-        std::vector<int> turns, told;
-        for (const auto& [place, loose] : unbound) {
-            turns.push_back(loose.turn);
-        }
-        std::ranges::sort(turns);
-        const auto after = [&](int t) {
-            return 1.0 * (turns.end() - std::ranges::upper_bound(turns, t));
+        // The tables of unbound proxies are unknown: each gets all withdrawals and reinstatements
+        // since it joined.
+        std::vector<int> joins, notified_joins;
+        for (const auto& [position, unbound_proxy] : unbound_proxies) {
+            joins.push_back(unbound_proxy.join_number);
+        }
+        std::ranges::sort(joins);
+        const auto unbound_joined_after = [&](int t) {
+            return 1.0 * (joins.end() - std::ranges::upper_bound(joins, t));
         };
-        std::vector<double> lines(subsets.size());  // for each proxy of a subset
-        double loose = 0;
-        int first = joinings;  // for those not bound; the earliest turn one is known to
-        bool pressing = false, learnt = false;
-        const auto to_bound = [&](double each, double more, int subset) {  // below 0: all of them
-            double sum = 0;
-            for (int p = 0; p < std::ssize(lines); ++p) {
-                const double its = lines[p] + (subset == p || subset < 0 ? more : 0);
-                sum += (its > 0 ? each + its : 0) * 1.0 * subsets[p].all.size();
+        std::vector<double> subset_lines(subsets.size());  // for each proxy of a subset
+        double unbound_lines = 0;
+        int first_notified_join = last_join;  // smallest of notified_joins; the last join if empty
+        bool urgent_sent = false, learnt_sent = false;
+        const auto lines_to_bound = [&](double message_overhead, double extra_lines,
+                                        int subset) {  // negative: all subsets
+            double total = 0;
+            for (int p = 0; p < std::ssize(subset_lines); ++p) {
+                const double proxy_lines =
+                    subset_lines[p] + (subset == p || subset < 0 ? extra_lines : 0);
+                total += (proxy_lines > 0 ? message_overhead + proxy_lines : 0) * 1.0 *
+                         subsets[p].proxies.size();
             }
-            return sum;
+            return total;
         };
-        const auto fits = [&](int rank, double more, int subset, int since) {
-            if (desk.now < (rank == 0 ? next_pressing : next_learnt)) {
+        const auto fits = [&](int rank, double extra_lines, int subset, int after_join) {
+            if (context.now < (rank == 0 ? next_urgent_round : next_learnt_round)) {
                 return false;
             }
-            const double others = loose + after(since) + head * after(std::min(first, since));
-            // Who comes back is capacity: it is worth as much room as a binding, and no part of the
-            // pace.
-            const bool back = rank == 1 && since == 0;
-            return to_bound(head, more, subset) + others <= room(back ? -1 : rank) &&
-                   (rank == 0 || back ||
-                    to_bound(kDesignHead, more, subset) <= std::max(allowance, 0.0));
+            const double lines_to_unbound =
+                unbound_lines + unbound_joined_after(after_join) +
+                lines_per_message * unbound_joined_after(std::min(first_notified_join, after_join));
+            // A reinstatement adds capacity: it may use as much of the window as a binding, and
+            // none of the learnt allowance.
+            const bool is_reinstatement = rank == 1 && after_join == 0;
+            return lines_to_bound(lines_per_message, extra_lines, subset) + lines_to_unbound <=
+                       available_window(is_reinstatement ? -1 : rank) &&
+                   (rank == 0 || is_reinstatement ||
+                    lines_to_bound(kDesignLinesPerMessage, extra_lines, subset) <=
+                        std::max(learnt_allowance, 0.0));
         };
-        // Guards against more withdrawals than the channel carries within the grace, for many
-        // servers or many proxies: nothing is let in until they are on their way. It costs service
-        // for so long.
-        const double each = 1.0 * bound.size() / std::max<std::size_t>(subsets.size(), 1);
-        const double to_go = (ledger.waiting() + pressed * each) /
-                             (kSurePace * desk.settings.channel_lines_per_second);
-        const Duration left_of_grace =
-            oldest + desk.settings.drain_grace - desk.settings.max_message_delay - desk.now;
-        braked = pressed > 0 && (braked || to_go > seconds(left_of_grace));
-        const RealVector levels = wanted_levels * (braked ? 0.0 : 1.0);
-        const bool never = cold || levels.min() < 1, turned = never != sent_never;
-        const int rank = levels.max() == 0 || sent_levels.max() == 0 ? 0 : 1;
-        const bool worth = turned || std::abs(levels - sent_levels).max() > kLevelWorthSending;
-        if (const double all = 1.0 * levels.size(); worth && fits(rank, all, -1, joinings)) {
-            const RetryPolicy how = never ? RetryPolicy::never : kFurther;
+        // Guards against more withdrawals than the channel carries within the grace, because of
+        // many servers or many proxies: nothing is admitted until they are sent. It costs service
+        // meanwhile.
+        const double proxies_per_subset =
+            1.0 * bound_proxies.size() / std::max<std::size_t>(subsets.size(), 1);
+        const double seconds_to_send =
+            (send_window.pending() + pending_withdrawals * proxies_per_subset) /
+            (kAssuredPaceFraction * context.settings.channel_lines_per_second);
+        const Duration remaining_grace = oldest_due + context.settings.drain_grace -
+                                         context.settings.max_message_delay - context.now;
+        admission_paused = pending_withdrawals > 0 &&
+                           (admission_paused || seconds_to_send > seconds(remaining_grace));
+        const RealVector admission_fractions = wanted_admission * (admission_paused ? 0.0 : 1.0);
+        const bool no_retries = warming_up || admission_fractions.min() < 1,
+                   retries_changed = no_retries != sent_no_retries;
+        const int rank = admission_fractions.max() == 0 || sent_admission.max() == 0 ? 0 : 1;
+        const bool is_worth_sending =
+            retries_changed ||
+            std::abs(admission_fractions - sent_admission).max() > kMinFractionChange;
+        if (const double admission_lines = 1.0 * admission_fractions.size();
+            is_worth_sending && fits(rank, admission_lines, -1, last_join)) {
+            const RetryPolicy retry_policy = no_retries ? RetryPolicy::never : kRetryPolicy;
             for (std::size_t k = 0; k < bindings.size(); ++k) {
                 for (const MethodId m : bindings[k].methods) {
                     for (std::size_t p = 0; p < subsets.size(); ++p) {
-                        desk.orders.push_back(
-                            order::SetAdmission{table_of(k, p), {m}, top * levels[m.value], how});
+                        context.orders.push_back(
+                            order::SetAdmission{table_of(k, p),
+                                                {m},
+                                                full_admission * admission_fractions[m.value],
+                                                retry_policy});
                     }
                 }
             }
-            sent_levels = levels, sent_never = never,
-            (rank == 0 ? pressing : learnt) = levels_told = true;
-            for (const auto& [proxy, its] : bound) {
-                if (its.few) {
-                    tell_levels(own_table(proxy), desk.orders);
+            sent_admission = admission_fractions, sent_no_retries = no_retries,
+            (rank == 0 ? urgent_sent : learnt_sent) = admission_sent = true;
+            for (const auto& [proxy, its] : bound_proxies) {
+                if (its.partial) {
+                    send_admission(own_table_set(proxy), context.orders);
                 }
             }
-            for (double& its : lines) {
-                its += all;
+            for (double& its : subset_lines) {
+                its += admission_lines;
             }
         }
-        for (; !handovers.empty() && fits(0, 1, -1, joinings);
-             handovers.pop_front(), pressing = true) {
-            for (double& its : lines) {
+        for (; !transfers.empty() && fits(0, 1, -1, last_join);
+             transfers.pop_front(), urgent_sent = true) {
+            for (double& its : subset_lines) {
                 its += 1;
             }
-            const auto& [slice, server, weight] = handovers.front();
-            desk.orders.push_back(order::SetTableEntry{slice, server, weight});
+            const auto& [slice, server, weight] = transfers.front();
+            context.orders.push_back(order::SetTableEntry{slice, server, weight});
         }
-        for (; !plan.empty(); plan.pop_front()) {
-            const auto& [rank, size, server, pool] = plan.front();
+        for (; !pending_changes.empty(); pending_changes.pop_front()) {
+            const auto& [rank, size, server, pool] = pending_changes.front();
             const Entry& entry = servers.at(server);
-            const bool said = entry.out && entry.wanted.sum() == 0;
-            const int since = pool >= 0 ? joinings : said ? entry.known_to : 0;
-            const double more = lines_of(entry, pool);
-            if (!fits(rank, more, static_cast<int>(entry.subset), since)) {
+            const bool already_withdrawn = entry.withdrawn && entry.wanted.sum() == 0;
+            const int after_join = pool >= 0           ? last_join
+                                   : already_withdrawn ? entry.last_notified_join
+                                                       : 0;
+            const double extra_lines = lines_for(entry, pool);
+            if (!fits(rank, extra_lines, static_cast<int>(entry.subset), after_join)) {
                 break;
             }
-            (rank == 0 ? pressing : learnt) = true;
+            (rank == 0 ? urgent_sent : learnt_sent) = true;
             if (rank == 0) {
-                pressed = std::max(0, pressed - 1);
+                pending_withdrawals = std::max(0, pending_withdrawals - 1);
             }
-            lines[entry.subset] += more, loose += after(since), first = std::min(first, since);
-            told.push_back(since), carry_out(server, pool);
+            subset_lines[entry.subset] += extra_lines,
+                unbound_lines += unbound_joined_after(after_join),
+                first_notified_join = std::min(first_notified_join, after_join);
+            notified_joins.push_back(after_join), apply_change(server, pool);
         }
-        if (!pressing && !learnt) {
+        if (!urgent_sent && !learnt_sent) {
             return;
         }
-        std::ranges::sort(told);
-        for (const auto& [place, its] : unbound) {
-            const auto news = std::ranges::lower_bound(told, its.turn) - told.begin();
-            if (news > 0) {
-                ledger.charge(std::get<ProxyId>(place), head + 1.0 * news);
+        std::ranges::sort(notified_joins);
+        for (const auto& [position, unbound_proxy] : unbound_proxies) {
+            const auto update_count =
+                std::ranges::lower_bound(notified_joins, unbound_proxy.join_number) -
+                notified_joins.begin();
+            if (update_count > 0) {
+                send_window.charge(std::get<ProxyId>(position),
+                                   lines_per_message + 1.0 * update_count);
             }
         }
-        for (const auto& [proxy, its] : bound) {
-            if (lines[its.subset] > 0) {
-                ledger.charge(proxy, head + lines[its.subset]);
+        for (const auto& [proxy, its] : bound_proxies) {
+            if (subset_lines[its.subset] > 0) {
+                send_window.charge(proxy, lines_per_message + subset_lines[its.subset]);
             }
         }
-        if (learnt) {
-            allowance = std::max(0.0, allowance - to_bound(kDesignHead, 0, -1));
+        if (learnt_sent) {
+            learnt_allowance =
+                std::max(0.0, learnt_allowance - lines_to_bound(kDesignLinesPerMessage, 0, -1));
         }
-        // So spaced they stay under the most that a proxy may get, with its binding.
-        const int most = desk.settings.max_messages_per_proxy > 0
-                             ? std::max(1, desk.settings.max_messages_per_proxy - 3)
-                             : 1'000'000;
-        const Duration share = desk.settings.message_limit_window / most;
-        if (pressing) {
-            next_pressing = desk.now + std::max(kMerge, share * 10 / 7);
+        // With this spacing, they stay below the maximum of messages to a proxy, with its binding.
+        const int max_messages = context.settings.max_messages_per_proxy > 0
+                                     ? std::max(1, context.settings.max_messages_per_proxy - 3)
+                                     : 1'000'000;
+        const Duration share = context.settings.message_limit_window / max_messages;
+        if (urgent_sent) {
+            next_urgent_round = context.now + std::max(kMergeInterval, share * 10 / 7);
         }
-        if (learnt) {
-            next_learnt = desk.now + std::max(kMergeLearnt, share * 10 / 3);
+        if (learnt_sent) {
+            next_learnt_round = context.now + std::max(kLearntMergeInterval, share * 10 / 3);
         }
     }
 
-    std::size_t own_table(ProxyId proxy) const {
+    std::size_t own_table_set(ProxyId proxy) const {
         return subsets.size() + proxy.value;
-    }  // as a subset's is
-    void tell_levels(std::size_t table, std::vector<Order>& orders) const {
-        const RetryPolicy how = sent_never ? RetryPolicy::never : kFurther;
+    }  // counted after the subsets
+    void send_admission(std::size_t table_set, std::vector<Order>& orders) const {
+        const RetryPolicy retry_policy = sent_no_retries ? RetryPolicy::never : kRetryPolicy;
         for (std::size_t k = 0; k < bindings.size(); ++k) {
             for (const MethodId m : bindings[k].methods) {
-                orders.push_back(
-                    order::SetAdmission{table_of(k, table), {m}, top * sent_levels[m.value], how});
+                orders.push_back(order::SetAdmission{table_of(k, table_set),
+                                                     {m},
+                                                     full_admission * sent_admission[m.value],
+                                                     retry_policy});
             }
         }
     }
-    // What a binding costs; `few`: to a table of its own with a few of the subset's servers that
-    // are not out.
-    std::pair<double, std::vector<Order>> binding(ProxyId proxy, ZoneId zone, std::size_t subset,
-                                                  bool few, bool empty = false) const {
+    // Returns the lines and orders of a binding. `partial`: to a table of its own with a few
+    // servers of the subset that are not withdrawn.
+    std::pair<double, std::vector<Order>> make_binding(ProxyId proxy, ZoneId zone,
+                                                       std::size_t subset, bool partial,
+                                                       bool empty = false) const {
         double lines = 0, tables = 0;
         std::vector<Order> orders;
-        if (few && levels_told) {
-            tell_levels(own_table(proxy), orders);
+        if (partial && admission_sent) {
+            send_admission(own_table_set(proxy), orders);
         }
         for (std::size_t k = 0; k < bindings.size(); ++k) {
-            if (!meant_for(k, zone)) {
+            if (!is_used_in(k, zone)) {
                 continue;
             }
-            const TableId table = table_of(k, few ? own_table(proxy) : subset);
-            std::vector<const std::pair<const ServerId, Entry>*> its;
-            for (const auto& at : servers) {
-                const Entry& entry = at.second;
-                if (empty || entry.subset != subset || entry.sent[k] <= 0 || (few && entry.out)) {
+            const TableId table = table_of(k, partial ? own_table_set(proxy) : subset);
+            std::vector<const std::pair<const ServerId, Entry>*> entries;
+            for (const auto& named_entry : servers) {
+                const Entry& entry = named_entry.second;
+                if (empty || entry.subset != subset || entry.sent[k] <= 0 ||
+                    (partial && entry.withdrawn)) {
                     continue;
                 }
-                its.push_back(&at);
+                entries.push_back(&named_entry);
             }
-            constexpr auto most = static_cast<std::size_t>(kLeastSubset);
-            if (few && its.size() > most) {
+            constexpr auto max_entries = static_cast<std::size_t>(kMinSubsetSize);
+            if (partial && entries.size() > max_entries) {
                 std::ranges::rotate(
-                    its, its.begin() + static_cast<int>(proxy.value * most % its.size()));
-                its.resize(most);
+                    entries,
+                    entries.begin() + static_cast<int>(proxy.value * max_entries % entries.size()));
+                entries.resize(max_entries);
             }
-            for (const auto* at : its) {
-                // Who is out is shut out with its line; who may be shut out there is let back.
-                lines += at->second.out || at->second.shaky ? 2 : 1;
-                if (few) {
-                    orders.push_back(order::SetTableEntry{table, at->first, at->second.sent[k]});
+            for (const auto* named_entry : entries) {
+                // A withdrawn server is withdrawn together with its entry; one that may be
+                // withdrawn at the proxy is reinstated.
+                lines +=
+                    named_entry->second.withdrawn || named_entry->second.may_be_withdrawn ? 2 : 1;
+                if (partial) {
+                    orders.push_back(order::SetTableEntry{table, named_entry->first,
+                                                          named_entry->second.sent[k]});
                 }
             }
             orders.push_back(order::BindProxy{table, bindings[k].methods, proxy}), ++tables;
         }
-        return {head + lines + tables + 1.0 * sent_levels.size(), orders};
+        return {lines_per_message + lines + tables + 1.0 * sent_admission.size(), orders};
     }
-    double bind(ProxyId proxy, ZoneId zone, double rate, std::size_t subset, double most,
-                bool few = false) {
-        const auto [cost, orders] = binding(proxy, zone, subset, few);
-        const bool any = cost > binding(proxy, zone, subset, few, true).first;
-        if (!any || cost > most) {
+    double bind(ProxyId proxy, ZoneId zone, double rate, std::size_t subset, double max_cost,
+                bool partial = false) {
+        const auto [cost, orders] = make_binding(proxy, zone, subset, partial);
+        const bool has_entries = cost > make_binding(proxy, zone, subset, partial, true).first;
+        if (!has_entries || cost > max_cost) {
             return 0;
         }
-        desk.orders.insert(desk.orders.end(), orders.begin(), orders.end());
-        release(proxy), ledger.charge(proxy, cost), bound[proxy] = {zone, rate, subset, few};
-        subsets[subset].all.insert(proxy), subsets[subset].rate += rate;
-        if (few) {
-            few_bound.push_back(proxy);
+        context.orders.insert(context.orders.end(), orders.begin(), orders.end());
+        release(proxy), send_window.charge(proxy, cost),
+            bound_proxies[proxy] = {zone, rate, subset, partial};
+        subsets[subset].proxies.insert(proxy), subsets[subset].rpcs_per_second += rate;
+        if (partial) {
+            partially_bound.push_back(proxy);
         }
         return cost;
     }
 
-    void bind_joined() {
-        while (!unbound.empty() && !subsets.empty()) {
-            const auto [place, loose] = *unbound.begin();
-            const auto [standing, order, proxy] = place;
-            const double rate = std::max(-order, 1e-3);
-            const std::size_t subset = lightest(loose.zone, rate);
-            const double in_grace = kSurePace * seconds(desk.settings.drain_grace) *
-                                    desk.settings.channel_lines_per_second;
-            const double cost = binding(proxy, loose.zone, subset, false).first;
-            const bool urgent = owed > cost;
-            // What does not fit waits, and its proxy goes on by what it holds.
-            const double most = room(ledger.waiting() > 0 && !urgent ? -1 : 0);
-            const bool few = urgent && ledger.waiting() + cost * unbound.size() > in_grace;
-            if (!(few && bind(proxy, loose.zone, rate, subset, most, true) > 0) &&
-                bind(proxy, loose.zone, rate, subset, most) == 0) {
+    void bind_waiting_proxies() {
+        while (!unbound_proxies.empty() && !subsets.empty()) {
+            const auto [position, unbound_proxy] = *unbound_proxies.begin();
+            const auto [without_initial_table, negative_rate, proxy] = position;
+            const double rate = std::max(-negative_rate, 1e-3);
+            const std::size_t subset = least_loaded_subset(unbound_proxy.zone, rate);
+            const double in_grace = kAssuredPaceFraction * seconds(context.settings.drain_grace) *
+                                    context.settings.channel_lines_per_second;
+            const double cost = make_binding(proxy, unbound_proxy.zone, subset, false).first;
+            const bool urgent = owed_withdrawals > cost;
+            // A proxy whose binding does not fit waits and keeps using its own tables.
+            const double max_cost = available_window(send_window.pending() > 0 && !urgent ? -1 : 0);
+            const bool partial =
+                urgent && send_window.pending() + cost * unbound_proxies.size() > in_grace;
+            if (!(partial && bind(proxy, unbound_proxy.zone, rate, subset, max_cost, true) > 0) &&
+                bind(proxy, unbound_proxy.zone, rate, subset, max_cost) == 0) {
                 break;
             }
-            unbound.erase(place);
+            unbound_proxies.erase(position);
         }
     }
-    void bind_whole() {
-        for (; unbound.empty() && !few_bound.empty(); few_bound.pop_front()) {
-            const ProxyId proxy = few_bound.front();
-            const auto at = bound.find(proxy);
-            if (at == bound.end() || !at->second.few) {
+    void complete_partial_bindings() {
+        for (; unbound_proxies.empty() && !partially_bound.empty(); partially_bound.pop_front()) {
+            const ProxyId proxy = partially_bound.front();
+            const auto at = bound_proxies.find(proxy);
+            if (at == bound_proxies.end() || !at->second.partial) {
                 continue;
             }
-            const auto [zone, rate, subset, few] = at->second;
-            if (bind(proxy, zone, rate, subset, room(ledger.waiting() > 0 ? -1 : 0)) == 0) {
+            const auto [zone, rate, subset, partial] = at->second;
+            if (bind(proxy, zone, rate, subset,
+                     available_window(send_window.pending() > 0 ? -1 : 0)) == 0) {
                 break;
             }
         }
     }
 };
 
-// ---- Slices
-// ----------------------------------------------------------------------------------------------
+// ---- Slice assigner
 
-// Mechanism 6. Keeps the rules where keys fall into slices, and no more: a slice stays with its
-// owner until that one drains or is gone, and a single owner's successor waits until no write can
-// be with the former one.
-struct SliceKeeper : Part {
+// Mechanism 6. Keeps the rules for slices of keys, and does no more: a slice stays with its owner
+// until that server drains or is gone, and the successor of a single owner waits until no write can
+// still be with the former one.
+struct SliceAssigner : Component {
     struct Slice {
         std::set<ServerId> owners;
-        TimePoint free_from{};
-    };  // no successor before that
+        TimePoint next_assignment{};  // no successor before this time
+    };
 
-    Desk& desk;
-    Part& channel;
+    DecisionContext& context;
+    Component& scheduler;
     std::map<TableId, Slice> slices{};
     std::set<ServerId> open{};
 
-    void on(const event::SliceAssigned& note) {
-        slices.erase(note.slice);
-        if (note.ours) {
-            slices[note.slice].free_from = free_from();
+    void on(const event::SliceAssigned& message) {
+        slices.erase(message.slice);
+        if (message.ours) {
+            slices[message.slice].next_assignment = next_assignment();
         }
     }
-    void on(const event::SliceOwnerReported& note) {
-        if (slices.contains(note.slice)) {
-            slices[note.slice].owners.insert(note.server);
+    void on(const event::SliceOwnerReported& message) {
+        if (slices.contains(message.slice)) {
+            slices[message.slice].owners.insert(message.server);
         }
     }
-    void on(const Standing& note) {
-        note.open ? (void)open.insert(note.entry.server) : (void)open.erase(note.entry.server);
+    void on(const EndpointStatus& message) {
+        message.open ? (void)open.insert(message.entry.server)
+                     : (void)open.erase(message.entry.server);
     }
-    void on(const Pulse&) {
+    void on(const Tick&) {
         if (slices.empty()) {
             return;
         }
-        const std::vector<ServerId> choice(open.begin(), open.end());
+        const std::vector<ServerId> candidates(open.begin(), open.end());
         for (auto& [id, slice] : slices) {
             for (const ServerId& owner : std::set(slice.owners)) {
                 if (!open.contains(owner)) {
-                    channel.inbox.push_back(Handover{id, owner, 0}), slice.owners.erase(owner);
-                    slice.free_from = std::max(slice.free_from, free_from());
+                    scheduler.mailbox.push_back(OwnershipTransfer{id, owner, 0}),
+                        slice.owners.erase(owner);
+                    slice.next_assignment = std::max(slice.next_assignment, next_assignment());
                 }
             }
-            if (!slice.owners.empty() || choice.empty() || desk.now < slice.free_from) {
+            if (!slice.owners.empty() || candidates.empty() ||
+                context.now < slice.next_assignment) {
                 continue;
             }
-            slice.owners.insert(choice[desk.chance() % choice.size()]);
-            channel.inbox.push_back(Handover{id, *slice.owners.begin(), 1});
+            slice.owners.insert(candidates[context.random_engine() % candidates.size()]);
+            scheduler.mailbox.push_back(OwnershipTransfer{id, *slice.owners.begin(), 1});
         }
     }
-    TimePoint free_from() const {
-        const DeploymentSettings& t = desk.settings;
-        return desk.now + (t.single_owner
-                               ? 2 * t.max_message_delay + t.owner_lease + t.write_lifetime
-                               : Duration{});
+    TimePoint next_assignment() const {
+        const DeploymentSettings& t = context.settings;
+        return context.now + (t.single_owner
+                                  ? 2 * t.max_message_delay + t.owner_lease + t.write_lifetime
+                                  : Duration{});
     }
 };
 
 }  // namespace
 
-// ---- The planner: events to notes, one loop, one timer
-// ---------------------------------------------------
+// ---- Planner: turns events into messages, with one loop and one timer
 
 class Planner::Impl {
  public:
     Impl(DeploymentSettings settings, std::uint64_t seed)
-        : desk_{std::move(settings),
-                std::minstd_rand(static_cast<std::minstd_rand::result_type>(seed))} {
-        desk_.orders.push_back(order::StartTimer{kTimer, kTick});
-        if (desk_.settings.subscription_required) {
-            agenda_.emplace(TimePoint{}, Resubscribe{});
+        : context_{std::move(settings),
+                   std::minstd_rand(static_cast<std::minstd_rand::result_type>(seed))} {
+        context_.orders.push_back(order::StartTimer{kTimer, kTickInterval});
+        if (context_.settings.subscription_required) {
+            scheduled_messages_.emplace(TimePoint{}, RenewSubscription{});
         }
     }
 
-    void handle(Event event) { heard_.push_back(std::move(event)); }
+    void handle(Event event) { events_.push_back(std::move(event)); }
 
     std::vector<Order> decide(TimePoint now) {
-        desk_.now = now;
-        for (Event& event : std::exchange(heard_, {})) {
+        context_.now = now;
+        for (Event& event : std::exchange(events_, {})) {
             std::visit([this](auto& e) { apply(e); }, event);
         }
-        for (; !agenda_.empty() && agenda_.begin()->first <= now; agenda_.erase(agenda_.begin())) {
-            channel_.inbox.push_back(agenda_.begin()->second);
+        for (; !scheduled_messages_.empty() && scheduled_messages_.begin()->first <= now;
+             scheduled_messages_.erase(scheduled_messages_.begin())) {
+            scheduler_.mailbox.push_back(scheduled_messages_.begin()->second);
         }
-        // Servers speak first, the channel last: when all else is said.
-        for (Server* actor : std::exchange(spoken_to_, {})) {
-            empty(*actor);
+        // The trackers run first and the scheduler last, when all other components are done.
+        for (EndpointTracker* tracker : std::exchange(trackers_with_messages_, {})) {
+            deliver(*tracker);
         }
-        keeper_.inbox.push_back(Pulse{}), gate_.inbox.push_back(Pulse{}),
-            weigher_.inbox.push_back(Pulse{});
-        empty_all(keeper_, gate_, weigher_, channel_);
-        channel_.inbox.push_back(Pulse{});
-        empty(channel_);
-        return std::exchange(desk_.orders, {});
+        slice_assigner_.mailbox.push_back(Tick{}), admission_.mailbox.push_back(Tick{}),
+            optimizer_.mailbox.push_back(Tick{});
+        deliver_all(slice_assigner_, admission_, optimizer_, scheduler_);
+        scheduler_.mailbox.push_back(Tick{});
+        deliver(scheduler_);
+        return std::exchange(context_.orders, {});
     }
 
  private:
     static constexpr TimerId kTimer{1};
-    static constexpr Duration kTick =
-        std::chrono::milliseconds(100);  // short beside a message's way
+    static constexpr Duration kTickInterval =
+        std::chrono::milliseconds(100);  // short compared to the delay of a message
 
     void apply(event::EndpointListUpdate& list) {
         if (list.form == event::EndpointListUpdate::Form::unavailable) {
-            // Asked for anew after a wait that instances do not share.
-            return (void)agenda_.emplace(desk_.now + Duration{2'000 + desk_.chance() % 8'000},
-                                         Resubscribe{});
+            // Subscribes again after a random delay, so that planners do not do it at the same
+            // time.
+            return (void)scheduled_messages_.emplace(
+                context_.now + Duration{2'000 + context_.random_engine() % 8'000},
+                RenewSubscription{});
         }
-        std::set<ServerId> named;
+        std::set<ServerId> listed_servers;
         for (const ListedEndpoint& entry : list.servers) {
             if (entry.server.value.empty()) {
                 continue;
             }
-            named.insert(entry.server);
-            const auto at =
-                servers_.try_emplace(entry.server, Part{}, desk_, weigher_, keeper_, gate_).first;
-            tell(at->second, Listed{entry, !heard_any_});
-        }
-        heard_any_ = true;
+            listed_servers.insert(entry.server);
+            const auto found = trackers_
+                                   .try_emplace(entry.server, Component{}, context_, optimizer_,
+                                                slice_assigner_, admission_)
+                                   .first;
+            post(found->second, EndpointListed{entry, !has_list_});
+        }
+        has_list_ = true;
         if (list.form == event::EndpointListUpdate::Form::incremental) {
             return;
         }
-        for (auto& [id, actor] : servers_) {
-            if (!named.contains(id)) {
-                tell(actor, Unlisted{});
+        for (auto& [id, tracker] : trackers_) {
+            if (!listed_servers.contains(id)) {
+                post(tracker, EndpointUnlisted{});
             }
         }
     }
-    void apply(event::TimerExpired& due) {
-        if (due.timer == kTimer) {
-            desk_.orders.push_back(order::StartTimer{kTimer, kTick});
+    void apply(event::TimerExpired& expired) {
+        if (expired.timer == kTimer) {
+            context_.orders.push_back(order::StartTimer{kTimer, kTickInterval});
         }
-        if (due.timer != kTimer || desk_.now < next_step_) {
+        if (expired.timer != kTimer || context_.now < next_step_) {
             return;
         }
-        next_step_ = desk_.now + desk_.step;
-        std::erase_if(servers_,
-                      [](auto& at) { return at.second.inbox.empty() && at.second.self.gone(); });
-        gate_.inbox.push_back(Beat{});
-        for (auto& [id, actor] : servers_) {
-            tell(actor, Beat{});
+        next_step_ = context_.now + context_.step;
+        std::erase_if(trackers_, [](auto& found) {
+            return found.second.mailbox.empty() && found.second.status.gone();
+        });
+        admission_.mailbox.push_back(EvidenceWindowClosed{});
+        for (auto& [id, tracker] : trackers_) {
+            post(tracker, EvidenceWindowClosed{});
         }
     }
-    void apply(event::EndpointLoadReport& met) {
-        const auto at = servers_.find(met.server);
-        met.failures = std::min(met.failures, met.attempts);
-        if (at == servers_.end() || !sound(met, desk_.settings)) {
+    void apply(event::EndpointLoadReport& report) {
+        const auto found = trackers_.find(report.server);
+        report.failures = std::min(report.failures, report.attempts);
+        if (found == trackers_.end() || !is_valid(report, context_.settings)) {
             return;
         }
-        tell(at->second, met), channel_.inbox.push_back(met);
+        post(found->second, report), scheduler_.mailbox.push_back(report);
     }
     template <class Other>
-    void apply(
-        Other& event) {  // what can't be meant, or means nothing to any part, is not acted on
-        if (!sound(event, desk_.settings)) {
+    void apply(Other& event) {  // ignores invalid events and those that no component handles
+        if (!is_valid(event, context_.settings)) {
             return;
         }
-        const auto offer = [&event](auto& part) {
-            if constexpr (requires { part.on(event); }) {
-                part.inbox.push_back(event);
+        const auto post_if_handled = [&event](auto& component) {
+            if constexpr (requires { component.on(event); }) {
+                component.mailbox.push_back(event);
             }
         };
-        offer(keeper_), offer(gate_), offer(weigher_), offer(channel_);
+        post_if_handled(slice_assigner_), post_if_handled(admission_), post_if_handled(optimizer_),
+            post_if_handled(scheduler_);
     }
 
-    void tell(Server& server, Note note) {
-        server.inbox.push_back(std::move(note)), spoken_to_.push_back(&server);
+    void post(EndpointTracker& tracker, Message message) {
+        tracker.mailbox.push_back(std::move(message)), trackers_with_messages_.push_back(&tracker);
     }
-    Desk desk_;
+    DecisionContext context_;
     TimePoint next_step_{};
-    std::multimap<TimePoint, Note> agenda_;  // every due time but the periodic one
-    std::vector<Event> heard_;
-    bool heard_any_ = false;  // a list
-    Channel channel_{{}, desk_};
-    Gate gate_{{}, desk_, weigher_, channel_};
-    Weigher weigher_{desk_, channel_};
-    SliceKeeper keeper_{{}, desk_, channel_};
-    std::map<ServerId, Server> servers_;
-    std::vector<Server*> spoken_to_;
+    std::multimap<TimePoint, Message>
+        scheduled_messages_;  // by due time, without the periodic ones
+    std::vector<Event> events_;
+    bool has_list_ = false;  // whether any list has arrived
+    UpdateScheduler scheduler_{{}, context_};
+    AdmissionController admission_{{}, context_, optimizer_, scheduler_};
+    WeightOptimizer optimizer_{context_, scheduler_};
+    SliceAssigner slice_assigner_{{}, context_, scheduler_};
+    std::map<ServerId, EndpointTracker> trackers_;
+    std::vector<EndpointTracker*> trackers_with_messages_;
 };
 
 Planner::Planner(DeploymentSettings settings, std::uint64_t seed)
--- a/tests/reference/figures.hpp
+++ b/tests/reference/figures.hpp
@@ -1,8 +1,8 @@
-/// Frozen reference implementation. tests/differential_test.cpp holds the optimized decisions of
-/// src/ against it: both get the same events, and every order must be equal to the bit. Change it
-/// only together with an intended change of behaviour, never for speed or style.
+/// Frozen reference implementation. tests/differential_test.cpp compares the optimized decisions of
+/// src/ with it: both get the same events, and every order must be equal to the bit. Change it only
+/// together with an intended change of behaviour, never for speed or style.
 ///
-/// Arithmetic and look-ups that decide nothing.
+/// Arithmetic and look-ups of the reference planner; they make no decisions.
 #pragma once
 
 #include <algorithm>
@@ -20,113 +20,115 @@
     return std::chrono::duration<double>(span).count();
 }
 
-// Where a falling function crosses a level.
+// Returns where a falling function crosses a level.
 template <class Falling>
-double crossing(double low, double high, double level, Falling value) {
+double bisect_falling(double low, double high, double level, Falling value) {
     for (int i = 0; i < 50; ++i) {
-        const double half = (low + high) / 2;
-        (value(half) > level ? low : high) = half;
+        const double midpoint = (low + high) / 2;
+        (value(midpoint) > level ? low : high) = midpoint;
     }
     return low;
 }
 
-// Of values with their weights: the one that half of the weight lies under.
-inline double middle(std::vector<std::pair<double, double>> values) {
+// Returns the value that has half of the total weight below it, from pairs of value and weight.
+inline double weighted_median(std::vector<std::pair<double, double>> values) {
     std::sort(values.begin(), values.end());
-    double rest = 0;
+    double remaining = 0;
     for (const auto& [value, weight] : values) {
-        rest += weight / 2;
+        remaining += weight / 2;
     }
     for (const auto& [value, weight] : values) {
-        if ((rest -= weight) <= 0) {
+        if ((remaining -= weight) <= 0) {
             return value;
         }
     }
     return 0;
 }
 
-// A figure of each member, in a row.
-template <class Members, class Figure>
-RealVector row_of(const Members& members, Figure figure) {
-    RealVector row(members.size());
+// Returns a value of each member.
+template <class Members, class ValueOf>
+RealVector values_of(const Members& members, ValueOf value_of) {
+    RealVector values(members.size());
     for (std::size_t i = 0; i < members.size(); ++i) {
-        row[i] = figure(*members[i]);
+        values[i] = value_of(*members[i]);
     }
-    return row;
+    return values;
 }
 
-// For each member the sum of a figure over all of its kind.
+// Returns for each member the sum of the values over all members of its kind.
 template <class Members>
-RealVector kind_sums(const Members& members, const RealVector& figure) {
+RealVector kind_sums(const Members& members, const RealVector& values) {
     std::map<KindId, double> sums;
     for (std::size_t i = 0; i < members.size(); ++i) {
-        sums[members[i]->seen.entry.kind] += figure[i];
+        sums[members[i]->status.entry.kind] += values[i];
     }
-    return row_of(members, [&sums](const auto& member) { return sums.at(member.seen.entry.kind); });
+    return values_of(members,
+                     [&sums](const auto& member) { return sums.at(member.status.entry.kind); });
 }
 
-// A figure of each member as a part of all members' sum; 0 for each where that is 0.
-template <class Members, class Figure>
-RealVector parts_of(const Members& members, Figure figure) {
-    RealVector row = row_of(members, figure);
-    const double sum = members.empty() ? 0 : row.sum();
+// Returns a value of each member as a fraction of the sum over all; all 0 if the sum is 0.
+template <class Members, class ValueOf>
+RealVector fractions_of(const Members& members, ValueOf value_of) {
+    RealVector values = values_of(members, value_of);
+    const double sum = members.empty() ? 0 : values.sum();
     if (sum > 0) {
-        row /= sum;
+        values /= sum;
     }
-    return row;
+    return values;
 }
 
-// Sum of the figures of some methods, from figures by method.
-inline double sum_of(const RealVector& figures, const std::vector<MethodId>& methods) {
+// Returns the sum of the values of some methods.
+inline double sum_of(const RealVector& values, const std::vector<MethodId>& methods) {
     double sum = 0;
     for (const MethodId method : methods) {
-        sum += figures[method.value];
+        sum += values[method.value];
     }
     return sum;
 }
 
-// Number of zones that members are in.
+// Returns the number of zones that members are in.
 template <class Members>
 double zone_count(const Members& members) {
     std::set<ZoneId> zones;
     for (const auto* member : members) {
-        zones.insert(member->seen.entry.zone);
+        zones.insert(member->status.entry.zone);
     }
     return static_cast<double>(zones.size());
 }
 
-// The members of those zones whose members have `least` remembered tries or more, all together.
+// Returns the members of the zones whose members have at least `min_attempts` attempts in total.
 template <class Members>
-Members in_tried_zones(Members members, double least) {
-    std::map<ZoneId, double> tries;
+Members members_in_attempted_zones(Members members, double min_attempts) {
+    std::map<ZoneId, double> attempts;
     for (const auto* member : members) {
-        tries[member->seen.entry.zone] += member->seen.tries;
+        attempts[member->status.entry.zone] += member->status.attempts;
     }
-    std::erase_if(members,
-                  [&](const auto* member) { return tries.at(member->seen.entry.zone) < least; });
+    std::erase_if(members, [&](const auto* member) {
+        return attempts.at(member->status.entry.zone) < min_attempts;
+    });
     return members;
 }
 
-// Is a method, at proxies of a zone where it keeps to its own, open to a server?
-inline bool open_to(const Method& method, std::optional<ZoneId> home,
-                    const ListedEndpoint& server) {
-    const auto among = [](const auto& only, const auto& id) {
-        return only.empty() || std::find(only.begin(), only.end(), id) != only.end();
+// Whether a server may execute a method, for proxies of `own_zone` if the method is limited to it.
+inline bool is_eligible(const Method& method, std::optional<ZoneId> own_zone,
+                        const ListedEndpoint& server) {
+    const auto allows = [](const auto& allowed, const auto& id) {
+        return allowed.empty() || std::find(allowed.begin(), allowed.end(), id) != allowed.end();
     };
-    return among(method.only_kinds, server.kind) && among(method.only_zones, server.zone) &&
-           (!home || *home == server.zone);
+    return allows(method.only_kinds, server.kind) && allows(method.only_zones, server.zone) &&
+           (!own_zone || *own_zone == server.zone);
 }
 
-inline bool open_alike(const Method& one, const Method& other) {
+inline bool same_eligibility(const Method& one, const Method& other) {
     return one.only_kinds == other.only_kinds && one.only_zones == other.only_zones;
 }
 
 inline double shortest_soft_deadline(const DeploymentSettings& settings) {
-    Duration span = Duration::max();
+    Duration shortest = Duration::max();
     for (const Method& method : settings.methods) {
-        span = std::min(span, method.soft_deadline);
+        shortest = std::min(shortest, method.soft_deadline);
     }
-    return seconds(span);
+    return seconds(shortest);
 }
 
 }  // namespace micaroad::reference
--- a/tests/reference/ledger.hpp
+++ b/tests/reference/ledger.hpp
@@ -1,15 +1,15 @@
-/// Frozen reference implementation. tests/differential_test.cpp holds the optimized decisions of
-/// src/ against it: both get the same events, and every order must be equal to the bit. Change it
-/// only together with an intended change of behaviour, never for speed or style.
+/// Frozen reference implementation. tests/differential_test.cpp compares the optimized decisions of
+/// src/ with it: both get the same events, and every order must be equal to the bit. Change it only
+/// together with an intended change of behaviour, never for speed or style.
 ///
-/// What may still wait in a planner's channel: arithmetic over what was charged and what was
-/// answered. It decides nothing; how fast a channel surely sends is told by the module.
+/// Counts the lines that may still be pending in a planner's channel. It makes no decisions; the
+/// caller passes the pace that the channel reaches in any case.
 ///
-/// Two counts, of which the larger holds. By answers: messages leave in order, so an answer proves
-/// that its message and all before it are gone; what was charged for these is credited, no more. By
-/// time: a channel sends no faster than its pace. Answers alone would credit too much after proxies
-/// died: what went to them holds up nobody, so that answers come past it, while it stays counted as
-/// waiting.
+/// There are two counts, of which the larger holds. By acknowledgements: messages leave in
+/// sequence, so an acknowledgement proves that its message and all earlier ones have left; what was
+/// charged for these is credited, no more. By time: a channel sends no faster than its pace.
+/// Acknowledgements alone would credit too much after proxies left: lines to them delay no other
+/// message, so that acknowledgements overtake them while they still count as pending.
 #pragma once
 
 #include <algorithm>
@@ -21,78 +21,82 @@
 
 namespace micaroad::reference {
 
-class Ledger {
+class SendWindow {
  public:
-    double waiting() const { return std::max(ordered_ - passed_, at_pace_); }
+    double pending() const { return std::max(charged_ - credited_, pending_by_time_); }
 
-    // No less than the lines of a message that is written now. One a proxy until the next mark.
+    // Counts the lines of a message, never fewer than are written. All charges to a proxy until the
+    // next nonce are one message.
     void charge(ProxyId proxy, double lines) {
-        open_.charged[proxy] += lines, ordered_ += lines, at_pace_ += lines;
+        current_.unacknowledged[proxy] += lines, charged_ += lines, pending_by_time_ += lines;
     }
-    // The mark of all that was charged since the last; absent: nothing was.
-    std::optional<Nonce> mark() {
-        while (!marks_.empty() && end_of(marks_.begin()->second) <= passed_) {
-            marks_.erase(marks_.begin());
+    // Returns the nonce for everything charged since the last one; absent if nothing was.
+    std::optional<Nonce> next_nonce() {
+        while (!charges_by_nonce_.empty() &&
+               end_of(charges_by_nonce_.begin()->second) <= credited_) {
+            charges_by_nonce_.erase(charges_by_nonce_.begin());
         }
-        if (open_.charged.empty()) {
+        if (current_.unacknowledged.empty()) {
             return std::nullopt;
         }
-        const Nonce mark{next_ % kNumbers};
-        marks_[next_++] = std::exchange(open_, {ordered_, {}, 0});
-        marks_.erase(next_ - kNumbers);
-        return mark;
+        const Nonce nonce{next_number_ % kNonceCount};
+        charges_by_nonce_[next_number_++] = std::exchange(current_, {charged_, {}, 0});
+        charges_by_nonce_.erase(next_number_ - kNonceCount);
+        return nonce;
     }
-    bool answered(ProxyId proxy, Nonce mark) {
-        const int newer = (next_ - 1 - mark.value % kNumbers + kNumbers) % kNumbers;
-        const auto at = marks_.find(next_ - 1 - newer);
-        if (at == marks_.end()) {
+    bool on_acknowledgement(ProxyId proxy, Nonce nonce) {
+        const int later_nonces =
+            (next_number_ - 1 - nonce.value % kNonceCount + kNonceCount) % kNonceCount;
+        const auto found = charges_by_nonce_.find(next_number_ - 1 - later_nonces);
+        if (found == charges_by_nonce_.end()) {
             return false;
         }
-        Marked& its = at->second;
-        if (const auto charge = its.charged.extract(proxy)) {
-            its.answered += charge.mapped();
+        NonceCharges& charges = found->second;
+        if (const auto charge = charges.unacknowledged.extract(proxy)) {
+            charges.acknowledged += charge.mapped();
         }
-        passed_ = std::max(passed_, its.before + its.answered);
+        credited_ = std::max(credited_, charges.charged_before + charges.acknowledged);
         return true;
     }
-    // What waits for it will never be answered.
-    void left(ProxyId proxy) {
-        for (const auto& [number, mark] : marks_) {
-            const auto its = mark.charged.find(proxy);
-            orphaned_ += its == mark.charged.end() ? 0 : its->second;
+    // The lines that are pending for the proxy will never be acknowledged.
+    void on_proxy_left(ProxyId proxy) {
+        for (const auto& [number, charges] : charges_by_nonce_) {
+            const auto charge = charges.unacknowledged.find(proxy);
+            pending_to_left_proxies_ += charge == charges.unacknowledged.end() ? 0 : charge->second;
         }
     }
-    // `pace`: lines that went at most; `sure`: at least, which is all that counts while some wait
-    // for the dead, and where `silent`: no answer tells any more.
-    void pass(double pace, double sure, bool silent) {
-        if (silent) {
-            passed_ += sure;
+    // `at_most` and `at_least` are bounds of the lines that were sent. Only `at_least` counts while
+    // lines to proxies that left are pending, and if `acknowledgements_stopped`.
+    void pass(double at_most, double at_least, bool acknowledgements_stopped) {
+        if (acknowledgements_stopped) {
+            credited_ += at_least;
         }
-        passed_ = std::min(passed_, ordered_);
-        at_pace_ = std::max(0.0, at_pace_ - (orphaned_ > 0 ? sure : pace));
-        orphaned_ = std::max(0.0, orphaned_ - sure);
+        credited_ = std::min(credited_, charged_);
+        pending_by_time_ =
+            std::max(0.0, pending_by_time_ - (pending_to_left_proxies_ > 0 ? at_least : at_most));
+        pending_to_left_proxies_ = std::max(0.0, pending_to_left_proxies_ - at_least);
     }
 
  private:
-    static constexpr int kNumbers = 65'536;  // the protocol's marks
-    struct Marked {
-        double before = 0;                    // charged before its first message
-        std::map<ProxyId, double> charged{};  // its messages that are not answered yet
-        double answered = 0;                  // the others
+    static constexpr int kNonceCount = 65'536;  // nonces of the protocol
+    struct NonceCharges {
+        double charged_before = 0;                   // charged before its first message
+        std::map<ProxyId, double> unacknowledged{};  // its messages that are not acknowledged yet
+        double acknowledged = 0;                     // its other messages
     };
-    static double end_of(const Marked& mark) {
-        double sum = mark.before + mark.answered;
-        for (const auto& [proxy, lines] : mark.charged) {
+    static double end_of(const NonceCharges& charges) {
+        double sum = charges.charged_before + charges.acknowledged;
+        for (const auto& [proxy, lines] : charges.unacknowledged) {
             sum += lines;
         }
         return sum;
     }
 
-    double ordered_ = 0, passed_ = 0;  // charged in all; of these surely gone
-    double at_pace_ = 0, orphaned_ = 0;
-    Marked open_;
-    std::map<int, Marked> marks_;  // by the count of marks
-    int next_ = 0;
+    double charged_ = 0, credited_ = 0;  // charged in total; proven to have left
+    double pending_by_time_ = 0, pending_to_left_proxies_ = 0;
+    NonceCharges current_;
+    std::map<int, NonceCharges> charges_by_nonce_;  // by the number of earlier nonces
+    int next_number_ = 0;
 };
 
 }  // namespace micaroad::reference
--- a/tests/reference/notes.hpp
+++ b/tests/reference/notes.hpp
@@ -1,9 +1,9 @@
-/// Frozen reference implementation. tests/differential_test.cpp holds the optimized decisions of
-/// src/ against it: both get the same events, and every order must be equal to the bit. Change it
-/// only together with an intended change of behaviour, never for speed or style.
+/// Frozen reference implementation. tests/differential_test.cpp compares the optimized decisions of
+/// src/ with it: both get the same events, and every order must be equal to the bit. Change it only
+/// together with an intended change of behaviour, never for speed or style.
 ///
-/// The notes that the parts of the module put into each other's inboxes, and the loop that empties
-/// these. What is done on a note, and so every decision, stands in balance.cpp.
+/// The messages that the components of the planner put into each other's mailboxes, and the loop
+/// that delivers them. balance.cpp handles the messages, and so makes all decisions.
 #pragma once
 
 #include <cmath>
@@ -17,115 +17,118 @@
 
 namespace micaroad::reference {
 
-struct Listed {
+struct EndpointListed {
     ListedEndpoint entry;
-    bool at_first = false;
-};  // at_first: in the first list of all
-struct Unlisted {};  // a complete list without it
-struct Beat {};      // a step's evidence is complete
-struct Step {};      // time to move the weights
-struct Pulse {};     // look again at what is waiting
-struct Resubscribe {};
-struct Standing {  // a server, as it sees itself
+    bool in_first_list = false;  // the list is the first that the planner got
+};
+struct EndpointUnlisted {};      // a complete list lacks the server
+struct EvidenceWindowClosed {};  // the evidence of a step is complete
+struct OptimizerStep {};         // asks for a step of the weights
+struct Tick {};                  // time has passed
+struct RenewSubscription {};
+struct EndpointStatus {  // what a tracker knows about its server
     ListedEndpoint entry;
     bool open = false;
-    std::optional<TimePoint> last_ok;
-    double tries = 0, bad = 0, answer_seconds = 0, window = 0;
-    bool steady =
-        false;  // ready since the first list, no start known: nobody had a reason to shut it out
+    std::optional<TimePoint> last_success;
+    double attempts = 0, failures = 0, success_latency_sum = 0, window_seconds = 0;
+    bool steady = false;  // ready since the first list, without a known start: nobody had a reason
+                          // to withdraw it
     bool gone() const { return !open && entry.phase == EndpointPhase::gone; }
 };
-struct Met {
-    event::EndpointLoadReport said;
-    ZoneId at;
-};  // with the zone of the server
-struct Loose {
+struct ZonedLoadReport {
+    event::EndpointLoadReport report;
+    ZoneId server_zone;
+};
+struct UnboundProxy {  // joined, but not bound
     ZoneId zone;
-    int turn;
-};  // a proxy that is joined, not bound; its place among all joinings
-struct Bound {  // one that is
+    int join_number;  // its place among all joins
+};
+struct BoundProxy {
     ZoneId zone;
-    double rate = 0;  // RPCs a second
+    double rpcs_per_second = 0;
     std::size_t subset = 0;
-    bool few = false;  // to a table of its own with a few servers of the subset
+    bool partial = false;  // bound to a table of its own with a few servers of the subset
 };
-// Rank (0: can't wait, 1: learnt, 2: tidies up), size, server, pool (below 0: it leaves or comes
-// back).
+// A pending change: rank (0: urgent, 1: learnt, 2: cleanup), sort key, server, and pool (negative:
+// the server is withdrawn or reinstated).
 using Change = std::tuple<int, double, ServerId, int>;
-struct Wish {
-    Standing seen;
-    RealVector shares;
-    bool cold;
-};  // by pool
-struct Handover {
+struct DesiredWeights {
+    EndpointStatus status;
+    RealVector shares;  // by pool
+    bool warming_up;
+};
+struct OwnershipTransfer {
     TableId slice;
     ServerId server;
     double weight;
 };
-struct Binding {
+struct PoolBinding {
     TableId table;
     std::vector<MethodId> methods;
     std::optional<ZoneId> zone;
 };
-// RPCs let in, by method; all proxies' load over what was heard of ours; RPCs a second that all
-// told of.
-struct Demand {
-    RealVector rates;
-    double all_over_ours = 1, told = 0;
+struct DemandEstimate {
+    RealVector rates;              // admitted RPCs, by method
+    double total_to_own_load = 1,  // load of all proxies by that reported of this planner's
+        announced_rate = 0;        // RPCs a second that all proxies announced
+};
+struct WarmUpState {
+    bool any_warming_up;
+};
+struct AdmissionFractions {
+    RealVector by_method;
 };
-struct Cold {
-    bool any;
-};  // is a server still cold?
-struct Levels {
-    RealVector amounts;
-};  // by method
 
-using Note = std::variant<Listed, Unlisted, Beat, Step, Pulse, Resubscribe, Standing, Wish,
-                          Handover, Binding, Demand, Levels, Cold, Met, event::EndpointLoadReport,
-                          event::ProxyJoined, event::ProxyLeft, event::DemandReport,
-                          event::SliceAssigned, event::SliceOwnerReported, event::Acknowledgement>;
+using Message =
+    std::variant<EndpointListed, EndpointUnlisted, EvidenceWindowClosed, OptimizerStep, Tick,
+                 RenewSubscription, EndpointStatus, DesiredWeights, OwnershipTransfer, PoolBinding,
+                 DemandEstimate, AdmissionFractions, WarmUpState, ZonedLoadReport,
+                 event::EndpointLoadReport, event::ProxyJoined, event::ProxyLeft,
+                 event::DemandReport, event::SliceAssigned, event::SliceOwnerReported,
+                 event::Acknowledgement>;
 
-struct Part {
-    std::deque<Note> inbox;
+struct Component {
+    std::deque<Message> mailbox;
 };
 
-// Hands a part its notes, in order; one that means nothing to it is dropped.
-template <class AnyPart>
-void empty(AnyPart& part) {
-    for (; !part.inbox.empty(); part.inbox.pop_front()) {
+// Delivers its messages to a component, in sequence; it drops those that it has no handler for.
+template <class AnyComponent>
+void deliver(AnyComponent& component) {
+    for (; !component.mailbox.empty(); component.mailbox.pop_front()) {
         std::visit(
-            [&part](const auto& note) {
-                if constexpr (requires { part.on(note); }) {
-                    part.on(note);
+            [&component](const auto& message) {
+                if constexpr (requires { component.on(message); }) {
+                    component.on(message);
                 }
             },
-            part.inbox.front());
+            component.mailbox.front());
     }
 }
 
-// The one loop: until no inbox holds a note.
-template <class... Parts>
-void empty_all(Parts&... parts) {
-    while ((!parts.inbox.empty() || ...)) {
-        (empty(parts), ...);
+// Delivers messages until all mailboxes are empty.
+template <class... Components>
+void deliver_all(Components&... components) {
+    while ((!components.mailbox.empty() || ...)) {
+        (deliver(components), ...);
     }
 }
 
-// Events that can be meant.
-inline bool counts(double all, double part) {
+// Whether the numbers of an event are valid.
+inline bool is_valid_count(double all, double part) {
     return std::isfinite(all + part) && all > 0 && part >= 0;
 }
 template <class Other>
-bool sound(const Other&, const DeploymentSettings&) {
+bool is_valid(const Other&, const DeploymentSettings&) {
     return true;
 }
-inline bool sound(const event::EndpointLoadReport& met, const DeploymentSettings&) {
-    return counts(met.attempts, met.failures) && met.mean_latency >= Duration{} &&
-           met.window > Duration{};
+inline bool is_valid(const event::EndpointLoadReport& report, const DeploymentSettings&) {
+    return is_valid_count(report.attempts, report.failures) && report.mean_latency >= Duration{} &&
+           report.window > Duration{};
 }
-inline bool sound(const event::DemandReport& came, const DeploymentSettings& settings) {
-    const bool known = came.method.value >= 0 && came.method.value < std::ssize(settings.methods);
-    return known && counts(came.requests, came.unanswered);
+inline bool is_valid(const event::DemandReport& report, const DeploymentSettings& settings) {
+    const bool is_known_method =
+        report.method.value >= 0 && report.method.value < std::ssize(settings.methods);
+    return is_known_method && is_valid_count(report.requests, report.unanswered);
 }
 
 }  // namespace micaroad::reference
--- a/tests/reference/planner.hpp
+++ b/tests/reference/planner.hpp
@@ -1,6 +1,6 @@
-/// Frozen reference implementation. tests/differential_test.cpp holds the optimized decisions of
-/// src/ against it: both get the same events, and every order must be equal to the bit. Change it
-/// only together with an intended change of behaviour, never for speed or style.
+/// Frozen reference implementation. tests/differential_test.cpp compares the optimized decisions of
+/// src/ with it: both get the same events, and every order must be equal to the bit. Change it only
+/// together with an intended change of behaviour, never for speed or style.
 ///
 /// The plain reference's planner: the same events and orders as micaroad::Planner, none of its
 /// shortcuts.
--- a/tests/reference/update_builder.cpp
+++ b/tests/reference/update_builder.cpp
@@ -1,6 +1,6 @@
-/// Frozen reference implementation. tests/differential_test.cpp holds the optimized decisions of
-/// src/ against it: both get the same events, and every order must be equal to the bit. Change it
-/// only together with an intended change of behaviour, never for speed or style.
+/// Frozen reference implementation. tests/differential_test.cpp compares the optimized decisions of
+/// src/ with it: both get the same events, and every order must be equal to the bit. Change it only
+/// together with an intended change of behaviour, never for speed or style.
 #include "reference/update_builder.hpp"
 
 #include <algorithm>
@@ -10,69 +10,72 @@
 namespace micaroad::reference {
 
 void UpdateBuilder::on_endpoint_list(const event::EndpointListUpdate& list) {
-    std::set<ServerId> named;
+    std::set<ServerId> named_servers;
     for (const ListedEndpoint& server : list.servers) {
-        named.insert(server.server);
+        named_servers.insert(server.server);
         server.phase == EndpointPhase::gone ? (void)listed_.erase(server.server)
                                             : (void)listed_.insert(server.server);
         const bool steady = server.phase == EndpointPhase::ready && !server.last_start;
         if (!steady) {
             steady_.erase(server.server);
-        } else if (!heard_any_) {
+        } else if (!has_list_) {
             steady_.insert(server.server);
         }
     }
     if (list.form == event::EndpointListUpdate::Form::complete) {
         for (auto* set : {&steady_, &listed_}) {
-            std::erase_if(*set,
-                          [&named](const ServerId& server) { return !named.contains(server); });
+            std::erase_if(*set, [&named_servers](const ServerId& server) {
+                return !named_servers.contains(server);
+            });
         }
     }
-    heard_any_ = true;
+    has_list_ = true;
 }
 
 void UpdateBuilder::on_proxy_joined(ProxyId proxy) {
-    proxies_[proxy].here = true;
+    proxies_[proxy].joined = true;
 }
 
-// What it may not have got is taken for shut out, so that it is let back with its next line; the
-// rest it keeps.
+// Notices that the proxy may not have got count as withdrawals, so that the server is reinstated
+// together with its next entry.
 void UpdateBuilder::on_proxy_left(ProxyId number) {
     const auto at = proxies_.find(number);
     if (at == proxies_.end()) {
         return;
     }
     Proxy& proxy = at->second;
-    proxy.here = false;
+    proxy.joined = false;
     for (const auto& [method, table] : proxy.bound) {
-        users_[table].erase(number);
+        bound_proxies_[table].erase(number);
     }
     proxy.bound.clear();
-    proxy.unanswered.clear();
-    for (auto& [server, told] : proxy.told) {
-        told.out |= !told.sure, told.here = false;
+    proxy.unacknowledged.clear();
+    for (auto& [server, notice] : proxy.notices) {
+        notice.withdrawn |= !notice.acknowledged, notice.on_this_stream = false;
     }
 }
 
-// A proxy applies in order: an answer stands for all that was written before it.
-bool UpdateBuilder::on_acknowledgement(ProxyId number, Nonce mark) {
+// A proxy applies updates in sequence: an acknowledgement covers all earlier updates.
+bool UpdateBuilder::on_acknowledgement(ProxyId number, Nonce nonce) {
     const auto at = proxies_.find(number);
     if (at == proxies_.end()) {
         return false;
     }
-    auto& [here, bound, told, unanswered] = at->second;
-    const auto is_it = [&mark](const auto& said) { return said.first == mark; };
-    if (std::none_of(unanswered.begin(), unanswered.end(), is_it)) {
+    auto& [joined, bound, notices, unacknowledged] = at->second;
+    const auto has_nonce = [&nonce](const auto& update) { return update.first == nonce; };
+    if (std::none_of(unacknowledged.begin(), unacknowledged.end(), has_nonce)) {
         return false;
     }
-    for (bool last = false; !last; unanswered.pop_front()) {
-        last = is_it(unanswered.front());
-        for (const ServerId& server : unanswered.front().second) {
-            const bool again =
-                std::any_of(std::next(unanswered.begin()), unanswered.end(),
-                            [&server](const auto& later) { return later.second.contains(server); });
-            if (!again) {
-                told[server].sure = true;
+    for (bool is_last = false; !is_last; unacknowledged.pop_front()) {
+        is_last = has_nonce(unacknowledged.front());
+        for (const ServerId& server : unacknowledged.front().second) {
+            const bool is_sent_later =
+                std::any_of(std::next(unacknowledged.begin()), unacknowledged.end(),
+                            [&server](const auto& later_update) {
+                                return later_update.second.contains(server);
+                            });
+            if (!is_sent_later) {
+                notices[server].acknowledged = true;
             }
         }
     }
@@ -80,17 +83,17 @@
 }
 
 bool UpdateBuilder::forget(const ServerId& server) {
-    if (!withdrawn_.contains(server) && in_a_table(server)) {
+    if (!withdrawn_.contains(server) && is_in_table(server)) {
         return false;
     }
     for (auto& [number, table] : tables_) {
-        table.lines.erase(server);
+        table.entries.erase(server);
     }
     withdrawn_.erase(server);
     for (auto& [number, proxy] : proxies_) {
-        proxy.told.erase(server);
-        for (auto& [mark, shut] : proxy.unanswered) {
-            shut.erase(server);
+        proxy.notices.erase(server);
+        for (auto& [nonce, servers] : proxy.unacknowledged) {
+            servers.erase(server);
         }
     }
     return true;
@@ -103,13 +106,13 @@
     std::vector<ProxyUpdate> updates;
     for (auto& [number, update] : std::exchange(drafts_, {})) {
         if (update.nonce) {
-            auto& unanswered = proxies_[number].unanswered;
-            unanswered.emplace_back(*update.nonce, std::set<ServerId>{});
-            for (const auto& [server, out] : update.withdrawn) {
-                unanswered.back().second.insert(server);
+            auto& unacknowledged = proxies_[number].unacknowledged;
+            unacknowledged.emplace_back(*update.nonce, std::set<ServerId>{});
+            for (const auto& [server, withdrawn] : update.withdrawn) {
+                unacknowledged.back().second.insert(server);
             }
-            if (unanswered.size() > kMostUnanswered) {
-                unanswered.pop_front();
+            if (unacknowledged.size() > kMaxUnacknowledged) {
+                unacknowledged.pop_front();
             }
         }
         updates.push_back(std::move(update));
@@ -122,17 +125,18 @@
 }
 
 void UpdateBuilder::apply(const order::SetTableEntry& o) {
-    if (o.weight > 0 && over(o.server)) {
+    if (o.weight > 0 && must_stay_withdrawn(o.server)) {
         return (void)++suppressed_orders_;
     }
     Table& table = tables_[o.table];
-    o.weight > 0 ? (void)(table.lines[o.server] = o.weight) : (void)table.lines.erase(o.server);
-    for (const ProxyId number : users_[o.table]) {
+    o.weight > 0 ? (void)(table.entries[o.server] = o.weight) : (void)table.entries.erase(o.server);
+    for (const ProxyId number : bound_proxies_[o.table]) {
         Proxy& proxy = proxies_.at(number);
-        ProxyUpdate::Table& part = table_in(update_for(number), methods_at(proxy, o.table));
+        ProxyUpdate::Table& part =
+            table_part_for(update_for(number), methods_bound_to(proxy, o.table));
         if (o.weight > 0) {
             part.lines[o.server] = o.weight;
-            let_back_unless_open(number, proxy, o.server);
+            reinstate_unless_open(number, proxy, o.server);
         } else if (part.full) {
             part.lines.erase(o.server);
         } else {
@@ -143,22 +147,22 @@
 
 void UpdateBuilder::apply(const order::ClearTable& o) {
     tables_.erase(o.table);
-    for (const ProxyId number : users_[o.table]) {
-        const std::set<MethodId> methods = methods_at(proxies_.at(number), o.table);
+    for (const ProxyId number : bound_proxies_[o.table]) {
+        const std::set<MethodId> methods = methods_bound_to(proxies_.at(number), o.table);
         ProxyUpdate& update = update_for(number);
-        table_in(update, methods) = {methods, true, {}};
-        begin_levels(update, tables_[o.table], methods);
+        table_part_for(update, methods) = {methods, true, {}};
+        reset_admissions(update, tables_[o.table], methods);
     }
 }
 
 void UpdateBuilder::apply(const order::BindProxy& o) {
     const auto at = proxies_.find(o.proxy);
-    if (at == proxies_.end() || !at->second.here) {
+    if (at == proxies_.end() || !at->second.joined) {
         return;
     }
     Proxy& proxy = at->second;
     ProxyUpdate& update = update_for(o.proxy);
-    const std::set<MethodId> methods = all_if_none(o.methods);
+    const std::set<MethodId> methods = all_if_empty(o.methods);
     const Table& table = tables_[o.table];
     for (ProxyUpdate::Table& other : update.tables) {
         for (const MethodId method : methods) {
@@ -167,68 +171,69 @@
     }
     std::erase_if(update.tables,
                   [](const ProxyUpdate::Table& other) { return other.methods.empty(); });
-    update.tables.push_back({methods, true, table.lines});
+    update.tables.push_back({methods, true, table.entries});
     for (const MethodId method : methods) {
-        use(o.proxy, proxy, method, o.table);
+        bind_method(o.proxy, proxy, method, o.table);
     }
-    begin_levels(update, table, methods);
-    for (const auto& [server, weight] : table.lines) {
-        withdrawn_.contains(server) ? tell_shut(o.proxy, proxy, server, true)
-                                    : let_back_unless_open(o.proxy, proxy, server);
+    reset_admissions(update, table, methods);
+    for (const auto& [server, weight] : table.entries) {
+        withdrawn_.contains(server) ? send_notice(o.proxy, proxy, server, true)
+                                    : reinstate_unless_open(o.proxy, proxy, server);
     }
 }
 
 void UpdateBuilder::apply(const order::SetAdmission& o) {
-    const std::set<MethodId> methods = all_if_none(o.methods);
+    const std::set<MethodId> methods = all_if_empty(o.methods);
     for (const MethodId method : methods) {
-        (o.table ? tables_[*o.table].levels : for_all_)[method] = {o.amount, o.retry_policy};
+        (o.table ? tables_[*o.table].admissions : admissions_for_all_)[method] = {o.amount,
+                                                                                  o.retry_policy};
     }
-    const auto tell = [&](ProxyId number, const Proxy& proxy) {
+    const auto send_admissions = [&](ProxyId number, const Proxy& proxy) {
         for (const MethodId method : methods) {
             const auto at = proxy.bound.find(method);
             if (o.table && (at == proxy.bound.end() || at->second != *o.table)) {
                 continue;
             }
             static const Table kNone;
-            const auto level =
-                level_of(at == proxy.bound.end() ? kNone : tables_[at->second], method);
-            update_for(number).admissions[method] = *level;
+            const auto admission =
+                admission_for(at == proxy.bound.end() ? kNone : tables_[at->second], method);
+            update_for(number).admissions[method] = *admission;
         }
     };
     if (o.table) {
-        for (const ProxyId number : users_[*o.table]) {
-            tell(number, proxies_.at(number));
+        for (const ProxyId number : bound_proxies_[*o.table]) {
+            send_admissions(number, proxies_.at(number));
         }
     } else {
         for (const auto& [number, proxy] : proxies_) {
-            if (proxy.here) {
-                tell(number, proxy);
+            if (proxy.joined) {
+                send_admissions(number, proxy);
             }
         }
     }
 }
 
 void UpdateBuilder::apply(const order::SetWithdrawn& o) {
-    if (!o.withdrawn && over(o.server)) {
+    if (!o.withdrawn && must_stay_withdrawn(o.server)) {
         return (void)++suppressed_orders_;
     }
     o.withdrawn ? (void)withdrawn_.insert(o.server) : (void)withdrawn_.erase(o.server);
-    std::set<TableId> with_it;
+    std::set<TableId> tables_with_server;
     for (const auto& [number, table] : tables_) {
-        if (table.lines.contains(o.server)) {
-            with_it.insert(number);
+        if (table.entries.contains(o.server)) {
+            tables_with_server.insert(number);
         }
     }
     for (auto& [number, proxy] : proxies_) {
-        if (proxy.here && holds(proxy, with_it)) {
-            tell_shut(number, proxy, o.server, o.withdrawn);
+        if (proxy.joined && may_hold(proxy, tables_with_server)) {
+            send_notice(number, proxy, o.server, o.withdrawn);
         }
     }
 }
 
 void UpdateBuilder::apply(const order::SendNonce& o) {
     for (auto& [number, proxy] : proxies_) {
-        if (proxy.here && (o.to_all || drafts_.contains(number))) {
+        if (proxy.joined && (o.to_all || drafts_.contains(number))) {
             update_for(number).nonce = o.nonce;
         }
     }
@@ -240,8 +245,8 @@
     return update;
 }
 
-ProxyUpdate::Table& UpdateBuilder::table_in(ProxyUpdate& update,
-                                            const std::set<MethodId>& methods) {
+ProxyUpdate::Table& UpdateBuilder::table_part_for(ProxyUpdate& update,
+                                                  const std::set<MethodId>& methods) {
     for (ProxyUpdate::Table& part : update.tables) {
         if (std::includes(methods.begin(), methods.end(), part.methods.begin(),
                           part.methods.end())) {
@@ -251,90 +256,96 @@
     return update.tables.emplace_back(ProxyUpdate::Table{methods, false, {}});
 }
 
-void UpdateBuilder::begin_levels(ProxyUpdate& update, const Table& table,
-                                 const std::set<MethodId>& methods) const {
+void UpdateBuilder::reset_admissions(ProxyUpdate& update, const Table& table,
+                                     const std::set<MethodId>& methods) const {
     for (const MethodId method : methods) {
         update.admissions.erase(method);
-        if (const auto level = level_of(table, method)) {
-            update.admissions[method] = *level;
+        if (const auto admission = admission_for(table, method)) {
+            update.admissions[method] = *admission;
         }
     }
 }
 
-std::set<MethodId> UpdateBuilder::methods_at(const Proxy& proxy, TableId table) const {
+std::set<MethodId> UpdateBuilder::methods_bound_to(const Proxy& proxy, TableId table) const {
     std::set<MethodId> methods;
     for (const auto& [method, bound] : proxy.bound) {
-        if (proxy.here && bound == table) {
+        if (proxy.joined && bound == table) {
             methods.insert(method);
         }
     }
     return methods;
 }
 
-std::set<MethodId> UpdateBuilder::all_if_none(const std::vector<MethodId>& methods) const {
+std::set<MethodId> UpdateBuilder::all_if_empty(const std::vector<MethodId>& methods) const {
     std::set<MethodId> all(methods.begin(), methods.end());
-    for (std::size_t m = 0; methods.empty() && m < methods_; ++m) {
+    for (std::size_t m = 0; methods.empty() && m < method_count_; ++m) {
         all.insert(MethodId{static_cast<int>(m)});
     }
     return all;
 }
 
-// Tables of others, and those a proxy starts with, can't be seen from here: they may hold any
-// server.
-bool UpdateBuilder::holds(const Proxy& proxy, const std::set<TableId>& with_it) const {
-    if (proxy.bound.size() < methods_) {
+// Tables of other planners and initial tables are unknown here: they may hold any server.
+bool UpdateBuilder::may_hold(const Proxy& proxy,
+                             const std::set<TableId>& tables_with_server) const {
+    if (proxy.bound.size() < method_count_) {
         return true;
     }
-    return std::any_of(proxy.bound.begin(), proxy.bound.end(),
-                       [&](const auto& bound) { return with_it.contains(bound.second); });
+    return std::any_of(proxy.bound.begin(), proxy.bound.end(), [&](const auto& bound) {
+        return tables_with_server.contains(bound.second);
+    });
 }
 
-void UpdateBuilder::use(ProxyId number, Proxy& proxy, MethodId method, TableId table) {
-    const auto old = std::exchange(proxy.bound[method], table);
-    if (methods_at(proxy, old).empty()) {
-        users_[old].erase(number);
+void UpdateBuilder::bind_method(ProxyId number, Proxy& proxy, MethodId method, TableId table) {
+    const auto old_table = std::exchange(proxy.bound[method], table);
+    if (methods_bound_to(proxy, old_table).empty()) {
+        bound_proxies_[old_table].erase(number);
     }
-    users_[table].insert(number);
+    bound_proxies_[table].insert(number);
 }
 
-bool UpdateBuilder::in_a_table(const ServerId& server) const {
+bool UpdateBuilder::is_in_table(const ServerId& server) const {
     return std::any_of(tables_.begin(), tables_.end(), [&server](const auto& table) {
-        return table.second.lines.contains(server);
+        return table.second.entries.contains(server);
     });
 }
 
-// Where both are set the lower amount holds, and the table's own way of trying again.
-std::optional<ProxyUpdate::Admission> UpdateBuilder::level_of(const Table& table,
-                                                              MethodId method) const {
-    const auto own = table.levels.find(method), all = for_all_.find(method);
-    if (own == table.levels.end() && all == for_all_.end()) {
+// If both are set, the lower amount holds, and the retry policy of the table.
+std::optional<ProxyUpdate::Admission> UpdateBuilder::admission_for(const Table& table,
+                                                                   MethodId method) const {
+    const auto own_admission = table.admissions.find(method),
+               shared_admission = admissions_for_all_.find(method);
+    if (own_admission == table.admissions.end() && shared_admission == admissions_for_all_.end()) {
         return std::nullopt;
     }
-    if (own == table.levels.end()) {
-        return all->second;
+    if (own_admission == table.admissions.end()) {
+        return shared_admission->second;
     }
-    if (all == for_all_.end()) {
-        return own->second;
+    if (shared_admission == admissions_for_all_.end()) {
+        return own_admission->second;
     }
-    return ProxyUpdate::Admission{std::min(own->second.amount, all->second.amount),
-                                  own->second.retry_policy};
+    return ProxyUpdate::Admission{
+        std::min(own_admission->second.amount, shared_admission->second.amount),
+        own_admission->second.retry_policy};
 }
 
-// Said twice on one stream it is one line too many: a stream loses nothing.
-void UpdateBuilder::tell_shut(ProxyId number, Proxy& proxy, const ServerId& server, bool out) {
-    const auto told = proxy.told.find(server);
-    if (told != proxy.told.end() && told->second.here && told->second.out == out) {
+// A second notice on the same stream would waste a line, as a stream loses nothing.
+void UpdateBuilder::send_notice(ProxyId number, Proxy& proxy, const ServerId& server,
+                                bool withdrawn) {
+    const auto notice = proxy.notices.find(server);
+    if (notice != proxy.notices.end() && notice->second.on_this_stream &&
+        notice->second.withdrawn == withdrawn) {
         return;
     }
-    update_for(number).withdrawn[server] = out;
-    proxy.told[server] = {out, false, true};
+    update_for(number).withdrawn[server] = withdrawn;
+    proxy.notices[server] = {withdrawn, false, true};
 }
 
-void UpdateBuilder::let_back_unless_open(ProxyId number, Proxy& proxy, const ServerId& server) {
-    const auto told = proxy.told.find(server);
-    const bool open = told != proxy.told.end() ? !told->second.out : steady_.contains(server);
+void UpdateBuilder::reinstate_unless_open(ProxyId number, Proxy& proxy, const ServerId& server) {
+    const auto notice = proxy.notices.find(server);
+    const bool open =
+        notice != proxy.notices.end() ? !notice->second.withdrawn : steady_.contains(server);
     if (!open && !withdrawn_.contains(server)) {
-        tell_shut(number, proxy, server, false);
+        send_notice(number, proxy, server, false);
     }
 }
 
--- a/tests/reference/update_builder.hpp
+++ b/tests/reference/update_builder.hpp
@@ -1,10 +1,9 @@
-/// Frozen reference implementation. tests/differential_test.cpp holds the optimized decisions of
-/// src/ against it: both get the same events, and every order must be equal to the bit. Change it
-/// only together with an intended change of behaviour, never for speed or style.
+/// Frozen reference implementation. tests/differential_test.cpp compares the optimized decisions of
+/// src/ with it: both get the same events, and every order must be equal to the bit. Change it only
+/// together with an intended change of behaviour, never for speed or style.
 ///
-/// The update_builder as it was before it kept by server and by table who holds what: an order may
-/// walk all tables and proxies. Kept plain, as what tests/differential_test.cpp holds the
-/// update_builder against.
+/// The update builder in its simple form, without indexes of the proxies that hold a server: an
+/// order may iterate over all tables and proxies.
 #pragma once
 
 #include <deque>
@@ -20,50 +19,52 @@
 
 class UpdateBuilder {
  public:
-    explicit UpdateBuilder(std::size_t methods) : methods_(methods) {}
+    explicit UpdateBuilder(std::size_t method_count) : method_count_(method_count) {}
 
     void on_endpoint_list(const event::EndpointListUpdate& list);
-    void on_proxy_joined(ProxyId proxy);  // after left(), where it was here
+    void on_proxy_joined(ProxyId proxy);  // after on_proxy_left(), if it had joined before
     void on_proxy_left(ProxyId proxy);
-    bool on_acknowledgement(ProxyId proxy,
-                            Nonce mark);  // false: no such mark is open on its stream
-    // It is gone for good: its lines leave the tables before what was shut out is dropped, as a
-    // table that still had one would let it back at the next bind. False while a line of it is not
-    // withdrawn: nothing is dropped.
+    bool on_acknowledgement(
+        ProxyId proxy,
+        Nonce nonce);  // false: no update with this nonce awaits acknowledgement
+    // Forgets a server that is gone permanently. Its entries leave the tables together with its
+    // withdrawal, as a remaining entry would reinstate it at the next bind. Returns false and
+    // changes nothing while the server is in a table and not withdrawn.
     bool forget(const ServerId& server);
-    // Orders not written since they would send RPCs to a server that is off the list and withdrawn
-    // or forgotten, since last asked. The module gives none; the update_builder does not depend on
-    // that.
+    // Returns the number of orders suppressed since the last call because they would have directed
+    // RPCs to a server that is not listed and is withdrawn or forgotten. The planner gives no such
+    // orders, but the builder does not rely on that.
     std::size_t take_suppressed_orders() { return std::exchange(suppressed_orders_, 0); }
 
-    // Of one decide(), in order; those that concern no proxy are passed over.
+    // Applies the orders of one decide() in sequence; those that concern no proxy are ignored.
     std::vector<ProxyUpdate> build_updates(const std::vector<Order>& orders);
 
-    // Orders that need slices or peers; there are no words for them yet.
+    // False for messages between planners, which the protocol can't express yet.
     static bool is_supported(const Order& order);
 
  private:
-    static constexpr std::size_t kMostUnanswered =
-        256;  // a proxy; what an older one said stays unsure
-    using Levels = std::map<MethodId, ProxyUpdate::Admission>;
+    static constexpr std::size_t kMaxUnacknowledged =
+        256;  // per proxy; what an older update said stays unacknowledged
+    using Admissions = std::map<MethodId, ProxyUpdate::Admission>;
     struct Table {
-        std::map<ServerId, double> lines;
-        Levels levels;
+        std::map<ServerId, double> entries;
+        Admissions admissions;
     };
-    // A proxy keeps what it was told to shut out across streams and planners. What this one has not
-    // said there is not known, but for servers nobody has had a reason to shut out: those it has
-    // found steady.
-    struct Told {
-        bool out = false;
-        bool sure = false;  // it has answered a mark since
-        bool here = true;   // on the stream that it has now
+    // The last withdrawal or reinstatement of a server that was sent to a proxy. A proxy keeps
+    // withdrawals across streams and planners. Without a notice of this planner it is unknown
+    // whether a server is withdrawn there, except for steady servers, which no planner had a reason
+    // to withdraw.
+    struct Notice {
+        bool withdrawn = false;
+        bool acknowledged = false;   // the proxy has acknowledged this update or a later one
+        bool on_this_stream = true;  // sent on the proxy's current stream
     };
     struct Proxy {
-        bool here = false;
+        bool joined = false;
         std::map<MethodId, TableId> bound;
-        std::map<ServerId, Told> told;
+        std::map<ServerId, Notice> notices;
         std::deque<std::pair<Nonce, std::set<ServerId>>>
-            unanswered;  // with what was shut, in order of writing
+            unacknowledged;  // nonces and the servers of their updates, in order of sending
     };
 
     void apply(const order::SetTableEntry& o);
@@ -76,34 +77,34 @@
     void apply(const Other&) {}
 
     ProxyUpdate& update_for(ProxyId proxy);
-    ProxyUpdate::Table& table_in(ProxyUpdate& update, const std::set<MethodId>& methods);
-    // After `full`, which forgets them.
-    void begin_levels(ProxyUpdate& update, const Table& table,
-                      const std::set<MethodId>& methods) const;
-    std::set<MethodId> methods_at(const Proxy& proxy, TableId table) const;
-    std::set<MethodId> all_if_none(const std::vector<MethodId>& methods) const;
-    bool holds(const Proxy& proxy, const std::set<TableId>& with_it) const;
-    void use(ProxyId number, Proxy& proxy, MethodId method, TableId table);
-    bool in_a_table(const ServerId& server) const;
-    // Off the list, and nothing may be sent there again: withdrawn, or forgotten.
-    bool over(const ServerId& server) const {
-        return heard_any_ && !listed_.contains(server) &&
-               (withdrawn_.contains(server) || !in_a_table(server));
+    ProxyUpdate::Table& table_part_for(ProxyUpdate& update, const std::set<MethodId>& methods);
+    // Sets the admissions after a full table, which clears them at the proxy.
+    void reset_admissions(ProxyUpdate& update, const Table& table,
+                          const std::set<MethodId>& methods) const;
+    std::set<MethodId> methods_bound_to(const Proxy& proxy, TableId table) const;
+    std::set<MethodId> all_if_empty(const std::vector<MethodId>& methods) const;
+    bool may_hold(const Proxy& proxy, const std::set<TableId>& tables_with_server) const;
+    void bind_method(ProxyId number, Proxy& proxy, MethodId method, TableId table);
+    bool is_in_table(const ServerId& server) const;
+    // Whether the server is not listed and is withdrawn or forgotten, so that no RPC may go there.
+    bool must_stay_withdrawn(const ServerId& server) const {
+        return has_list_ && !listed_.contains(server) &&
+               (withdrawn_.contains(server) || !is_in_table(server));
     }
-    std::optional<ProxyUpdate::Admission> level_of(const Table& table, MethodId method) const;
-    void tell_shut(ProxyId number, Proxy& proxy, const ServerId& server, bool out);
-    // A line whose server this proxy may still shut out would be none.
-    void let_back_unless_open(ProxyId number, Proxy& proxy, const ServerId& server);
+    std::optional<ProxyUpdate::Admission> admission_for(const Table& table, MethodId method) const;
+    void send_notice(ProxyId number, Proxy& proxy, const ServerId& server, bool withdrawn);
+    // Reinstates a server that may still be withdrawn at the proxy: its entry would have no effect.
+    void reinstate_unless_open(ProxyId number, Proxy& proxy, const ServerId& server);
 
-    std::size_t methods_;
-    bool heard_any_ = false;
+    std::size_t method_count_;
+    bool has_list_ = false;
     std::size_t suppressed_orders_ = 0;
     std::set<ServerId> listed_;  // ready or draining
-    std::set<ServerId> steady_;  // ready since the first list, and started before anyone's memory
+    std::set<ServerId> steady_;  // ready since the first list, without a known start time
     std::map<TableId, Table> tables_;
     std::map<TableId, std::set<ProxyId>>
-        users_;  // who is bound to it for any method: tables are many, and so are they
-    Levels for_all_;
+        bound_proxies_;  // by table, for any method; an index, as tables and proxies are many
+    Admissions admissions_for_all_;
     std::set<ServerId> withdrawn_;
     std::map<ProxyId, Proxy> proxies_;
     std::map<ProxyId, ProxyUpdate> drafts_;
