--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -147,7 +147,7 @@
 }
 
 TEST_CASE(
-    "a reload follows the new discovery; versions that begin again lose no server and revive "
+    "a reload follows the new discovery, and versions that begin again lose no server and revive "
     "none") {
     CoreFixture fixture;
     fixture.process({CoreFixture::list_received(test::kTwoServerList),
@@ -337,7 +337,7 @@
 }
 
 TEST_CASE(
-    "a list of another deployment is rejected, whole or incremental; one with a new zone is "
+    "a list of another deployment is rejected, whole or incremental, and one with a new zone is "
     "accepted") {
     CoreFixture fixture;
     fixture.process({CoreFixture::list_received(test::kTwoServerList)});
--- a/tests/reference/planner.hpp
+++ b/tests/reference/planner.hpp
@@ -2,8 +2,8 @@
 /// src/ with it: both get the same events, and every order must be equal to the bit. Change it only
 /// together with an intended change of behaviour, never for speed or style.
 ///
-/// The plain reference's planner: the same events and orders as micaroad::Planner, none of its
-/// shortcuts.
+/// The reference planner: it takes the same events and gives the same orders as micaroad::Planner,
+/// without the optimizations.
 #pragma once
 
 #include <cstdint>
--- a/tests/routing_tables_test.cpp
+++ b/tests/routing_tables_test.cpp
@@ -50,8 +50,8 @@
 }  // namespace
 
 TEST_CASE(
-    "pending changes are ordered by rank, key, server and pool; changes of whole endpoints come "
-    "before those in a pool") {
+    "pending changes are ordered by rank, key, server and pool, and whole endpoints precede "
+    "pools") {
     std::vector<PendingChange> changes;
     for (const ChangeRank rank : {ChangeRank::urgent, ChangeRank::learnt, ChangeRank::cleanup}) {
         for (const double key : {-1e6, -0.25, 0.0, 7.5}) {
--- a/tests/update_builder_test.cpp
+++ b/tests/update_builder_test.cpp
@@ -84,7 +84,7 @@
 
 }  // namespace
 
-TEST_CASE("a change reaches no unbound proxy; a bind sends the table as it is at that time") {
+TEST_CASE("a change reaches no unbound proxy, and a bind sends the table as it is at that time") {
     UpdateBuilder update_builder = builder_with_two_steady_servers();
     update_builder.on_proxy_joined({0});
     CHECK(update_builder.build_updates({set_entry("a", 1), set_entry("b", 2), set_admission(0.5)})
@@ -103,7 +103,7 @@
 }
 
 TEST_CASE(
-    "a proxy gets one update per decision; changes after its bind are part of the full table") {
+    "a proxy gets one update per decision, and changes after its bind are part of the full table") {
     UpdateBuilder update_builder = builder_with_two_steady_servers();
     update_builder.on_proxy_joined({0});
     update_builder.on_proxy_joined({1});
@@ -138,7 +138,7 @@
 }
 
 TEST_CASE(
-    "an admission for all tables goes to all proxies and with later binds; the lower amount "
+    "an admission for all tables goes to all proxies and with later binds, and the lower amount "
     "holds") {
     UpdateBuilder update_builder = builder_with_two_steady_servers();
     update_builder.on_proxy_joined({0});
