--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -352,7 +352,7 @@
 
 // A response with the complete list at the given version.
 std::string list_response(int version, const std::string& tail = "") {
-    std::string list = kList;
+    std::string list = kTwoServerList;
     list.replace(list.find("41"), 2, std::to_string(version));
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(list.size()) + "\r\n\r\n" + list +
            tail;
@@ -398,7 +398,7 @@
     const std::string faulty_response =
         GENERATE(as<std::string>{}, truncated(list_response(30)),
                  "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
-                 "HTTP/1.1 200 OK\r\n\r\n" + kList.substr(0, 90) + "!", "!");
+                 "HTTP/1.1 200 OK\r\n\r\n" + kTwoServerList.substr(0, 90) + "!", "!");
     FakeHttpServer discovery({kWatchHeader + chunk(empty_update(42)), faulty_response,
                               faulty_response, list_response(30),
                               kWatchHeader + chunk(empty_update(31))});
@@ -583,8 +583,8 @@
         "HTTP/1.1 200 OK\r\nX-Long: " + std::string(9'000, 'x'),
         "HTTP/1.1 200 OK\r\n\r\n" + empty_update(42).substr(0, 20) + "!",
         // A list truncated between two servers, and a body shorter than its length.
-        kWatchHeader + chunk(kList.substr(0, kList.find("},{") + 1)) + "!",
-        "HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + kList.substr(0, 80));
+        kWatchHeader + chunk(kTwoServerList.substr(0, kTwoServerList.find("},{") + 1)) + "!",
+        "HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + kTwoServerList.substr(0, 80));
     FakeHttpServer discovery({faulty_response, kWatchHeader + chunk(empty_update(77))});
     const auto watch = make_watch(discovery);
     discovery.start();
@@ -677,7 +677,7 @@
     late.send_all(hello(4));
     planner.process.reload([](const char*) -> const char* { return nullptr; });
     proxy.send_all(demand_report(3) + acknowledgement(3, 1));
-    planner.process.handle(*protocol::EndpointListReader(names()).read(kList));
+    planner.process.handle(*protocol::EndpointListReader(names()).read(kTwoServerList));
     planner.sync.release(SyncPoint::core_stopped);
     CHECK(planner.stop() < 600ms);
     CHECK(wait_for_close(proxy));
--- a/tests/golden_stored_test.cpp
+++ b/tests/golden_stored_test.cpp
@@ -69,7 +69,7 @@
                     nullptr),
           planner_(settings, seed),
           rng_(seed) {
-        clock_.tenths += start_offset;
+        clock_.ticks += start_offset;
     }
 
     void run(int tenths_of_seconds) {
@@ -80,7 +80,7 @@
         }
         decide();
         for (int step = 0; step < tenths_of_seconds; ++step) {
-            clock_.tenths += 1'000;
+            clock_.ticks += 1'000;
             if (step % 5 == 0) {
                 report();
             }
@@ -195,8 +195,8 @@
 // segments.
 void record_two_runs(const fs::path& folder) {
     const auto directory = record::open_directory(folder.string());
-    RecordedPlanner(*directory, test::terms(), 5, 0).run(200);
-    DeploymentSettings slice_settings = test::terms();
+    RecordedPlanner(*directory, test::sample_settings(), 5, 0).run(200);
+    DeploymentSettings slice_settings = test::sample_settings();
     slice_settings.admission_kind = AdmissionKind::rate;
     slice_settings.slice_count = 8;
     slice_settings.subscription_required = true;
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -316,10 +316,11 @@
 }
 
 TEST_CASE_METHOD(NetFixture, "fetch() requests the complete endpoint list") {
-    FakeHttpServer discovery({kWatchHeader + chunk(empty_update(42)),
-                              "HTTP/1.1 200 OK\r\nContent-Length: " +
-                                  std::to_string(test::kList.size()) + "\r\n\r\n" + test::kList,
-                              kWatchHeader});
+    FakeHttpServer discovery(
+        {kWatchHeader + chunk(empty_update(42)),
+         "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(test::kTwoServerList.size()) +
+             "\r\n\r\n" + test::kTwoServerList,
+         kWatchHeader});
     DiscoveryWatch watch("d", discovery.listener.local(), names, 41, kMaxListBytes, read_buffers,
                          inbox, quiet.log);
     discovery.start();
@@ -355,9 +356,9 @@
     StartConfiguration start;
     start.name = "n1", start.listen = "127.0.0.1:0",
     start.discovery = text_of(discovery.listener.local());
-    start.sockets = 1024, start.memory_mb = 192, start.bounds = {8}, start.settings = test::terms(),
-    start.names = test::names();
-    start.initial_list = *protocol::EndpointListReader(start.names).read(test::kList);
+    start.sockets = 1024, start.memory_mb = 192, start.bounds = {8},
+    start.settings = test::sample_settings(), start.names = test::names();
+    start.initial_list = *protocol::EndpointListReader(start.names).read(test::kTwoServerList);
     PlannerProcess process(start, clock_now(), quiet.log);
     CHECK(process.state() == LifecycleState::created);
     int code = -1;
--- a/tests/protocol_test.cpp
+++ b/tests/protocol_test.cpp
@@ -294,8 +294,8 @@
 
 TEST_CASE("a truncated or malformed list is rejected") {
     EndpointListReader reader(test::names());
-    for (std::size_t cut = 0; cut < test::kList.size(); ++cut) {
-        CHECK(!reader.read(test::kList.substr(0, cut)));
+    for (std::size_t cut = 0; cut < test::kTwoServerList.size(); ++cut) {
+        CHECK(!reader.read(test::kTwoServerList.substr(0, cut)));
     }
     const auto text =
         GENERATE(as<std::string>{}, "[]", R"({"version":1})", R"({"servers":[]})",
--- a/tests/record_test.cpp
+++ b/tests/record_test.cpp
@@ -94,10 +94,11 @@
     void follow(const std::string&) override {}
 
     RecordedCore(Directory& directory, std::uint64_t seed, RetentionPolicy retention = {})
-        : recorder(directory, retention,
-                   make_header(test::terms(), test::names(), seed, "n0", "test", clock.now()),
-                   nullptr),
-          core(test::terms(), test::names(), seed, *this, discarding_log.log, &recorder),
+        : recorder(
+              directory, retention,
+              make_header(test::sample_settings(), test::names(), seed, "n0", "test", clock.now()),
+              nullptr),
+          core(test::sample_settings(), test::names(), seed, *this, discarding_log.log, &recorder),
           rng(seed) {
         turn({endpoint_list("up", 41, true)});
         for (int p = 0; p < 6; ++p) {
@@ -124,7 +125,7 @@
     }
     void run(int seconds, bool run_worker = true) {
         for (int i = 0; i < seconds * 10; ++i) {
-            clock.tenths += 1'000;
+            clock.ticks += 1'000;
             std::vector<CoreEvent> inputs;
             if (i % 5 == 0) {
                 for (int k = 1; k <= 5; ++k) {
@@ -229,7 +230,7 @@
         texts.insert(to_record(order).SerializeAsString());
     }
     CHECK(texts.size() == orders.size());
-    DeploymentSettings settings = test::terms();
+    DeploymentSettings settings = test::sample_settings();
     settings.methods[0].only_kinds = {{1}}, settings.methods[1].own_zone_only = true,
     settings.single_owner = true, settings.write_lifetime = s(5);
     CHECK(to_record(settings_from_record(to_record(settings))).SerializeAsString() ==
@@ -454,7 +455,8 @@
     RecordedCore recorded_core(directory, 2);
     recorded_core.recorder.close();
     records::Record record;
-    *record.mutable_head() = make_header(test::terms(), test::names(), 1, "n", "b", TimePoint{});
+    *record.mutable_head() =
+        make_header(test::sample_settings(), test::names(), 1, "n", "b", TimePoint{});
     record.mutable_head()->set_schema(kSchemaVersion + 1);
     MemoryDirectory newer;
     newer.files[segment_name(0)] = encode_block({record.SerializeAsString()}, 0);
--- a/tests/short_days_test.cpp
+++ b/tests/short_days_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr auto kDrainGrace = 2s;  // as in test::terms()
+constexpr auto kDrainGrace = 2s;  // as in test::sample_settings()
 
 struct ServerEntry {
     std::string server, state = "up";
@@ -50,14 +50,14 @@
     for (int n = 0; n < number; ++n) {
         proxies.push_back(std::make_unique<FakeProxy>(process.address(), n));
     }
-    require_of_all(proxies, 10s, "a table",
-                   [](const FakeProxy& proxy) { return proxy.has_table(); });
+    require_for_all(proxies, 10s, "a table",
+                    [](const FakeProxy& proxy) { return proxy.has_table(); });
     return proxies;
 }
 
 void require_drained(const Proxies& proxies, const std::string& server,
                      std::chrono::milliseconds within = kDrainGrace) {
-    require_of_all(proxies, within, "the drain of " + server, [&](const FakeProxy& proxy) {
+    require_for_all(proxies, within, "the drain of " + server, [&](const FakeProxy& proxy) {
         return !proxy.may_send_to(server) && proxy.has_table();
     });
 }
@@ -106,8 +106,8 @@
         std::this_thread::sleep_for(5ms);
     }
     CHECK(late.has_table());
-    CHECK(!late.was_let_send_to("s-1", drained_at));
-    check_nobody_was_let(proxies, "s-1", drained_at);
+    CHECK(!late.was_allowed_to_send_to("s-1", drained_at));
+    check_never_allowed(proxies, "s-1", drained_at);
 }
 
 TEST_CASE(
@@ -142,7 +142,7 @@
     proxies.push_back(std::make_unique<FakeProxy>(planner.process.address(), 5));
     require_drained(proxies, "s-1");
     std::this_thread::sleep_for(300ms);  // time for a wrong update to arrive
-    check_nobody_was_let(proxies, "s-1", drained_at);
+    check_never_allowed(proxies, "s-1", drained_at);
     CHECK(discovery.stop_and_get_requests().at(2) ==
           "GET /catalog/members?stream=1&index=43 HTTP/1.1");
 }
@@ -347,8 +347,8 @@
             proxies.push_back(std::make_unique<FakeProxy>(address, n * kProxiesPerPlanner + i));
         }
     }
-    require_of_all(proxies, 10s, "a table",
-                   [](const FakeProxy& proxy) { return proxy.has_table(); });
+    require_for_all(proxies, 10s, "a table",
+                    [](const FakeProxy& proxy) { return proxy.has_table(); });
     discovery.connection(kPlanners - 1);  // each planner has received the list
     // All servers but one are drained, on one planner after the other: no proxy is left without a
     // server.
