--- a/bench/scale/main.cpp
+++ b/bench/scale/main.cpp
@@ -1,6 +1,6 @@
-// micaroad_scale: what a planner costs by the size of its world. A development tool: not installed,
-// never loaded by the daemon. `micaroad_scale core --standard` measures all sweeps;
-// docs/CAPACITY.md stands on its output.
+// micaroad_scale measures how the cost of a planner depends on the size of its world. It is a
+// development tool, not installed and never loaded by the daemon. `micaroad_scale core --standard`
+// measures all sweeps; docs/CAPACITY.md is based on its output.
 #include <CLI/CLI.hpp>
 #include <fstream>
 #include <iostream>
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr int kExitFailed = 1;
-constexpr int kExitUsage = 64;  // as sysexits.h has it
+constexpr int kExitUsage = 64;  // EX_USAGE of sysexits.h
 
 struct CoreOptions {
     SweepOptions sweep;
@@ -93,7 +93,7 @@
 
 int run_core_command(CoreOptions& options) {
     options.sweep.preset = options.small ? "small" : options.standard ? "standard" : "one point";
-    options.sweep.twice = options.small;
+    options.sweep.run_twice = options.small;
     options.sweep.limits.memory_bytes = half_of_memory();
     const json results = run_sweeps(sweeps_of(options), options.sweep);
     if (options.out.empty()) {
@@ -106,7 +106,7 @@
             return kExitFailed;
         }
     }
-    return sound(results) ? 0 : kExitFailed;
+    return all_succeeded(results) ? 0 : kExitFailed;
 }
 
 }  // namespace
--- a/bench/scale/measure.cpp
+++ b/bench/scale/measure.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::int64_t kKibibyte = 1'024;
 
-// The value of "Name:   123 kB" in a file of /proc, in bytes; 0 if it is not there.
+// The value of a line "Name:   123 kB" in a file of /proc, in bytes; 0 if there is no such line.
 std::int64_t proc_bytes(const char* path, const std::string& name) {
     std::ifstream file(path);
     for (std::string word; file >> word;) {
@@ -47,13 +47,14 @@
     return proc_bytes("/proc/meminfo", "MemAvailable:");
 }
 
-double Samples::quantile(double part) const {
+double Samples::quantile(double fraction) const {
     if (values_.empty()) {
         return 0;
     }
     std::vector<double> sorted = values_;
     std::sort(sorted.begin(), sorted.end());
-    const double rank = std::ceil(std::clamp(part, 0.0, 1.0) * static_cast<double>(sorted.size()));
+    const double rank =
+        std::ceil(std::clamp(fraction, 0.0, 1.0) * static_cast<double>(sorted.size()));
     return sorted[static_cast<std::size_t>(std::max(rank, 1.0)) - 1];
 }
 
--- a/bench/scale/measure.hpp
+++ b/bench/scale/measure.hpp
@@ -1,4 +1,4 @@
-// Processor time, memory and quantiles.
+// Reads processor time and memory use, and computes quantiles.
 #pragma once
 
 #include <cstdint>
@@ -6,24 +6,25 @@
 
 namespace micaroad::scale {
 
-// Seconds of processor time that this process has used, all threads.
+// Processor seconds that all threads of this process have used.
 double processor_seconds();
 
-// Bytes of this process that are in memory now, and at most so far.
+// Resident memory of this process now, and its peak so far.
 std::int64_t resident_bytes();
 std::int64_t peak_resident_bytes();
 
-// Of the machine, in bytes.
+// Total and available memory of the machine, in bytes.
 std::int64_t machine_memory();
 std::int64_t available_memory();
 
-// Keeps every sample, so that the largest ones are exact; there are some ten thousands.
+// Keeps every sample, so that the largest ones are exact. A run has some ten thousand samples.
 class Samples {
  public:
     void add(double value) { values_.push_back(value); }
     std::size_t size() const { return values_.size(); }
-    // The smallest value that `part` (0 to 1) of all are not above; 0 where there are none.
-    double quantile(double part) const;
+    // The smallest sample that is at least as large as the given fraction (0 to 1) of all samples;
+    // 0 if there are no samples.
+    double quantile(double fraction) const;
     double sum() const;
 
  private:
--- a/bench/scale/point_process.cpp
+++ b/bench/scale/point_process.cpp
@@ -20,7 +20,8 @@
 using nlohmann::json;
 using SteadyClock = std::chrono::steady_clock;
 
-constexpr double kKilledAfter = 2;  // times its processor time, on the clock
+constexpr double kKillTimeoutFactor =
+    2;  // wall-clock time, as a multiple of the processor time limit
 
 struct Child {
     pid_t pid = -1;
@@ -28,46 +29,46 @@
 };
 
 Child start_child(const WorldSpec& spec, const PointLimits& limits) {
-    std::array<int, 2> ends{};
-    if (::pipe(ends.data()) != 0) {
-        throw std::runtime_error("no pipe");
+    std::array<int, 2> pipe_fds{};
+    if (::pipe(pipe_fds.data()) != 0) {
+        throw std::runtime_error("can't create a pipe for the process of a point");
     }
     const std::string text = json(spec).dump(),
                       seconds = fmt::format("{}", limits.processor_seconds),
                       memory = fmt::format("{}", limits.memory_bytes);
     const pid_t pid = ::fork();
     if (pid < 0) {
-        throw std::runtime_error("no process");
+        throw std::runtime_error("can't start the process of a point");
     }
     if (pid == 0) {
-        ::dup2(ends[1], STDOUT_FILENO);
-        ::close(ends[0]);
-        ::close(ends[1]);
+        ::dup2(pipe_fds[1], STDOUT_FILENO);
+        ::close(pipe_fds[0]);
+        ::close(pipe_fds[1]);
         ::execl("/proc/self/exe", "micaroad_scale", "point", "--spec", text.c_str(),
                 "--point-seconds", seconds.c_str(), "--memory-bytes", memory.c_str(),
                 static_cast<char*>(nullptr));
         ::_exit(127);
     }
-    ::close(ends[1]);
-    return {pid, ends[0]};
+    ::close(pipe_fds[1]);
+    return {pid, pipe_fds[0]};
 }
 
-// All that the child writes until it ends; false once the time is over.
-bool read_all(int fd, SteadyClock::time_point until, std::string& text) {
+// Reads the output of the child until it closes the pipe. Returns false at the deadline.
+bool read_all(int fd, SteadyClock::time_point deadline, std::string& text) {
     std::array<char, 4'096> buffer{};
     while (true) {
-        const auto left =
-            std::chrono::duration_cast<std::chrono::milliseconds>(until - SteadyClock::now())
+        const auto remaining_ms =
+            std::chrono::duration_cast<std::chrono::milliseconds>(deadline - SteadyClock::now())
                 .count();
         pollfd readable{fd, POLLIN, 0};
-        if (left <= 0 || ::poll(&readable, 1, static_cast<int>(left)) == 0) {
+        if (remaining_ms <= 0 || ::poll(&readable, 1, static_cast<int>(remaining_ms)) == 0) {
             return false;
         }
-        const ssize_t got = ::read(fd, buffer.data(), buffer.size());
-        if (got <= 0) {
+        const ssize_t received = ::read(fd, buffer.data(), buffer.size());
+        if (received <= 0) {
             return true;
         }
-        text.append(buffer.data(), static_cast<std::size_t>(got));
+        text.append(buffer.data(), static_cast<std::size_t>(received));
     }
 }
 
@@ -93,11 +94,12 @@
 
 json run_point_process(const WorldSpec& spec, const PointLimits& limits) {
     const Child child = start_child(spec, limits);
-    const auto patience = std::chrono::duration<double>(kKilledAfter * limits.processor_seconds);
+    const auto timeout =
+        std::chrono::duration<double>(kKillTimeoutFactor * limits.processor_seconds);
     std::string output;
-    const auto until =
-        SteadyClock::now() + std::chrono::duration_cast<SteadyClock::duration>(patience);
-    const bool ended = read_all(child.output, until, output);
+    const auto deadline =
+        SteadyClock::now() + std::chrono::duration_cast<SteadyClock::duration>(timeout);
+    const bool ended = read_all(child.output, deadline, output);
     if (!ended) {
         ::kill(child.pid, SIGKILL);
     }
@@ -106,15 +108,15 @@
     ::close(child.output);
     if (!ended) {
         return {{"status", "killed"},
-                {"why", fmt::format("not ended after {:.0f} s", patience.count())}};
+                {"why", fmt::format("not ended after {:.0f} s", timeout.count())}};
     }
     return outcome_of(status, output);
 }
 
 int point_main(const std::string& spec_json, const PointLimits& limits) {
     if (limits.memory_bytes > 0) {
-        const auto most = static_cast<rlim_t>(limits.memory_bytes);
-        const rlimit limit{most, most};
+        const auto max_bytes = static_cast<rlim_t>(limits.memory_bytes);
+        const rlimit limit{max_bytes, max_bytes};
         ::setrlimit(RLIMIT_AS, &limit);
     }
     WorldSpec spec;
--- a/bench/scale/routing_run.cpp
+++ b/bench/scale/routing_run.cpp
@@ -15,8 +15,8 @@
 using namespace micaroad::routing;
 
 constexpr int kLookups = 20'000;
-constexpr int kLookupsPerSample = 20;  // one reading of the clock costs as much as a look-up
-constexpr int kTenantLimit = 100;      // RPCs at once
+constexpr int kLookupsPerSample = 20;  // reading the clock costs as much as one lookup
+constexpr int kTenantLimit = 100;      // concurrent RPCs
 constexpr double kMicrosecond = 1e-6;
 constexpr double kBytesPerMegabyte = 1e6;
 
@@ -27,7 +27,8 @@
     return fmt::format("r{}.example", route);
 }
 
-// By the beginning of a path, by host, and by both with exceptions in between, in turn.
+// Alternates between four kinds of match: path prefix, exact host, host suffix with path prefix,
+// and exact path except for one method.
 Match match_of(int route) {
     switch (route % 4) {
         case 0:
@@ -93,7 +94,7 @@
             {"index_mb", static_cast<double>(memory) / kBytesPerMegabyte},
             {"lookup_us_50", lookup_us.quantile(0.5)},
             {"lookup_us_99", lookup_us.quantile(0.99)},
-            // All changes of a second taken one by one, each by a new index.
+            // Part of a core if the index is rebuilt for each change.
             {"rebuild_share", build_seconds * spec.changes_per_second}};
 }
 
@@ -111,33 +112,33 @@
     }
     const double build_seconds = processor_seconds() - before;
     const std::int64_t memory = resident_bytes() - memory_before;
-    std::vector<std::size_t> callers;
+    std::vector<std::size_t> drawn_tenants;
     for (int i = 0; i < kLookups; ++i) {
-        callers.push_back(random() % static_cast<unsigned>(spec.tenants));
+        drawn_tenants.push_back(random() % static_cast<unsigned>(spec.tenants));
     }
-    Samples ask_us;
+    Samples request_us;
     int admitted = 0;
     for (int i = 0; i < kLookups; i += kLookupsPerSample) {
         before = processor_seconds();
         for (int k = i; k < i + kLookupsPerSample; ++k) {
-            Limiter& limiter = limiters[callers[static_cast<std::size_t>(k)]];
+            Limiter& limiter = limiters[drawn_tenants[static_cast<std::size_t>(k)]];
             const RpcNumber rpc{static_cast<std::uint64_t>(k)};
             admitted +=
                 limiter.request(rpc, "here", TimePoint{}).outcome == Limiter::Outcome::admitted;
             (void)limiter.finish(rpc);
         }
-        ask_us.add((processor_seconds() - before) / kLookupsPerSample / kMicrosecond);
+        request_us.add((processor_seconds() - before) / kLookupsPerSample / kMicrosecond);
     }
     counts["rpcs_admitted"] = admitted;
     return {{"limiters_build_seconds", build_seconds},
             {"limiters_mb", static_cast<double>(memory) / kBytesPerMegabyte},
-            {"limiter_us_50", ask_us.quantile(0.5)},
-            {"limiter_us_99", ask_us.quantile(0.99)}};
+            {"limiter_us_50", request_us.quantile(0.5)},
+            {"limiter_us_99", request_us.quantile(0.99)}};
 }
 
 }  // namespace
 
-json run_routing(const WorldSpec& spec, double processor_limit) {
+json run_routing(const WorldSpec& spec, double max_processor_seconds) {
     check(spec);
     std::minstd_rand random(static_cast<std::minstd_rand::result_type>(spec.seed));
     json counts = json::object(), measured = json::object();
@@ -148,7 +149,7 @@
         measured.update(measure_tenants(spec, random, counts));
     }
     measured["resident_mb"] = static_cast<double>(resident_bytes()) / kBytesPerMegabyte;
-    return {{"stopped", processor_seconds() > processor_limit},
+    return {{"stopped", processor_seconds() > max_processor_seconds},
             {"counts", counts},
             {"measured", measured}};
 }
--- a/bench/scale/slope.cpp
+++ b/bench/scale/slope.cpp
@@ -6,10 +6,10 @@
 namespace micaroad::scale {
 namespace {
 
-constexpr std::size_t kLeastPoints = 4;
-constexpr double kMostOfLargest = 0.1;  // residual, as a part of the largest value
-constexpr double kMostOfOwn = 0.5;      // residual, as a part of its own point's value
-constexpr double kMostErrorsBelowZero = 2;
+constexpr std::size_t kMinPoints = 4;
+constexpr double kMaxResidualOfLargest = 0.1;  // residual, as a fraction of the largest value
+constexpr double kMaxResidualOfOwn = 0.5;      // residual, as a fraction of its own point's value
+constexpr double kMaxErrorsBelowZero = 2;
 
 std::optional<Line> least_squares(const std::vector<Sample>& samples) {
     const double n = static_cast<double>(samples.size());
@@ -43,18 +43,18 @@
     return line;
 }
 
-std::optional<Power> power_of(const std::vector<Sample>& samples) {
+std::optional<Power> fit_power(const std::vector<Sample>& samples) {
     std::vector<Sample> logarithms;
     for (const Sample& sample : samples) {
         if (sample.x <= 0) {
-            continue;  // a size of none says nothing of an exponent
+            continue;  // zero has no logarithm
         }
         if (sample.y <= 0) {
             return std::nullopt;
         }
         logarithms.push_back({std::log(sample.x), std::log(sample.y)});
     }
-    if (logarithms.size() < kLeastPoints) {
+    if (logarithms.size() < kMinPoints) {
         return std::nullopt;
     }
     const auto line = least_squares(logarithms);
@@ -69,14 +69,14 @@
     for (const Sample& sample : samples) {
         largest = std::max(largest, std::abs(sample.y));
     }
-    if (line.largest_residual > kMostOfLargest * largest) {
+    if (line.largest_residual > kMaxResidualOfLargest * largest) {
         return false;
     }
-    if (line.intercept < -kMostErrorsBelowZero * line.intercept_error) {
+    if (line.intercept < -kMaxErrorsBelowZero * line.intercept_error) {
         return false;
     }
     return std::all_of(samples.begin(), samples.end(), [&line](const Sample& sample) {
-        return std::abs(sample.y - line.at(sample.x)) <= kMostOfOwn * std::abs(sample.y);
+        return std::abs(sample.y - line.at(sample.x)) <= kMaxResidualOfOwn * std::abs(sample.y);
     });
 }
 
@@ -87,14 +87,14 @@
 }
 
 std::optional<Fit> fit(const std::vector<Sample>& samples) {
-    if (samples.size() < kLeastPoints) {
+    if (samples.size() < kMinPoints) {
         return std::nullopt;
     }
     const auto line = least_squares(samples);
     if (!line) {
         return std::nullopt;
     }
-    return Fit{*line, is_straight(*line, samples), power_of(samples)};
+    return Fit{*line, is_straight(*line, samples), fit_power(samples)};
 }
 
 }  // namespace micaroad::scale
--- a/bench/scale/sweep.cpp
+++ b/bench/scale/sweep.cpp
@@ -19,7 +19,7 @@
 using nlohmann::json;
 
 constexpr int kResultsFormat = 1;
-constexpr int kServersAtSize = 56'000, kServicesAtSize = 1'100;
+constexpr int kTargetServers = 56'000, kTargetServices = 1'100;
 
 template <class Value>
 Sweep vary(const WorldSpec& base, const char* name, Value WorldSpec::* parameter, const char* key,
@@ -33,26 +33,27 @@
     return sweep;
 }
 
-// Each server is heard once a second, whatever their number.
-Sweep heard_each_second(Sweep sweep) {
+// Sets the report rate to one report per server and second.
+Sweep with_report_each_second(Sweep sweep) {
     for (WorldSpec& spec : sweep.points) {
         spec.reports_per_second = spec.servers;
     }
     return sweep;
 }
 
-WorldSpec core_world(std::uint64_t seed, int proxies, int servers, int services, bool heard) {
+WorldSpec core_world(std::uint64_t seed, int proxies, int servers, int services,
+                     bool with_reports) {
     WorldSpec spec;
     spec.seed = seed;
     spec.proxies = proxies;
     spec.servers = servers;
     spec.services = services;
-    spec.reports_per_second = heard ? servers : 0;
+    spec.reports_per_second = with_reports ? servers : 0;
     return spec;
 }
 
-// Of worlds that cost much: one step of the module before the measured time.
-WorldSpec brief(WorldSpec spec) {
+// Shortens the unmeasured phases of an expensive world to one 4 s step of the decision module.
+WorldSpec shortened(WorldSpec spec) {
     spec.quiet_seconds = 4;
     spec.warmup_seconds = 0;
     return spec;
@@ -62,8 +63,8 @@
     WorldSpec spec;
     spec.workload = Workload::routing;
     spec.seed = seed;
-    spec.servers = kServersAtSize;
-    spec.services = kServicesAtSize;
+    spec.servers = kTargetServers;
+    spec.services = kTargetServices;
     spec.reports_per_second = 0;
     spec.routes = routes;
     spec.tenants = tenants;
@@ -120,7 +121,7 @@
     return "unknown";
 }
 
-std::string utc_now() {
+std::string utc_time() {
     const std::time_t now = std::time(nullptr);
     std::array<char, 32> text{};
     std::strftime(text.data(), text.size(), "%Y-%m-%dT%H:%MZ", std::gmtime(&now));
@@ -162,7 +163,7 @@
             {"preset", options.preset},
             {"revision", options.revision},
             {"seed", options.seed},
-            {"started", utc_now()},
+            {"started", utc_time()},
             {"machine",
              {{"processor", processor_name()},
               {"cores", std::thread::hardware_concurrency()},
@@ -174,19 +175,19 @@
             {"assumed", assumptions()}};
 }
 
-// Why a point is not run; empty: it is.
-std::string left_out_because(const WorldSpec& spec, const PointLimits& limits) {
+// The reason why a point is not run; empty if it is run.
+std::string skip_reason(const WorldSpec& spec, const PointLimits& limits) {
     const double expected = expected_memory(spec);
-    const double most =
+    const double available =
         std::min(static_cast<double>(limits.memory_bytes), static_cast<double>(available_memory()));
-    if (expected <= most) {
+    if (expected <= available) {
         return "";
     }
     return fmt::format("left out: may need {:.0f} MB, {:.0f} MB are free for it", expected / 1e6,
-                       most / 1e6);
+                       available / 1e6);
 }
 
-std::string one_line(const WorldSpec& spec) {
+std::string describe_point(const WorldSpec& spec) {
     if (spec.workload == Workload::routing) {
         return fmt::format("{} routes, {} tenants", spec.routes, spec.tenants);
     }
@@ -210,15 +211,15 @@
 
 json run_point(const Sweep& sweep, const WorldSpec& spec, const SweepOptions& options) {
     json point{{"sweep", sweep.name}, {"world", spec}};
-    if (const std::string why = left_out_because(spec, options.limits); !why.empty()) {
-        point.update(json{{"status", "left out"}, {"why", why}});
+    if (const std::string reason = skip_reason(spec, options.limits); !reason.empty()) {
+        point.update(json{{"status", "left out"}, {"why", reason}});
         return point;
     }
     point.update(run_point_process(spec, options.limits));
     point["load"] = load_average();
-    if (options.twice) {
-        const json again = run_point_process(spec, options.limits);
-        point["same_counts"] = again.value("counts", json()) == point.value("counts", json());
+    if (options.run_twice) {
+        const json second_run = run_point_process(spec, options.limits);
+        point["same_counts"] = second_run.value("counts", json()) == point.value("counts", json());
     }
     return point;
 }
@@ -242,7 +243,7 @@
     return object;
 }
 
-// Points that stopped early stand on less world time: they are told, and no line goes through them.
+// Points that stopped early cover less world time, so they are reported but not used for the fit.
 std::vector<Sample> samples_of(const Sweep& sweep, const json& points, const std::string& measure) {
     std::vector<Sample> samples;
     for (const json& point : points) {
@@ -300,7 +301,7 @@
     base.seconds = 7;
     std::vector<Sweep> sweeps{
         vary(base, "proxies", &WorldSpec::proxies, "proxies", {2, 4, 8, 16}),
-        heard_each_second(
+        with_report_each_second(
             vary(base, "servers", &WorldSpec::servers, "servers", {60, 120, 240, 480})),
         vary(base, "services", &WorldSpec::services, "services", {1, 2, 4, 8}),
         vary(base, "changes", &WorldSpec::changes_per_second, "changes_per_second",
@@ -317,19 +318,19 @@
 
 std::vector<Sweep> standard_sweeps(std::uint64_t seed) {
     const WorldSpec base = core_world(seed, 16, 1'000, 10, true);
-    const WorldSpec not_heard = core_world(seed, 16, 1'000, 10, false);
+    const WorldSpec without_reports = core_world(seed, 16, 1'000, 10, false);
     WorldSpec without_demand = core_world(seed, 16, 2'000, 40, true);
     without_demand.demand = false;
     Sweep sizes{
         "named sizes",
         "",
-        {not_heard, core_world(seed, 16, 2'000, 40, true), without_demand,
-         core_world(seed, 64, 1'000, 50, true), brief(core_world(seed, 16, 8'000, 160, false)),
-         brief(core_world(seed, 16, kServersAtSize, 1, false)),
-         brief(core_world(seed, 16, kServersAtSize, kServicesAtSize, false))}};
+        {without_reports, core_world(seed, 16, 2'000, 40, true), without_demand,
+         core_world(seed, 64, 1'000, 50, true), shortened(core_world(seed, 16, 8'000, 160, false)),
+         shortened(core_world(seed, 16, kTargetServers, 1, false)),
+         shortened(core_world(seed, 16, kTargetServers, kTargetServices, false))}};
     return {vary(base, "proxies", &WorldSpec::proxies, "proxies", {4, 16, 64, 256, 1'024}),
-            heard_each_second(vary(base, "servers", &WorldSpec::servers, "servers",
-                                   {250, 500, 1'000, 2'000, 4'000})),
+            with_report_each_second(vary(base, "servers", &WorldSpec::servers, "servers",
+                                         {250, 500, 1'000, 2'000, 4'000})),
             vary(base, "services", &WorldSpec::services, "services", {1, 5, 10, 20, 40}),
             vary(base, "changes", &WorldSpec::changes_per_second, "changes_per_second",
                  {0.0, 1.0, 2.0, 4.0, 8.0}),
@@ -347,18 +348,19 @@
 }
 
 json run_sweeps(const std::vector<Sweep>& sweeps, const SweepOptions& options) {
-    std::size_t all = 0, number = 0;
+    std::size_t total = 0, number = 0;
     for (const Sweep& sweep : sweeps) {
         for (const WorldSpec& spec : sweep.points) {
             check(spec);
         }
-        all += sweep.points.size();
+        total += sweep.points.size();
     }
     json results = describe(options);
     json points = json::array();
     for (const Sweep& sweep : sweeps) {
         for (const WorldSpec& spec : sweep.points) {
-            std::cerr << fmt::format("{}/{} {}: {}: ", ++number, all, sweep.name, one_line(spec))
+            std::cerr << fmt::format("{}/{} {}: {}: ", ++number, total, sweep.name,
+                                     describe_point(spec))
                       << std::flush;
             points.push_back(run_point(sweep, spec, options));
             std::cerr << summary(points.back()) << std::endl;
@@ -370,7 +372,7 @@
     return results;
 }
 
-bool sound(const json& results) {
+bool all_succeeded(const json& results) {
     for (const json& point : results.at("points")) {
         if (point.at("status") == "failed" || !point.value("same_counts", true)) {
             return false;
--- a/bench/scale/sweep.hpp
+++ b/bench/scale/sweep.hpp
@@ -1,4 +1,5 @@
-// Which points a preset measures, one after the other, and the results file made of them.
+// Defines the points that each preset measures, runs them one after the other, and builds the
+// results file.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,10 +10,10 @@
 
 namespace micaroad::scale {
 
-// A row of points in which one parameter is varied, or two.
+// A series of points in which one or two parameters vary.
 struct Sweep {
     std::string name;
-    std::string varied;  // the parameter's key in WorldSpec; empty: a line is not fitted
+    std::string varied;  // the parameter's JSON key in WorldSpec; empty: no line is fitted
     std::vector<WorldSpec> points;
 };
 
@@ -21,16 +22,17 @@
 
 struct SweepOptions {
     std::string preset;
-    std::string revision;  // of the text, as the caller knows it
+    std::string revision;  // git revision of the sources, as given by the caller
     std::uint64_t seed = 1;
     PointLimits limits;
-    bool twice = false;  // each point is run again, and both runs must count the same
+    bool run_twice = false;  // run each point a second time; the counts of both runs must be equal
 };
 
-// Throws BadWorld before anything is run. Tells its progress on standard error.
+// Throws BadWorld before the first run if a point is invalid. Prints its progress to standard
+// error.
 nlohmann::json run_sweeps(const std::vector<Sweep>& sweeps, const SweepOptions& options);
 
-// True if no point failed, and no second run counted otherwise than the first.
-bool sound(const nlohmann::json& results);
+// True if no point failed, and the counts of each second run equal those of the first.
+bool all_succeeded(const nlohmann::json& results);
 
 }  // namespace micaroad::scale
--- a/bench/scale/world.cpp
+++ b/bench/scale/world.cpp
@@ -10,11 +10,11 @@
 
 constexpr int kServersPerCell = 30;
 constexpr int kWeight = 4;
-constexpr double kSecondsWaitingMost = 22;  // of the channel's pace
-constexpr double kLongestWindow = 60;       // seconds that one report may cover
+constexpr double kMaxQueueSeconds = 22;         // at the channel's line rate
+constexpr double kMaxReportWindowSeconds = 60;  // maximum time that one report covers
 
-void require(bool sound, const char* parameter, const char* bounds) {
-    if (!sound) {
+void require(bool valid, const char* parameter, const char* bounds) {
+    if (!valid) {
         throw BadWorld(fmt::format("{} must be {}", parameter, bounds));
     }
 }
@@ -23,7 +23,7 @@
     return spec.pools == 0 ? spec.services : spec.pools;
 }
 
-double seconds_between_reports(const WorldSpec& spec) {
+double report_interval_seconds(const WorldSpec& spec) {
     return spec.servers / spec.reports_per_second;
 }
 
@@ -42,8 +42,9 @@
             "0 to the number of servers");
     require(spec.reports_per_second >= 0 && spec.reports_per_second <= 1e6, "reports",
             "0 to 1,000,000");
-    require(spec.reports_per_second == 0 || seconds_between_reports(spec) <= kLongestWindow,
-            "reports", "0, or one on each server in 60 s at least");
+    require(
+        spec.reports_per_second == 0 || report_interval_seconds(spec) <= kMaxReportWindowSeconds,
+        "reports", "0, or one on each server in 60 s at least");
     require(spec.routes >= 0 && spec.routes <= 1'000'000, "routes", "0 to 1,000,000");
     require(spec.tenants >= 0 && spec.tenants <= 10'000'000, "tenants", "0 to 10,000,000");
     require(spec.lines_per_second > 0 && spec.lines_per_second <= 1e6, "lines",
@@ -53,22 +54,22 @@
     require(spec.seconds >= 1 && spec.seconds <= 3'600, "seconds", "1 to 3,600");
 }
 
-std::vector<int> zipf_sizes(int all, int parts, double exponent) {
+std::vector<int> zipf_sizes(int total, int parts, double exponent) {
     std::vector<double> weights(static_cast<std::size_t>(parts));
     double sum = 0;
     for (int i = 0; i < parts; ++i) {
         sum += weights[static_cast<std::size_t>(i)] = std::pow(i + 1.0, -exponent);
     }
     std::vector<int> sizes;
-    int left = all;
+    int remaining = total;
     for (int i = 0; i < parts; ++i) {
-        const int least_of_rest = parts - i - 1;
-        const int wanted =
-            static_cast<int>(std::lround(all * weights[static_cast<std::size_t>(i)] / sum));
-        sizes.push_back(std::clamp(wanted, 1, left - least_of_rest));
-        left -= sizes.back();
+        const int min_for_rest = parts - i - 1;
+        const int rounded_share =
+            static_cast<int>(std::lround(total * weights[static_cast<std::size_t>(i)] / sum));
+        sizes.push_back(std::clamp(rounded_share, 1, remaining - min_for_rest));
+        remaining -= sizes.back();
     }
-    sizes.front() += left;  // what rounding leaves over
+    sizes.front() += remaining;  // remainder of the rounding
     return sizes;
 }
 
@@ -87,17 +88,17 @@
 World::World(const WorldSpec& spec)
     : spec_(spec), random_(static_cast<std::minstd_rand::result_type>(spec.seed)) {
     check(spec_);
-    sizes_ = zipf_sizes(spec_.servers, pools_of(spec_), spec_.skew);
-    for (int kind = 0; kind < std::ssize(sizes_); ++kind) {
-        for (int i = 0; i < sizes_[static_cast<std::size_t>(kind)]; ++i) {
-            servers_.push_back(fresh(made_ % spec_.zones, kind, std::nullopt));
+    servers_per_kind_ = zipf_sizes(spec_.servers, pools_of(spec_), spec_.skew);
+    for (int kind = 0; kind < std::ssize(servers_per_kind_); ++kind) {
+        for (int i = 0; i < servers_per_kind_[static_cast<std::size_t>(kind)]; ++i) {
+            servers_.push_back(make_server(servers_made_ % spec_.zones, kind, std::nullopt));
         }
     }
     std::shuffle(servers_.begin(), servers_.end(), random_);
 }
 
-// The settings of bench/fleet_bench.cpp, but for the methods and the channel's pace.
-DeploymentSettings World::terms() const {
+// The settings of bench/fleet_bench.cpp, except for the methods and the channel's line rate.
+DeploymentSettings World::deployment_settings() const {
     DeploymentSettings settings;
     for (int service = 0; service < spec_.services; ++service) {
         const KindId kind{service % pools_of(spec_)};
@@ -108,7 +109,7 @@
     settings.planner_count = spec_.planners;
     settings.channel_lines_per_second = spec_.lines_per_second;
     settings.overhead_lines_per_message = 3;
-    settings.max_pending_lines = kSecondsWaitingMost * spec_.lines_per_second;
+    settings.max_pending_lines = kMaxQueueSeconds * spec_.lines_per_second;
     settings.report_interval = Duration{5'000};
     settings.max_message_delay = Duration{4'800};
     settings.drain_grace = Duration{224'000};
@@ -135,14 +136,14 @@
     return names;
 }
 
-World::Server World::fresh(int zone, int kind, std::optional<TimePoint> started) {
-    const int number = made_++;
+World::Server World::make_server(int zone, int kind, std::optional<TimePoint> started) {
+    const int number = servers_made_++;
     const std::string id =
         fmt::format("s-{:08x}", static_cast<std::uint32_t>(number) * 2'654'435'761U);
     return {id, zone, kind, number / kServersPerCell, EndpointPhase::ready, started};
 }
 
-std::string World::entry(const Server& server) const {
+std::string World::endpoint_json(const Server& server) const {
     const char* const state = server.phase == EndpointPhase::ready      ? "up"
                               : server.phase == EndpointPhase::draining ? "draining"
                                                                         : "removed";
@@ -155,35 +156,36 @@
     return text + "}";
 }
 
-std::string World::list_of(const std::vector<Server>& changed, bool complete) {
+std::string World::list_message(const std::vector<Server>& changed, bool complete) {
     std::string text = fmt::format(R"({{"version":{},"full":{},"servers":[)", ++version_, complete);
     for (const Server& server : changed) {
         if (text.back() != '[') {
             text += ',';
         }
-        text += entry(server);
+        text += endpoint_json(server);
     }
     return text + "]}";
 }
 
-std::string World::whole_list() {
-    return list_of(servers_, true);
+std::string World::complete_list() {
+    return list_message(servers_, true);
 }
 
 std::string World::join_line(int proxy) const {
-    const double rate = kTriesPerServer * spec_.servers / spec_.proxies;
+    const double rate = kAttemptsPerServerPerSecond * spec_.servers / spec_.proxies;
     return fmt::format("hello sidecar={} az=z{} share={:.3f} standing=1", proxy,
                        proxy % spec_.zones, rate);
 }
 
-std::string World::answer_line(int proxy, int nonce) {
+std::string World::acknowledgement_line(int proxy, int nonce) {
     return fmt::format("ack sidecar={} version={} lag_ms=1", proxy, nonce);
 }
 
 std::vector<std::string> World::report_lines(int number) {
     std::vector<std::string> lines;
-    const double window = spec_.reports_per_second > 0 ? seconds_between_reports(spec_) : 0;
-    for (std::size_t looked = 0; std::ssize(lines) < number && looked < servers_.size(); ++looked) {
+    const double window = spec_.reports_per_second > 0 ? report_interval_seconds(spec_) : 0;
+    for (std::size_t examined = 0; std::ssize(lines) < number && examined < servers_.size();
+         ++examined) {
         const Server& server = servers_[next_reported_++ % servers_.size()];
         if (server.phase != EndpointPhase::ready) {
             continue;
@@ -191,7 +193,7 @@
         const unsigned mean_ms = 300 + random_() % 90;
         const unsigned from = random_() % static_cast<unsigned>(spec_.zones);
         lines.push_back(fmt::format("outcomes host={} az=z{} n={:.3f} bad=0 avg={} window={:.1f}",
-                                    server.id, from, kTriesPerServer * window, mean_ms,
+                                    server.id, from, kAttemptsPerServerPerSecond * window, mean_ms,
                                     window * 1'000));
     }
     return lines;
@@ -200,20 +202,21 @@
 std::vector<std::string> World::demand_lines(int number) {
     std::vector<std::string> lines;
     for (int i = 0; i < number; ++i) {
-        const std::size_t service = next_demanded_ % static_cast<std::size_t>(spec_.services);
-        const std::size_t proxy = next_demanded_++ % static_cast<std::size_t>(spec_.proxies);
-        const std::size_t pool = service % sizes_.size();
-        // Services that share a pool share its RPCs evenly.
-        const double sharing =
+        const std::size_t service = next_demand_ % static_cast<std::size_t>(spec_.services);
+        const std::size_t proxy = next_demand_++ % static_cast<std::size_t>(spec_.proxies);
+        const std::size_t pool = service % servers_per_kind_.size();
+        // The RPCs of a pool are divided evenly among the services that share it.
+        const double services_in_pool =
             std::ceil(1.0 * (spec_.services - static_cast<int>(pool)) / pools_of(spec_));
-        lines.push_back(fmt::format("demand sidecar={} kind=m{} n={:.3f} bad=0 window=1000", proxy,
-                                    service, kTriesPerServer * sizes_[pool] / sharing));
+        lines.push_back(
+            fmt::format("demand sidecar={} kind=m{} n={:.3f} bad=0 window=1000", proxy, service,
+                        kAttemptsPerServerPerSecond * servers_per_kind_[pool] / services_in_pool));
     }
     return lines;
 }
 
-// Guards against a world without ready servers: then any is taken.
-std::size_t World::any_ready() {
+// Returns a random server that is ready, or any server if none is ready.
+std::size_t World::pick_ready_server() {
     std::size_t at = random_() % servers_.size();
     for (std::size_t tries = 0;
          tries < servers_.size() && servers_[at].phase != EndpointPhase::ready; ++tries) {
@@ -226,15 +229,15 @@
     Change change;
     std::vector<Server> changed;
     for (int i = 0; i < number; ++i) {
-        Server& server = servers_[any_ready()];
+        Server& server = servers_[pick_ready_server()];
         Server gone = server;
         gone.phase = EndpointPhase::gone;
         change.gone.push_back(gone.id);
-        server = fresh(gone.zone, gone.kind, now);
+        server = make_server(gone.zone, gone.kind, now);
         changed.push_back(std::move(gone));
         changed.push_back(server);
     }
-    change.list = list_of(changed, false);
+    change.list = list_message(changed, false);
     return change;
 }
 
@@ -242,7 +245,7 @@
     Change change;
     std::vector<Server> changed;
     for (int i = 0; i < number; ++i) {
-        Server& server = servers_[any_ready()];
+        Server& server = servers_[pick_ready_server()];
         if (server.phase != EndpointPhase::ready) {
             break;
         }
@@ -250,7 +253,7 @@
         change.gone.push_back(server.id);
         changed.push_back(server);
     }
-    change.list = list_of(changed, false);
+    change.list = list_message(changed, false);
     return change;
 }
 
@@ -263,11 +266,11 @@
         }
         Server gone = server;
         gone.phase = EndpointPhase::gone;
-        server = fresh(gone.zone, gone.kind, now);
+        server = make_server(gone.zone, gone.kind, now);
         changed.push_back(std::move(gone));
         changed.push_back(server);
     }
-    change.list = list_of(changed, false);
+    change.list = list_message(changed, false);
     return change;
 }
 
@@ -277,25 +280,25 @@
     const auto first_lost =
         std::stable_partition(servers_.begin(), servers_.end(),
                               [zone](const Server& server) { return server.zone != zone; });
-    lost_.assign(first_lost, servers_.end());
+    lost_servers_.assign(first_lost, servers_.end());
     servers_.erase(first_lost, servers_.end());
-    for (Server server : lost_) {
+    for (Server server : lost_servers_) {
         server.phase = EndpointPhase::gone;
         change.gone.push_back(server.id);
         changed.push_back(std::move(server));
     }
-    change.list = list_of(changed, false);
+    change.list = list_message(changed, false);
     return change;
 }
 
 World::Change World::restore_zone(TimePoint now) {
     std::vector<Server> changed;
-    for (const Server& server : lost_) {
-        changed.push_back(fresh(server.zone, server.kind, now));
+    for (const Server& server : lost_servers_) {
+        changed.push_back(make_server(server.zone, server.kind, now));
     }
     servers_.insert(servers_.end(), changed.begin(), changed.end());
-    lost_.clear();
-    return {list_of(changed, false), {}};
+    lost_servers_.clear();
+    return {list_message(changed, false), {}};
 }
 
 }  // namespace micaroad::scale
