--- a/bench/scale/wire_channel.cpp
+++ b/bench/scale/wire_channel.cpp
@@ -116,9 +116,9 @@
     if (!socket_.open()) {
         return;
     }
-    loop_.leave(token_, socket_.get());
+    loop_.unwatch(token_, socket_.get());
     socket_ = Descriptor{};
-    texts_.clear();
+    queue_.clear();
     queued_ = 0;
 }
 
@@ -135,9 +135,10 @@
         return;
     }
     queued_ += text->size();
-    texts_.push_back(std::move(text));
-    // A fault is seen again when the loop reads: the owner is never told from within its own call.
-    if (texts_.size() == 1 && !connecting_) {
+    queue_.push_back(std::move(text));
+    // An error of the write is ignored here: the loop finds it again when it reads, so that ended()
+    // is never called from within send().
+    if (queue_.size() == 1 && !connecting_) {
         write_some();
     }
     watch();
@@ -153,8 +154,8 @@
 }
 
 bool Channel::write_some() {
-    while (!texts_.empty()) {
-        const std::string& text = *texts_.front();
+    while (!queue_.empty()) {
+        const std::string& text = *queue_.front();
         const ssize_t sent =
             ::send(socket_.get(), text.data() + sent_, text.size() - sent_, MSG_NOSIGNAL);
         if (sent < 0) {
@@ -165,24 +166,24 @@
         if (sent_ < text.size()) {
             continue;
         }
-        texts_.pop_front();
+        queue_.pop_front();
         sent_ = 0;
     }
     return true;
 }
 
 bool Channel::read_some() {
-    static char buffer[kReadBytes];  // one thread, and no call of received() reads again
-    for (int i = 0; i < kReadsATurn && socket_.open(); ++i) {
-        const ssize_t got = recv(socket_.get(), buffer, sizeof buffer, 0);
-        if (got < 0) {
+    static char buffer[kReadBytes];  // safe: one thread, and received() never reads in turn
+    for (int i = 0; i < kMaxReadsPerTurn && socket_.open(); ++i) {
+        const ssize_t count = recv(socket_.get(), buffer, sizeof buffer, 0);
+        if (count < 0) {
             return errno == EAGAIN || errno == EINTR;
         }
-        if (got == 0) {
+        if (count == 0) {
             return false;
         }
-        owner_.received({buffer, static_cast<std::size_t>(got)});
-        if (static_cast<std::size_t>(got) < sizeof buffer) {
+        owner_.received({buffer, static_cast<std::size_t>(count)});
+        if (static_cast<std::size_t>(count) < sizeof buffer) {
             break;
         }
     }
@@ -224,20 +225,20 @@
     loop.retire(std::move(channel));
 }
 
-Listener::Listener(Loop& loop, Role role, Descriptor socket, Take take)
+Listener::Listener(Loop& loop, Role role, Descriptor socket, AcceptCallback on_accept)
     : Handler(role),
       loop_(loop),
       socket_(std::move(socket)),
-      take_(std::move(take)),
+      on_accept_(std::move(on_accept)),
       token_(loop_.watch(socket_.get(), EPOLLIN, *this)) {}
 
 Listener::~Listener() {
-    loop_.leave(token_, socket_.get());
+    loop_.unwatch(token_, socket_.get());
 }
 
 void Listener::ready(std::uint32_t) {
     for (Descriptor socket = accept_from(socket_); socket.open(); socket = accept_from(socket_)) {
-        take_(std::move(socket));
+        on_accept_(std::move(socket));
     }
 }
 
--- a/bench/scale/wire_channel.hpp
+++ b/bench/scale/wire_channel.hpp
@@ -1,4 +1,5 @@
-// One TCP connection or local socket pair end in the loop: bytes in any pieces in, whole texts out.
+// Sockets in the event loop: connections that receive bytes and send queued texts, listeners, and a
+// splitter of received bytes into lines.
 #pragma once
 
 #include <netinet/in.h>
@@ -34,25 +35,25 @@
     int fd_ = -1;
 };
 
-// Binds the address and takes connections; port 0 is replaced by the one that was found. Throws
+// Binds the address and listens on it. Port 0 is replaced by the port that the kernel chose. Throws
 // std::system_error.
 Descriptor listen_at(LoopbackAddress& address);
-Descriptor begin_connect(const LoopbackAddress& address);  // not open if no socket could be had
-Descriptor accept_from(const Descriptor& listener);        // not open if nobody waits
+Descriptor begin_connect(const LoopbackAddress& address);  // not open if it failed at once
+Descriptor accept_from(const Descriptor& listener);        // not open if no connection is pending
 
-// Told of what happens on a channel. None of these may destroy the channel at once: see
+// Receives the events of a channel. No callback may destroy the channel directly; see
 // Loop::retire().
 class ChannelOwner {
  public:
     virtual ~ChannelOwner() = default;
     virtual void connected() {}
     virtual void received(std::string_view bytes) = 0;
-    virtual void ended() = 0;  // once; not after close()
+    virtual void ended() = 0;  // called at most once, and not after close()
 };
 
 class Channel : public Handler {
  public:
-    // Text that may be on its way on many channels at once.
+    // Shared, so that one text can be queued on many channels.
     using Text = std::shared_ptr<const std::string>;
 
     Channel(Loop& loop, Role role, Descriptor socket, bool connecting, ChannelOwner& owner);
@@ -60,16 +61,16 @@
 
     void send(Text text);
     void send(std::string text) { send(std::make_shared<const std::string>(std::move(text))); }
-    void close();  // the owner hears no more of it
+    void close();  // the owner gets no further callbacks
     bool open() const { return socket_.open() && !connecting_; }
-    std::size_t queued() const { return queued_; }  // bytes that the peer has no room for yet
+    std::size_t queued() const { return queued_; }  // bytes not yet accepted by the kernel
 
  private:
     static constexpr std::size_t kReadBytes = 64 * 1024;
-    static constexpr int kReadsATurn = 4;  // then others have theirs
+    static constexpr int kMaxReadsPerTurn = 4;  // then the other handlers get their turn
 
     void ready(std::uint32_t events) override;
-    bool read_some();  // false: the peer has ended it
+    bool read_some();  // false: the connection was closed or failed
     bool write_some();
     bool finish_connect();
     void watch();
@@ -81,19 +82,19 @@
     bool connecting_;
     Loop::Token token_ = 0;
     std::uint32_t watched_ = 0;
-    std::deque<Text> texts_;
-    std::size_t sent_ = 0;  // of the first text
+    std::deque<Text> queue_;
+    std::size_t sent_ = 0;  // bytes of the first text in the queue
     std::size_t queued_ = 0;
 };
 
-// Closes the channel and lets it go once the loop is through with it; none is fine.
+// Closes the channel and destroys it at the end of the loop's turn. The pointer may be null.
 void drop(Loop& loop, std::unique_ptr<Channel>& channel);
 
-// Accepts connections in the loop and hands them over.
+// Accepts connections in the loop and passes each to the callback.
 class Listener : public Handler {
  public:
-    using Take = std::function<void(Descriptor)>;
-    Listener(Loop& loop, Role role, Descriptor socket, Take take);
+    using AcceptCallback = std::function<void(Descriptor)>;
+    Listener(Loop& loop, Role role, Descriptor socket, AcceptCallback on_accept);
     ~Listener() override;
 
  private:
@@ -101,32 +102,32 @@
 
     Loop& loop_;
     Descriptor socket_;
-    const Take take_;
+    const AcceptCallback on_accept_;
     const Loop::Token token_;
 };
 
-// Bytes in any pieces to lines that end in LF or CRLF.
+// Splits bytes that arrive in arbitrary pieces into lines that end in LF or CRLF.
 class LineSplitter {
  public:
-    // Calls line(std::string_view) for each line, without its end.
+    // Calls line(std::string_view) for each complete line, without its line end.
     template <class Line>
     void feed(std::string_view bytes, const Line& line) {
-        held_.append(bytes);
+        buffer_.append(bytes);
         std::size_t begin = 0;
-        for (std::size_t end; (end = held_.find('\n', begin)) != std::string::npos;
+        for (std::size_t end; (end = buffer_.find('\n', begin)) != std::string::npos;
              begin = end + 1) {
-            std::string_view whole = std::string_view(held_).substr(begin, end - begin);
+            std::string_view whole = std::string_view(buffer_).substr(begin, end - begin);
             if (whole.ends_with('\r')) {
                 whole.remove_suffix(1);
             }
             line(whole);
         }
-        held_.erase(0, begin);
+        buffer_.erase(0, begin);
     }
-    void clear() { held_.clear(); }
+    void clear() { buffer_.clear(); }
 
  private:
-    std::string held_;
+    std::string buffer_;
 };
 
 }  // namespace micaroad::scale::wire
--- a/bench/scale/wire_collectors.cpp
+++ b/bench/scale/wire_collectors.cpp
@@ -7,7 +7,7 @@
 namespace micaroad::scale::wire {
 namespace {
 
-constexpr Milliseconds kRedial{200};
+constexpr Milliseconds kRedialDelay{200};
 
 }  // namespace
 
@@ -29,35 +29,35 @@
                                              *this);
     }
 
-    // False: the planner has left too much unread.
+    // Returns false if the planner has left too many bytes unread.
     bool report(const Channel::Text& text, std::int64_t messages) {
         if (!open()) {
             return true;
         }
-        if (channel_->queued() > kMostQueued) {
+        if (channel_->queued() > kMaxQueuedBytes) {
             return false;
         }
-        say(text, messages);
+        send(text, messages);
         return true;
     }
 
  private:
     void connected() override {
-        say(std::make_shared<const std::string>(
-                fmt::format("agent az={}\r\n", World::zone_name(zone_))),
-            1);
+        send(std::make_shared<const std::string>(
+                 fmt::format("agent az={}\r\n", World::zone_name(zone_))),
+             1);
     }
-    void received(std::string_view bytes) override {  // nothing is ever written to a collector
+    void received(std::string_view bytes) override {  // a planner sends nothing to a collector
         of(fleet_.traffic_[static_cast<std::size_t>(planner_)], Role::collector).bytes_out +=
             static_cast<std::int64_t>(bytes.size());
     }
     void ended() override { dial_later(); }
 
     void dial_later() {
-        fleet_.loop_.at(Clock::now() + kRedial, Role::collector, [this] { dial(); });
+        fleet_.loop_.at(Clock::now() + kRedialDelay, Role::collector, [this] { dial(); });
     }
 
-    void say(Channel::Text text, std::int64_t messages) {
+    void send(Channel::Text text, std::int64_t messages) {
         Traffic& traffic = of(fleet_.traffic_[static_cast<std::size_t>(planner_)], Role::collector);
         traffic.bytes_in += static_cast<std::int64_t>(text->size());
         traffic.messages_in += messages;
@@ -79,10 +79,10 @@
             collectors_.push_back(std::make_unique<Collector>(*this, planner, zone));
         }
     }
-    // Zones report one after the other.
+    // The reports of the zones are spread over the report interval.
     for (int zone = 0; zone < zones; ++zone) {
-        const auto begin = Clock::now() + (zone + 1) * world.sizes().report_every / zones;
-        loop_.at(begin, Role::collector, [this, zone] { report_every_period(zone); });
+        const auto first_report = Clock::now() + (zone + 1) * world.sizes().report_interval / zones;
+        loop_.at(first_report, Role::collector, [this, zone] { start_reports(zone); });
     }
 }
 
@@ -99,9 +99,9 @@
                          [](const auto& one) { return one->open(); });
 }
 
-void CollectorFleet::report_every_period(int zone) {
+void CollectorFleet::start_reports(int zone) {
     report(zone);
-    loop_.every(world_.sizes().report_every, Role::collector, [this, zone] { report(zone); });
+    loop_.every(world_.sizes().report_interval, Role::collector, [this, zone] { report(zone); });
 }
 
 void CollectorFleet::report(int zone) {
--- a/bench/scale/wire_collectors.hpp
+++ b/bench/scale/wire_collectors.hpp
@@ -1,4 +1,5 @@
-// The stand-ins for collectors: one of each zone connects to every planner and passes reports on.
+// Stand-ins for collectors: each zone has one connection to every planner and sends load reports on
+// it.
 #pragma once
 
 #include <memory>
@@ -20,16 +21,16 @@
 
     void dial_all();
     std::int64_t connected() const;
-    // Reports that were not sent, as a planner had left too much unread.
+    // Batches of reports that were not sent because the planner had left too many bytes unread.
     std::int64_t dropped() const { return dropped_; }
 
  private:
     class Collector;
-    static constexpr std::size_t kMostQueued =
+    static constexpr std::size_t kMaxQueuedBytes =
         4 * 1024 * 1024;  // bytes that a planner may leave unread
 
     void report(int zone);
-    void report_every_period(int zone);
+    void start_reports(int zone);
 
     Loop& loop_;
     World& world_;
--- a/bench/scale/wire_deployment.cpp
+++ b/bench/scale/wire_deployment.cpp
@@ -15,10 +15,10 @@
 namespace micaroad::scale::wire {
 namespace {
 
-constexpr Milliseconds kProbeEvery{50};
+constexpr Milliseconds kProbeInterval{50};
 constexpr int kHostsPerNetwork = 250;
-// 127.64.0.0 to 127.127.255.255 for planners, 127.128.0.0 to 127.191.255.255 for the agents of
-// discovery. Which second byte goes by our process, so that runs side by side keep apart.
+// Planners use 127.64.0.0 to 127.127.255.255, discovery agents 127.128.0.0 to 127.191.255.255. The
+// second byte depends on the process id, so that concurrent runs use different addresses.
 constexpr std::uint32_t kPlannerNetworks = 64, kDiscoveryNetworks = 128, kNetworks = 64;
 
 LoopbackAddress address_in(std::uint32_t networks, int number) {
@@ -28,14 +28,14 @@
     return {127u << 24 | second << 16 | third << 8 | fourth, 0};
 }
 
-// Asks a planner whether it serves, again and again until it says so.
+// Probes a planner repeatedly until it answers that it is alive.
 class AliveProbe : public ChannelOwner {
  public:
     AliveProbe(Loop& loop, const LoopbackAddress& address) : loop_(loop), address_(address) {
         dial();
     }
     ~AliveProbe() override {
-        *here_ = false;
+        *exists_ = false;
         drop(loop_, channel_);
     }
     bool alive() const { return alive_; }
@@ -50,8 +50,8 @@
         channel_ = std::make_unique<Channel>(loop_, Role::planner, std::move(socket), true, *this);
     }
     void dial_later() {
-        loop_.at(Clock::now() + kProbeEvery, Role::planner, [this, here = here_] {
-            if (*here) {
+        loop_.at(Clock::now() + kProbeInterval, Role::planner, [this, exists = exists_] {
+            if (*exists) {
                 dial();
             }
         });
@@ -68,7 +68,7 @@
     const LoopbackAddress address_;
     std::unique_ptr<Channel> channel_;
     bool alive_ = false;
-    std::shared_ptr<bool> here_ = std::make_shared<bool>(true);
+    std::shared_ptr<bool> exists_ = std::make_shared<bool>(true);
 };
 
 }  // namespace
@@ -86,18 +86,18 @@
     std::filesystem::remove_all(path_, ignored);
 }
 
-// The run's end of the line to one process of hollow planners.
+// The control connection to one process of hollow planners, on the side of the run.
 class Deployment::HollowControl : public ChannelOwner {
  public:
     HollowControl(Deployment& deployment, Descriptor socket)
         : deployment_(deployment),
           channel_(deployment.loop_, Role::planner, std::move(socket), false, *this) {}
-    void give(const Pace& pace) { channel_.send(line_of(pace)); }
+    void send(const Pace& pace) { channel_.send(line_of(pace)); }
     const std::optional<HollowStatus>& status() const { return status_; }
 
  private:
     void received(std::string_view bytes) override {
-        lines_.feed(bytes, [this](std::string_view line) { status_ = read_status(line); });
+        lines_.feed(bytes, [this](std::string_view line) { status_ = parse_status(line); });
     }
     void ended() override { deployment_.failed_ = "a process of hollow planners has ended"; }
 
@@ -111,36 +111,37 @@
     : sizes_(sizes),
       world_(sizes, options.seed),
       traffic_(static_cast<std::size_t>(sizes.planners())) {
-    const TimePoint begun = Clock::now(), limit = begun + options.start_limit;
+    const TimePoint start = Clock::now(), limit = start + options.start_limit;
     choose_addresses();
     start_hollow(options);
     discovery_ = std::make_unique<DiscoveryAgents>(
         loop_, world_, discovery_addresses_, traffic_,
-        [this](int planner, std::int64_t after, std::int64_t upto) {
-            note_told(planner, after, upto);
+        [this](int planner, std::int64_t after, std::int64_t up_to) {
+            record_announced(planner, after, up_to);
         });
     discovery_->open();
     start_real(options.planner_program);
-    loop_.every(kLookEvery, Role::planner, [this] { look_after_processes(); });
-    await_alive(limit);
+    loop_.every(kProcessCheckInterval, Role::planner, [this] { check_processes(); });
+    wait_until_alive(limit);
     proxies_ = std::make_unique<ProxyFleet>(loop_, world_, planner_addresses_, sizes_.real_planners,
                                             traffic_, in_force_);
     collectors_ = std::make_unique<CollectorFleet>(loop_, world_, planner_addresses_, traffic_);
     collectors_->dial_all();
     proxies_->dial_all();
-    loop_.every(kPaceEvery, Role::planner, [this] { give_pace(); });
-    await_first_messages(limit);
-    start_seconds_ = std::chrono::duration<double>(Clock::now() - begun).count();
+    loop_.every(kPaceInterval, Role::planner, [this] { send_pace(); });
+    wait_for_first_messages(limit);
+    start_seconds_ = std::chrono::duration<double>(Clock::now() - start).count();
     if (sizes_.changes_per_second > 0) {
-        change_now_and_then();
+        schedule_changes();
     }
 }
 
 Deployment::~Deployment() = default;
 
-// A real planner binds its address itself: its port is one that was free a moment ago.
+// A real planner binds its address itself, so its listener is closed again here: the port was free
+// a moment ago. Hollow planners inherit their listeners.
 void Deployment::choose_addresses() {
-    std::vector<Descriptor> held;
+    std::vector<Descriptor> reserved;
     for (int planner = 0; planner < sizes_.planners(); ++planner) {
         planner_addresses_.push_back(address_in(kPlannerNetworks, planner));
         Descriptor listener = listen_at(planner_addresses_.back());
@@ -148,7 +149,7 @@
             hollow_listeners_.push_back(std::move(listener));
         }
         discovery_addresses_.push_back(address_in(kDiscoveryNetworks, planner));
-        held.push_back(listen_at(discovery_addresses_.back()));
+        reserved.push_back(listen_at(discovery_addresses_.back()));
     }
 }
 
@@ -159,17 +160,18 @@
         if (socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0, ends) != 0) {
             throw std::system_error(errno, std::generic_category(), "socketpair");
         }
-        Descriptor ours(ends[0]), theirs(ends[1]);
+        Descriptor local_end(ends[0]), remote_end(ends[1]);
         std::vector<HollowPlanner> planners;
-        std::vector<int> kept{theirs.get()};
+        std::vector<int> kept{remote_end.get()};
         for (std::size_t i = first; i < std::min(first + each, hollow_listeners_.size()); ++i) {
             const std::size_t planner = static_cast<std::size_t>(sizes_.real_planners) + i;
             kept.push_back(hollow_listeners_[i].get());
             planners.push_back({std::move(hollow_listeners_[i]), discovery_addresses_[planner]});
         }
-        hollow_.push_back(ChildProcess::fork_with(
-            kept, [&] { return serve_hollow(std::move(planners), std::move(theirs), sizes_); }));
-        controls_.push_back(std::make_unique<HollowControl>(*this, std::move(ours)));
+        hollow_.push_back(ChildProcess::fork_with(kept, [&] {
+            return serve_hollow(std::move(planners), std::move(remote_end), sizes_);
+        }));
+        controls_.push_back(std::make_unique<HollowControl>(*this, std::move(local_end)));
     }
 }
 
@@ -197,10 +199,11 @@
 }
 
 void Deployment::run_to_next_pace() {
-    run([this, paces = paces_] { return paces_ > paces; }, 4 * kPaceEvery);
+    run([this, paces_before = paces_sent_] { return paces_sent_ > paces_before; },
+        4 * kPaceInterval);
 }
 
-void Deployment::await_alive(TimePoint limit) {
+void Deployment::wait_until_alive(TimePoint limit) {
     std::vector<std::unique_ptr<AliveProbe>> probes;
     for (const LoopbackAddress& address : planner_addresses_) {
         probes.push_back(std::make_unique<AliveProbe>(loop_, address));
@@ -214,77 +217,78 @@
     }
 }
 
-void Deployment::await_first_messages(TimePoint limit) {
+void Deployment::wait_for_first_messages(TimePoint limit) {
     const int proxies = sizes_.planners() * sizes_.proxies;
-    const auto all_ordered = [this, proxies] { return proxies_ordered() == proxies; };
-    if (!run(all_ordered, std::chrono::ceil<Milliseconds>(limit - Clock::now()))) {
+    const auto all_have_first_message = [this, proxies] {
+        return proxies_with_first_message() == proxies;
+    };
+    if (!run(all_have_first_message, std::chrono::ceil<Milliseconds>(limit - Clock::now()))) {
         throw PointFailed(fmt::format("{} of {} proxies had a first message in time",
-                                      proxies_ordered(), proxies));
+                                      proxies_with_first_message(), proxies));
     }
 }
 
-int Deployment::proxies_ordered() const {
+int Deployment::proxies_with_first_message() const {
     int number = 0;
     for (int planner = 0; planner < sizes_.planners(); ++planner) {
-        number += proxies_->ordered(planner);
+        number += proxies_->with_first_message(planner);
     }
     return number;
 }
 
-void Deployment::change_now_and_then() {
+void Deployment::schedule_changes() {
     const auto period = std::chrono::ceil<Milliseconds>(
         std::chrono::duration<double>(1 / sizes_.changes_per_second));
     loop_.every(period, Role::discovery, [this] {
         if (changes_paused_) {
             return;
         }
-        world_.replace_some(1);
+        world_.replace(1);
         discovery_->publish();
     });
 }
 
-// Once for each planner and version: what has ended is awaited at its proxies, what is back is
-// awaited no more.
-void Deployment::note_told(int planner, std::int64_t after, std::int64_t upto) {
+// Called once per planner and version. Starts waiting until the planner's proxies stop using the
+// servers that ended, and stops waiting for servers that are up again.
+void Deployment::record_announced(int planner, std::int64_t after, std::int64_t up_to) {
     if (!real(static_cast<std::size_t>(planner)) || proxies_ == nullptr) {
         return;
     }
     std::vector<std::size_t> ended;
     for (const Change& change : world_.changes()) {
-        if (change.version <= after || change.version > upto) {
+        if (change.version <= after || change.version > up_to) {
             continue;
         }
         ended.insert(ended.end(), change.ended.begin(), change.ended.end());
         for (const std::size_t server : change.back) {
-            in_force_.came_back(server);
+            in_force_.server_returned(server);
         }
     }
     std::erase_if(ended, [this](std::size_t server) {
         return world_.servers()[server].state == ServerState::up;
     });
-    told_ += static_cast<std::int64_t>(ended.size());
-    proxies_->told(planner, ended, Clock::now());
+    announced_ += static_cast<std::int64_t>(ended.size());
+    proxies_->announced(planner, ended, Clock::now());
 }
 
-// What the real planners wrote since the last time, in the mean, is what each hollow one is to
-// write now.
-void Deployment::give_pace() {
+// Tells each hollow planner to write as much as the mean of the real planners since the last call.
+void Deployment::send_pace() {
     Traffic written;
     for (std::size_t planner = 0; real(planner); ++planner) {
         written += of(traffic_[planner], Role::proxy);
     }
-    const Traffic since = written - std::exchange(paced_, written);
+    const Traffic since = written - std::exchange(traffic_at_last_pace_, written);
     const double planners = sizes_.real_planners;
     const Pace pace{static_cast<double>(since.messages_out) / planners,
                     static_cast<double>(since.bytes_out) / planners,
                     static_cast<double>(since.nonces_out) / planners};
     for (const auto& control : controls_) {
-        control->give(pace);
+        control->send(pace);
     }
-    ++paces_;
+    ++paces_sent_;
 }
 
-void Deployment::look_after_processes() {
+void Deployment::check_processes() {
     for (std::size_t i = 0; i < real_.size(); ++i) {
         if (!real_[i].running()) {
             failed_ = fmt::format("real planner {} has ended: {}", i, last_log_line(i));
@@ -327,7 +331,7 @@
         const HollowStatus status = control->status().value_or(HollowStatus{});
         all.streams += status.streams;
         all.messages_written += status.messages_written;
-        all.nonces_open += status.nonces_open;
+        all.unanswered_nonces += status.unanswered_nonces;
         all.listed = std::min(all.listed, status.listed);
         all.version = std::min(all.version, status.version);
     }
--- a/bench/scale/wire_deployment.hpp
+++ b/bench/scale/wire_deployment.hpp
@@ -1,4 +1,4 @@
-// All processes and stand-ins of one point, from start to end.
+// Starts, runs and stops all processes and stand-ins of one point.
 #pragma once
 
 #include <filesystem>
@@ -17,12 +17,12 @@
 
 namespace micaroad::scale::wire {
 
-// A point can't be played, or not to its end; the text says why.
+// A point could not be started or completed. The message gives the reason.
 struct PointFailed : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// A directory of its own for start files and logs, removed with the object.
+// A temporary directory for start files and logs. The destructor removes it.
 class WorkDirectory {
  public:
     WorkDirectory();  // throws std::system_error
@@ -35,21 +35,22 @@
     std::filesystem::path path_;
 };
 
-// Planners are numbered: the real ones first.
+// The deployment of one point. Planners are numbered, with the real ones first.
 class Deployment {
  public:
-    static constexpr Milliseconds kPaceEvery{
-        250};  // hollow planners write what real ones wrote in the last so long
+    static constexpr Milliseconds kPaceInterval{
+        250};  // hollow planners repeat what real ones wrote in the last interval
 
-    // Starts all and waits until each proxy has its first message. Throws PointFailed or
+    // Starts everything and waits until each proxy has its first message. Throws PointFailed or
     // std::system_error.
     Deployment(const WireOptions& options, const WireWorld& sizes);
     ~Deployment();
 
-    // Runs the loop. Throws PointFailed if a process has ended.
+    // Runs the loop until done() or the limit, and returns whether done() holds. Throws PointFailed
+    // if a process has ended.
     bool run(const std::function<bool()>& done, Milliseconds limit);
     void run_for(Milliseconds time);
-    // Until the next pace is given to the hollow planners.
+    // Runs the loop until the next pace is sent to the hollow planners.
     void run_to_next_pace();
 
     void publish() { discovery_->publish(); }
@@ -63,34 +64,35 @@
     const Loop& loop() const { return loop_; }
     const WireWorld& sizes() const { return sizes_; }
     const std::vector<TrafficByRole>& traffic() const { return traffic_; }
-    std::int64_t told() const { return told_; }  // server ends, once for each real planner
+    // Number of ended servers announced, counted once per real planner.
+    std::int64_t announced() const { return announced_; }
     double start_seconds() const { return start_seconds_; }
     bool real(std::size_t planner) const {
         return planner < static_cast<std::size_t>(sizes_.real_planners);
     }
     std::vector<pid_t> real_processes() const;
     std::vector<pid_t> hollow_processes() const;
-    HollowStatus hollow_status() const;  // as last told, over all hollow processes
+    HollowStatus hollow_status() const;  // sum of the last status of each hollow process
 
  private:
     class HollowControl;
-    static constexpr Milliseconds kLookEvery{200};
+    static constexpr Milliseconds kProcessCheckInterval{200};
 
     void choose_addresses();
     void start_hollow(const WireOptions& options);
     void start_real(const std::string& program);
-    void await_alive(TimePoint limit);
-    void await_first_messages(TimePoint limit);
-    int proxies_ordered() const;
-    void change_now_and_then();
-    void note_told(int planner, std::int64_t after, std::int64_t upto);
-    void give_pace();
-    void look_after_processes();
+    void wait_until_alive(TimePoint limit);
+    void wait_for_first_messages(TimePoint limit);
+    int proxies_with_first_message() const;
+    void schedule_changes();
+    void record_announced(int planner, std::int64_t after, std::int64_t up_to);
+    void send_pace();
+    void check_processes();
     std::string last_log_line(std::size_t planner) const;
 
     const WireWorld sizes_;
     World world_;
-    Loop loop_;  // of all below: destroyed after them
+    Loop loop_;  // used by all members below, so it is destroyed after them
     WorkDirectory directory_;
     std::vector<LoopbackAddress> planner_addresses_, discovery_addresses_;
     std::vector<Descriptor> hollow_listeners_;
@@ -101,10 +103,11 @@
     std::unique_ptr<DiscoveryAgents> discovery_;
     std::unique_ptr<ProxyFleet> proxies_;
     std::unique_ptr<CollectorFleet> collectors_;
-    std::int64_t paces_ = 0;  // given so far
-    Traffic paced_;           // of the real planners to their proxies, up to the last pace given
+    std::int64_t paces_sent_ = 0;
+    // From the real planners to their proxies.
+    Traffic traffic_at_last_pace_;
     bool changes_paused_ = true;
-    std::int64_t told_ = 0;
+    std::int64_t announced_ = 0;
     double start_seconds_ = 0;
     std::optional<std::string> failed_;
 };
--- a/bench/scale/wire_discovery.cpp
+++ b/bench/scale/wire_discovery.cpp
@@ -19,13 +19,13 @@
     return fmt::format("{:x}\r\n{}\n\r\n", line.size() + 1, line);
 }
 
-std::string answer_of(std::string_view body) {
+std::string response_of(std::string_view body) {
     return fmt::format(
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{}",
         body.size(), body);
 }
 
-// The target of "GET target HTTP/1.1"; empty: it is no such request.
+// The target of "GET target HTTP/1.1"; empty if the line is not such a request.
 std::string_view target_of(std::string_view line) {
     if (!line.starts_with("GET ")) {
         return {};
@@ -60,7 +60,7 @@
     ~Connection() override { wire::drop(agents_.loop_, channel_); }
 
     bool watching() const { return version_ >= 0; }
-    bool silent_for(Milliseconds time) const { return Clock::now() - written_ >= time; }
+    bool idle_for(Milliseconds time) const { return Clock::now() - last_write_ >= time; }
 
     void publish() {
         if (version_ >= agents_.world_.version()) {
@@ -68,9 +68,9 @@
         }
         write(agents_.changes_after(version_));
         version_ = agents_.world_.version();
-        agents_.note_told(planner_);
+        agents_.record_announced(planner_);
     }
-    void sign_of_life() { write(std::make_shared<const std::string>(chunk_of(""))); }
+    void send_heartbeat() { write(std::make_shared<const std::string>(chunk_of(""))); }
 
  private:
     void received(std::string_view bytes) override {
@@ -83,15 +83,15 @@
                 return;
             }
             ++traffic().messages_out;
-            answer(std::exchange(target_, {}));
+            respond(std::exchange(target_, {}));
         });
     }
     void ended() override { agents_.drop(*this); }
 
-    void answer(std::string_view target) {
+    void respond(std::string_view target) {
         if (target == kListTarget) {
-            write(std::make_shared<const std::string>(answer_of(agents_.world_.whole_list())));
-            agents_.note_told(planner_);
+            write(std::make_shared<const std::string>(response_of(agents_.world_.complete_list())));
+            agents_.record_announced(planner_);
             return;
         }
         const auto index = index_of(target);
@@ -99,11 +99,11 @@
             return write(std::make_shared<const std::string>(kNotFound));
         }
         write(std::make_shared<const std::string>(kWatchHead));
-        --traffic().messages_in;  // a head is no message
+        --traffic().messages_in;  // the response head does not count as a message
         if (*index < 1 || *index > agents_.world_.version()) {
-            write(std::make_shared<const std::string>(chunk_of(agents_.world_.whole_list())));
+            write(std::make_shared<const std::string>(chunk_of(agents_.world_.complete_list())));
             version_ = agents_.world_.version();
-            return agents_.note_told(planner_);
+            return agents_.record_announced(planner_);
         }
         version_ = *index;
         publish();
@@ -112,7 +112,7 @@
     void write(Channel::Text text) {
         traffic().bytes_in += static_cast<std::int64_t>(text->size());
         ++traffic().messages_in;
-        written_ = Clock::now();
+        last_write_ = Clock::now();
         channel_->send(std::move(text));
     }
 
@@ -125,35 +125,35 @@
     std::unique_ptr<Channel> channel_;
     LineSplitter lines_;
     std::string target_;
-    std::int64_t version_ = -1;  // up to which the watch has been told; negative: it is none
-    TimePoint written_ = Clock::now();
+    std::int64_t version_ = -1;  // last version sent to the watch; negative if this is no watch
+    TimePoint last_write_ = Clock::now();
 };
 
 DiscoveryAgents::DiscoveryAgents(Loop& loop, const World& world,
                                  std::vector<LoopbackAddress>& addresses,
-                                 std::vector<TrafficByRole>& traffic, Told told)
+                                 std::vector<TrafficByRole>& traffic, AnnouncedCallback announced)
     : loop_(loop),
       world_(world),
       addresses_(addresses),
       traffic_(traffic),
-      told_(std::move(told)),
-      told_versions_(addresses.size(), world.version()) {
-    loop_.every(kLookEvery, Role::discovery, [this] { sign_of_life(); });
+      on_announced_(std::move(announced)),
+      announced_versions_(addresses.size(), world.version()) {
+    loop_.every(kHeartbeatCheckInterval, Role::discovery, [this] { send_heartbeat(); });
 }
 
 DiscoveryAgents::~DiscoveryAgents() = default;
 
 void DiscoveryAgents::open() {
     for (std::size_t planner = 0; planner < addresses_.size(); ++planner) {
-        const auto take_one = [this, planner](Descriptor socket) {
-            take(static_cast<int>(planner), std::move(socket));
+        const auto accept_one = [this, planner](Descriptor socket) {
+            accept(static_cast<int>(planner), std::move(socket));
         };
-        listeners_.push_back(std::make_unique<Listener>(loop_, Role::discovery,
-                                                        listen_at(addresses_[planner]), take_one));
+        listeners_.push_back(std::make_unique<Listener>(
+            loop_, Role::discovery, listen_at(addresses_[planner]), accept_one));
     }
 }
 
-void DiscoveryAgents::shut() {
+void DiscoveryAgents::stop() {
     listeners_.clear();
     connections_.clear();
 }
@@ -174,40 +174,41 @@
     return number;
 }
 
-void DiscoveryAgents::take(int planner, Descriptor socket) {
+void DiscoveryAgents::accept(int planner, Descriptor socket) {
     auto connection = std::make_unique<Connection>(*this, planner, std::move(socket));
     connections_[connection.get()] = std::move(connection);
 }
 
-// The connection is in the middle of telling of its end: it goes once the loop is through with it.
+// Called from the connection's own ended(), so the connection is destroyed later, by a timer.
 void DiscoveryAgents::drop(const Connection& connection) {
     loop_.at(Clock::now(), Role::discovery, [this, key = &connection] { connections_.erase(key); });
 }
 
-void DiscoveryAgents::sign_of_life() {
+void DiscoveryAgents::send_heartbeat() {
     for (const auto& [key, connection] : connections_) {
-        if (connection->watching() && connection->silent_for(kSignOfLife)) {
-            connection->sign_of_life();
+        if (connection->watching() && connection->idle_for(kHeartbeatInterval)) {
+            connection->send_heartbeat();
         }
     }
 }
 
 Channel::Text DiscoveryAgents::changes_after(std::int64_t version) {
-    if (made_ == nullptr || made_after_ != version || made_upto_ != world_.version()) {
-        made_after_ = version;
-        made_upto_ = world_.version();
-        made_ = std::make_shared<const std::string>(chunk_of(world_.changes_since(version)));
+    if (cached_chunk_ == nullptr || cached_after_ != version || cached_up_to_ != world_.version()) {
+        cached_after_ = version;
+        cached_up_to_ = world_.version();
+        cached_chunk_ =
+            std::make_shared<const std::string>(chunk_of(world_.changes_since(version)));
     }
-    return made_;
+    return cached_chunk_;
 }
 
-void DiscoveryAgents::note_told(int planner) {
-    std::int64_t& told = told_versions_[static_cast<std::size_t>(planner)];
-    if (told >= world_.version()) {
+void DiscoveryAgents::record_announced(int planner) {
+    std::int64_t& announced = announced_versions_[static_cast<std::size_t>(planner)];
+    if (announced >= world_.version()) {
         return;
     }
-    const std::int64_t before = std::exchange(told, world_.version());
-    told_(planner, before, told);
+    const std::int64_t before = std::exchange(announced, world_.version());
+    on_announced_(planner, before, announced);
 }
 
 }  // namespace micaroad::scale::wire
--- a/bench/scale/wire_hollow.cpp
+++ b/bench/scale/wire_hollow.cpp
@@ -17,15 +17,16 @@
 namespace micaroad::scale::wire {
 namespace {
 
-constexpr Milliseconds kRedialDiscovery{100};
-constexpr int kMostNonces = 65'536;                     // nonces are below it
-constexpr std::size_t kMostUnread = 128 * 1024;         // a stream that leaves more unread is reset
-constexpr std::size_t kLongestMessage = 256 * 1024;     // bytes
-constexpr std::size_t kLongestList = 16 * 1024 * 1024;  // bytes, as EndpointListParser counts them
-constexpr double kMostCredit = 10'000;                  // messages that a planner may be behind
+constexpr Milliseconds kRedialDelay{100};
+constexpr int kNonceCount = 65'536;  // nonces are from 0 to kNonceCount - 1
+constexpr std::size_t kMaxUnreadBytes =
+    128 * 1024;  // more unread bytes: the stream gets no messages
+constexpr std::size_t kMaxMessageBytes = 256 * 1024;     // bytes
+constexpr std::size_t kMaxListBytes = 16 * 1024 * 1024;  // as counted by EndpointListParser
+constexpr double kMaxCreditMessages = 10'000;  // messages that a planner may be behind its pace
 constexpr std::string_view kAlive = "alive\r\n";
 
-SymbolTable names_of_world(const WireWorld& sizes) {
+SymbolTable symbol_table(const WireWorld& sizes) {
     SymbolTable names;
     for (int method = 0; method < sizes.methods; ++method) {
         names.methods.push_back(World::method_name(method));
@@ -36,11 +37,11 @@
     return names;
 }
 
-// Follows discovery's list as a planner does.
+// Watches discovery's list as a planner does.
 class ListWatch : public ChannelOwner {
  public:
     ListWatch(Loop& loop, const LoopbackAddress& discovery, const WireWorld& sizes)
-        : loop_(loop), discovery_(discovery), names_(names_of_world(sizes)) {
+        : loop_(loop), discovery_(discovery), names_(symbol_table(sizes)) {
         dial();
     }
 
@@ -51,7 +52,7 @@
     void dial() {
         drop(loop_, channel_);
         http_ = {};
-        lists_.emplace(names_, protocol::EndpointListFraming::line, kLongestList);
+        lists_.emplace(names_, protocol::EndpointListFraming::line, kMaxListBytes);
         Descriptor socket = begin_connect(discovery_);
         if (!socket.open()) {
             return dial_later();
@@ -59,7 +60,7 @@
         channel_ = std::make_unique<Channel>(loop_, Role::planner, std::move(socket), true, *this);
     }
     void dial_later() {
-        loop_.at(Clock::now() + kRedialDiscovery, Role::planner, [this] { dial(); });
+        loop_.at(Clock::now() + kRedialDelay, Role::planner, [this] { dial(); });
     }
 
     void connected() override {
@@ -68,37 +69,37 @@
     }
     void received(std::string_view bytes) override {
         http_.feed(bytes, [this](std::string_view body) {
-            lists_->feed(body, [this](const std::optional<protocol::EndpointListMessage>& said) {
-                take(said);
+            lists_->feed(body, [this](const std::optional<protocol::EndpointListMessage>& update) {
+                apply(update);
             });
         });
     }
     void ended() override { dial_later(); }
 
-    void take(const std::optional<protocol::EndpointListMessage>& said) {
-        if (!said) {
-            return;  // an empty line: a heartbeat
+    void apply(const std::optional<protocol::EndpointListMessage>& update) {
+        if (!update) {
+            return;  // an empty line is a heartbeat
         }
-        if (said->list.form == event::EndpointListUpdate::Form::complete) {
+        if (update->list.form == event::EndpointListUpdate::Form::complete) {
             listed_.clear();
         }
-        for (const ListedEndpoint& server : said->list.servers) {
+        for (const ListedEndpoint& server : update->list.servers) {
             if (server.phase == EndpointPhase::gone) {
                 listed_.erase(server.server.value);
             } else {
                 listed_.insert(server.server.value);
             }
         }
-        version_ = said->version;
+        version_ = update->version;
     }
 
     Loop& loop_;
     const LoopbackAddress discovery_;
     SymbolTable names_;
     protocol::HttpReader http_;
-    std::optional<protocol::EndpointListParser> lists_;  // of the body of this connection
+    std::optional<protocol::EndpointListParser> lists_;  // parser of the current connection's body
     std::unique_ptr<Channel> channel_;
-    std::int64_t version_ = 0;  // 0: the whole list is asked for
+    std::int64_t version_ = 0;  // 0 requests the complete list
     std::set<std::string> listed_;
 };
 
@@ -108,7 +109,7 @@
         : loop_(loop),
           watch_(loop, given.discovery, sizes),
           listener_(loop, Role::planner, std::move(given.listener),
-                    [this](Descriptor socket) { take(std::move(socket)); }) {}
+                    [this](Descriptor socket) { accept(std::move(socket)); }) {}
 
     void write(const Pace& pace);
     void add_to(HollowStatus& status) const;
@@ -116,25 +117,25 @@
  private:
     class Peer;
 
-    void take(Descriptor socket);
+    void accept(Descriptor socket);
     void drop(const Peer& peer);
     void joined(int proxy, Peer& peer);
-    void write_one(Peer& peer);
+    void write_message(Peer& peer);
     std::string message_of(std::size_t bytes, bool with_nonce);
 
     Loop& loop_;
     ListWatch watch_;
     std::map<const Peer*, std::unique_ptr<Peer>> peers_;
-    std::map<int, Peer*> streams_;  // by the proxy's number
-    Pace credit_;                   // what is yet to be written
-    int next_proxy_ = 0;            // whose turn it is
+    std::map<int, Peer*> streams_;  // by proxy number
+    Pace credit_;                   // not yet written
+    int next_proxy_ = 0;            // lowest number that is written to next
     std::string next_server_;
     int next_nonce_ = 0;
     std::int64_t messages_written_ = 0;
-    Listener listener_;  // last: it hands over to all of the above
+    Listener listener_;  // declared last: its callback uses the members above
 };
 
-// A connection that was taken: a proxy's stream, a collector, or one that has not said yet.
+// An accepted connection: a proxy's stream, a collector, or one that has not identified itself yet.
 class Planner::Peer : public ChannelOwner {
  public:
     Peer(Planner& planner, Descriptor socket)
@@ -144,19 +145,19 @@
     ~Peer() override { wire::drop(planner_.loop_, channel_); }
 
     int proxy() const { return proxy_; }
-    std::int64_t nonces_open() const { return static_cast<std::int64_t>(nonces_.size()); }
-    bool unread() const { return channel_->queued() > kMostUnread; }
+    std::int64_t unanswered_nonces() const { return static_cast<std::int64_t>(nonces_.size()); }
+    bool is_stalled() const { return channel_->queued() > kMaxUnreadBytes; }
     void write(std::string text) { channel_->send(std::move(text)); }
     void await(int nonce) { nonces_.insert(nonce); }
 
  private:
     void received(std::string_view bytes) override {
-        lines_.feed(bytes, [this](std::string_view line) { take(line); });
+        lines_.feed(bytes, [this](std::string_view line) { handle_line(line); });
     }
     void ended() override { planner_.drop(*this); }
 
-    // Reports count for nothing here; what names the peer or answers a nonce does.
-    void take(std::string_view line) {
+    // Handles probes, joins and acknowledgements. Reports are ignored.
+    void handle_line(std::string_view line) {
         int proxy = -1, nonce = -1;
         if (line == "probe") {
             return channel_->send(std::string(kAlive));
@@ -177,7 +178,7 @@
     std::set<int> nonces_;
 };
 
-void Planner::take(Descriptor socket) {
+void Planner::accept(Descriptor socket) {
     auto peer = std::make_unique<Peer>(*this, std::move(socket));
     peers_[peer.get()] = std::move(peer);
 }
@@ -190,47 +191,47 @@
     loop_.at(Clock::now(), Role::planner, [this, key = &peer] { peers_.erase(key); });
 }
 
-// A new stream of the same proxy may come before the old one is seen to end.
+// Replaces an older stream of the same proxy, whose end may not have been noticed yet.
 void Planner::joined(int proxy, Peer& peer) {
     streams_[proxy] = &peer;
 }
 
-// The proxies have their turns one after the other, so that each gets its part over time.
+// Writes to the proxies in rotation, so that each gets its share over time.
 void Planner::write(const Pace& pace) {
-    credit_.messages = std::min(credit_.messages + pace.messages, kMostCredit);
+    credit_.messages = std::min(credit_.messages + pace.messages, kMaxCreditMessages);
     credit_.bytes += pace.bytes;
     credit_.nonces += pace.nonces;
     while (credit_.messages >= 1 && !streams_.empty()) {
-        auto turn = streams_.lower_bound(next_proxy_);
-        if (turn == streams_.end()) {
-            turn = streams_.begin();
+        auto next = streams_.lower_bound(next_proxy_);
+        if (next == streams_.end()) {
+            next = streams_.begin();
         }
-        next_proxy_ = turn->first + 1;
-        write_one(*turn->second);
+        next_proxy_ = next->first + 1;
+        write_message(*next->second);
     }
 }
 
-void Planner::write_one(Peer& peer) {
+void Planner::write_message(Peer& peer) {
     const double mean = std::max(credit_.bytes / credit_.messages, 0.0);
     const bool with_nonce = credit_.nonces >= 1;
     const std::string message =
-        message_of(std::min(static_cast<std::size_t>(mean), kLongestMessage), with_nonce);
+        message_of(std::min(static_cast<std::size_t>(mean), kMaxMessageBytes), with_nonce);
     credit_.messages -= 1;
     credit_.bytes -= static_cast<double>(message.size());
-    if (peer.unread()) {
-        return;  // a real planner would reset it: the run sees that it gets less
+    if (peer.is_stalled()) {
+        return;  // a real planner would reset the stream; here the run notices the missing message
     }
     if (with_nonce) {
         credit_.nonces -= 1;
         peer.await(next_nonce_);
-        next_nonce_ = (next_nonce_ + 1) % kMostNonces;
+        next_nonce_ = (next_nonce_ + 1) % kNonceCount;
     }
     peer.write(message);
     ++messages_written_;
 }
 
-// Lines on servers of the list, of just that length where the words allow it: the last weight is
-// written out longer.
+// A push message with entries for servers of the list. It is padded to exactly `bytes`, by zeros
+// after the last weight, unless it is within one byte of that or longer.
 std::string Planner::message_of(std::size_t bytes, bool with_nonce) {
     const std::string tail = (with_nonce ? fmt::format(" nonce_out={}", next_nonce_) : "") + "\r\n";
     std::string message = "push endpoints=";
@@ -261,23 +262,23 @@
     status.streams += static_cast<std::int64_t>(streams_.size());
     status.messages_written += messages_written_;
     for (const auto& [proxy, peer] : streams_) {
-        status.nonces_open += peer->nonces_open();
+        status.unanswered_nonces += peer->unanswered_nonces();
     }
     status.listed = std::min(status.listed, static_cast<std::int64_t>(watch_.listed().size()));
     status.version = std::min(status.version, watch_.version());
 }
 
-// The end of the control line ends the process.
+// The control connection, on the side of the hollow planners. Its end makes the process exit.
 class Control : public ChannelOwner {
  public:
     Control(Loop& loop, Descriptor socket, std::vector<std::unique_ptr<Planner>>& planners)
         : planners_(planners), channel_(loop, Role::planner, std::move(socket), false, *this) {}
-    bool over() const { return over_; }
+    bool closed() const { return closed_; }
 
  private:
     void received(std::string_view bytes) override {
         lines_.feed(bytes, [this](std::string_view line) {
-            const auto pace = read_pace(line);
+            const auto pace = parse_pace(line);
             if (!pace) {
                 return;
             }
@@ -287,7 +288,7 @@
             channel_.send(line_of(status()));
         });
     }
-    void ended() override { over_ = true; }
+    void ended() override { closed_ = true; }
 
     HollowStatus status() const {
         HollowStatus status;
@@ -300,7 +301,7 @@
 
     std::vector<std::unique_ptr<Planner>>& planners_;
     LineSplitter lines_;
-    bool over_ = false;
+    bool closed_ = false;
     Channel channel_;
 };
 
@@ -310,7 +311,7 @@
     return fmt::format("pace {:.6f} {:.6f} {:.6f}\n", pace.messages, pace.bytes, pace.nonces);
 }
 
-std::optional<Pace> read_pace(std::string_view line) {
+std::optional<Pace> parse_pace(std::string_view line) {
     Pace pace;
     const std::string text(line);
     const int read =
@@ -320,10 +321,10 @@
 
 std::string line_of(const HollowStatus& status) {
     return fmt::format("status {} {} {} {} {}\n", status.streams, status.messages_written,
-                       status.nonces_open, status.listed, status.version);
+                       status.unanswered_nonces, status.listed, status.version);
 }
 
-std::optional<HollowStatus> read_status(std::string_view line) {
+std::optional<HollowStatus> parse_status(std::string_view line) {
     long streams = 0, written = 0, nonces = 0, listed = 0, version = 0;
     const std::string text(line);
     const int read = std::sscanf(text.c_str(), "status %ld %ld %ld %ld %ld", &streams, &written,
@@ -338,8 +339,9 @@
     for (HollowPlanner& planner : given) {
         planners.push_back(std::make_unique<Planner>(loop, std::move(planner), sizes));
     }
-    const Control ear(loop, std::move(control), planners);
-    loop.run([&ear] { return ear.over(); }, TimePoint::max() - std::chrono::hours(1));
+    const Control controller(loop, std::move(control), planners);
+    loop.run([&controller] { return controller.closed(); },
+             TimePoint::max() - std::chrono::hours(1));
     return 0;
 }
 
--- a/bench/scale/wire_loop.cpp
+++ b/bench/scale/wire_loop.cpp
@@ -11,10 +11,10 @@
 namespace micaroad::scale::wire {
 namespace {
 
-std::chrono::nanoseconds thread_time() {
-    timespec spent{};
-    clock_gettime(CLOCK_THREAD_CPUTIME_ID, &spent);
-    return std::chrono::seconds(spent.tv_sec) + std::chrono::nanoseconds(spent.tv_nsec);
+std::chrono::nanoseconds thread_processor_time() {
+    timespec used{};
+    clock_gettime(CLOCK_THREAD_CPUTIME_ID, &used);
+    return std::chrono::seconds(used.tv_sec) + std::chrono::nanoseconds(used.tv_nsec);
 }
 
 epoll_event event_of(std::uint32_t events, Loop::Token token) {
@@ -65,7 +65,7 @@
     epoll_ctl(epoll_, EPOLL_CTL_MOD, fd, &event);
 }
 
-void Loop::leave(Token token, int fd) {
+void Loop::unwatch(Token token, int fd) {
     if (handlers_.erase(token) > 0) {
         epoll_ctl(epoll_, EPOLL_CTL_DEL, fd, nullptr);
     }
@@ -79,7 +79,7 @@
     timers_.emplace(when, Timer{role, std::move(task)});
 }
 
-// A turn that comes late is not made up for: the next one is due a period after it.
+// A late call is not made up for: the next one is due one period after it.
 void Loop::every(Milliseconds period, Role role, std::function<void()> task) {
     at(Clock::now() + period, role, [this, period, role, task = std::move(task)] {
         task();
@@ -92,11 +92,11 @@
         if (done()) {
             return true;
         }
-        const auto left = std::chrono::ceil<Milliseconds>(limit - Clock::now());
-        if (left <= Milliseconds{0}) {
+        const auto remaining = std::chrono::ceil<Milliseconds>(limit - Clock::now());
+        if (remaining <= Milliseconds{0}) {
             return false;
         }
-        turn(left);
+        turn(remaining);
     }
 }
 
@@ -106,19 +106,19 @@
 
 template <class Task>
 void Loop::charge(Role role, const Task& task) {
-    const auto begun = thread_time();
+    const auto begun = thread_processor_time();
     task();
-    time_[static_cast<std::size_t>(role)] += thread_time() - begun;
+    processor_time_[static_cast<std::size_t>(role)] += thread_processor_time() - begun;
 }
 
-void Loop::turn(Milliseconds longest) {
-    longest = std::min(longest, kLongestWait);
+void Loop::turn(Milliseconds max_wait) {
+    max_wait = std::min(max_wait, kMaxWait);
     if (!timers_.empty()) {
         const auto due = std::chrono::ceil<Milliseconds>(timers_.begin()->first - Clock::now());
-        longest = std::clamp(due, Milliseconds{0}, longest);
+        max_wait = std::clamp(due, Milliseconds{0}, max_wait);
     }
-    epoll_event events[kMostEvents];
-    const int ready = epoll_wait(epoll_, events, kMostEvents, static_cast<int>(longest.count()));
+    epoll_event events[kMaxEvents];
+    const int ready = epoll_wait(epoll_, events, kMaxEvents, static_cast<int>(max_wait.count()));
     for (int i = 0; i < ready; ++i) {
         const auto found = handlers_.find(events[i].data.u64);
         if (found == handlers_.end()) {
--- a/bench/scale/wire_loop.hpp
+++ b/bench/scale/wire_loop.hpp
@@ -1,5 +1,5 @@
-// An event loop over epoll for the stand-ins of a scale run: sockets, timers, and the processor
-// time of each role.
+// An epoll event loop for the stand-ins of a scale run, with sockets and timers. It measures the
+// processor time of each role.
 #pragma once
 
 #include <array>
@@ -17,19 +17,19 @@
 using TimePoint = Clock::time_point;
 using Milliseconds = std::chrono::milliseconds;
 
-// For whom the loop works: its time is charged to that role.
+// The role of a handler or timer. Its processor time is charged to that role.
 enum class Role { discovery, collector, proxy, planner };
 inline constexpr std::size_t kRoles = 4;
 const char* name_of(Role role);
 
-// Whoever owns a file descriptor that the loop watches.
+// Handles the events of a file descriptor that the loop watches.
 class Handler {
  public:
     explicit Handler(Role role) : role_(role) {}
     virtual ~Handler() = default;
     Handler(const Handler&) = delete;
     Handler& operator=(const Handler&) = delete;
-    virtual void ready(std::uint32_t events) = 0;  // EPOLLIN and the like
+    virtual void ready(std::uint32_t events) = 0;  // EPOLLIN and other epoll flags
     Role role() const { return role_; }
 
  private:
@@ -47,19 +47,19 @@
 
     Token watch(int fd, std::uint32_t events, Handler& handler);  // throws std::system_error
     void change(Token token, int fd, std::uint32_t events);
-    void leave(Token token, int fd);
-    // Destroyed once no event of the present turn can reach it any more.
+    void unwatch(Token token, int fd);
+    // Destroys the handler at the end of the turn, when no pending event can reach it.
     void retire(std::unique_ptr<Handler> handler);
 
     void at(TimePoint when, Role role, std::function<void()> task);
     void every(Milliseconds period, Role role, std::function<void()> task);
 
-    // Until done() holds or the limit is reached. True if done() holds.
+    // Runs until done() holds or the limit is reached. Returns whether done() holds.
     bool run(const std::function<bool()>& done, TimePoint limit);
     void run_for(Milliseconds time);
 
     std::chrono::nanoseconds processor_time(Role role) const {
-        return time_[static_cast<std::size_t>(role)];
+        return processor_time_[static_cast<std::size_t>(role)];
     }
 
  private:
@@ -67,10 +67,10 @@
         Role role;
         std::function<void()> task;
     };
-    static constexpr Milliseconds kLongestWait{50};
-    static constexpr int kMostEvents = 256;
+    static constexpr Milliseconds kMaxWait{50};
+    static constexpr int kMaxEvents = 256;
 
-    void turn(Milliseconds longest);
+    void turn(Milliseconds max_wait);
     void fire_timers();
     template <class Task>
     void charge(Role role, const Task& task);
@@ -80,7 +80,7 @@
     std::unordered_map<Token, Handler*> handlers_;
     std::vector<std::unique_ptr<Handler>> retired_;
     std::multimap<TimePoint, Timer> timers_;
-    std::array<std::chrono::nanoseconds, kRoles> time_{};
+    std::array<std::chrono::nanoseconds, kRoles> processor_time_{};
 };
 
 }  // namespace micaroad::scale::wire
--- a/bench/scale/wire_main.cpp
+++ b/bench/scale/wire_main.cpp
@@ -1,4 +1,4 @@
-// The socket part of the scale run as a program of its own.
+// micaroad_scale_wire: runs the socket part of the scale run.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <exception>
@@ -10,20 +10,20 @@
 using micaroad::scale::WireOptions;
 
 struct Milliseconds {
-    std::int64_t start_limit, settle, window, event_limit, report_every;
+    std::int64_t start_limit, settle, window, event_limit, report_interval;
     std::vector<std::int64_t> reports;
     explicit Milliseconds(const WireOptions& options)
         : start_limit(options.start_limit.count()),
           settle(options.settle.count()),
           window(options.window.count()),
           event_limit(options.event_limit.count()),
-          report_every(options.base.report_every.count()) {}
-    void give_to(WireOptions& options) const {
+          report_interval(options.base.report_interval.count()) {}
+    void apply_to(WireOptions& options) const {
         options.start_limit = std::chrono::milliseconds(start_limit);
         options.settle = std::chrono::milliseconds(settle);
         options.window = std::chrono::milliseconds(window);
         options.event_limit = std::chrono::milliseconds(event_limit);
-        options.base.report_every = std::chrono::milliseconds(report_every);
+        options.base.report_interval = std::chrono::milliseconds(report_interval);
         for (const std::int64_t report : reports) {
             options.reports.push_back(std::chrono::milliseconds(report));
         }
@@ -49,7 +49,7 @@
              std::vector<std::string>& events) {
     app.add_option("--planner", options.planner_program, "path of the program micaroad")
         ->required();
-    app.add_option("--text", options.text, "git revision of what is measured")
+    app.add_option("--text", options.revision, "git revision of what is measured")
         ->capture_default_str();
     app.add_option("--output", options.output,
                    "path of the JSON object; standard output if left out");
@@ -78,7 +78,7 @@
     app.add_option("--window-ms", times.window, "that is measured")->capture_default_str();
     app.add_option("--event-limit-ms", times.event_limit, "until all is in force")
         ->capture_default_str();
-    app.add_option("--report-ms", times.report_every, "between two reports on a server")
+    app.add_option("--report-ms", times.report_interval, "between two reports on a server")
         ->capture_default_str();
 }
 
@@ -97,7 +97,7 @@
                    "--vary-report-ms", "--events");
     try {
         app.parse(argc, argv);
-        times.give_to(options);
+        times.apply_to(options);
         if (all) {
             vary_all(options);
         }
--- a/bench/scale/wire_options.cpp
+++ b/bench/scale/wire_options.cpp
@@ -13,29 +13,29 @@
                                                          {"discovery", WireEvent::discovery}};
 
 template <class Number>
-void expect_between(const char* name, Number value, Number least, Number most) {
-    if (value >= least && value <= most) {
+void expect_between(const char* name, Number value, Number minimum, Number maximum) {
+    if (value >= minimum && value <= maximum) {
         return;
     }
     throw BadWireOptions(
-        fmt::format("{} is {}: it has to be from {} to {}", name, value, least, most));
+        fmt::format("{} is {}: it has to be from {} to {}", name, value, minimum, maximum));
 }
 
-void expect_time(const char* name, std::chrono::milliseconds value, int least, int most) {
-    expect_between(name, value.count(), std::int64_t{least}, std::int64_t{most});
+void expect_time(const char* name, std::chrono::milliseconds value, int minimum, int maximum) {
+    expect_between(name, value.count(), std::int64_t{minimum}, std::int64_t{maximum});
 }
 
 void check_world(const WireWorld& world) {
     expect_between("--real", world.real_planners, 1, 64);
-    expect_between("--hollow", world.hollow_planners, 0, kMostPlanners);
-    expect_between("planners", world.planners(), 1, kMostPlanners);
+    expect_between("--hollow", world.hollow_planners, 0, kMaxPlanners);
+    expect_between("planners", world.planners(), 1, kMaxPlanners);
     expect_between("--proxies", world.proxies, 1, 4'096);
-    expect_between("proxies of all planners", world.proxies * world.planners(), 1, kMostStreams);
+    expect_between("proxies of all planners", world.proxies * world.planners(), 1, kMaxStreams);
     expect_between("--zones", world.zones, 1, 100);
-    expect_between("--servers", world.servers, 2 * world.zones, kMostServers);
-    expect_between("--methods", world.methods, 1, kMostMethods);
+    expect_between("--servers", world.servers, 2 * world.zones, kMaxServers);
+    expect_between("--methods", world.methods, 1, kMaxMethods);
     expect_between("--changes", world.changes_per_second, 0.0, 100.0);
-    expect_time("--report-ms", world.report_every, 100, 60'000);
+    expect_time("--report-ms", world.report_interval, 100, 60'000);
     expect_between("--lines-per-proxy", world.lines_per_proxy, 0.1, 100'000.0);
 }
 
@@ -88,8 +88,8 @@
     for (const double changes : options.changes) {
         add("changes").changes_per_second = changes;
     }
-    for (const auto report_every : options.reports) {
-        add("reports").report_every = report_every;
+    for (const auto report_interval : options.reports) {
+        add("reports").report_interval = report_interval;
     }
     return sizes;
 }
@@ -102,7 +102,7 @@
     if (options.seed == 0) {
         throw BadWireOptions("--seed is 0: it has to be at least 1");
     }
-    expect_between("sizes", static_cast<int>(sizes_of(options).size()), 1, kMostSizes);
+    expect_between("sizes", static_cast<int>(sizes_of(options).size()), 1, kMaxSizes);
     for (const WireSize& size : sizes_of(options)) {
         check_world(size.world);
     }
@@ -110,9 +110,9 @@
         expect_between("--burst", options.burst, 1, options.base.servers / 4);
     }
     expect_between("--bound", options.hollow_bound, 0.0, 1.0);
-    expect_between("--hollow-per-process", options.hollow_per_process, 1, kMostPlanners);
-    const int hollow_processes = kMostPlanners / options.hollow_per_process + 1;
-    expect_between("processes", options.base.real_planners + hollow_processes, 1, kMostProcesses);
+    expect_between("--hollow-per-process", options.hollow_per_process, 1, kMaxPlanners);
+    const int hollow_processes = kMaxPlanners / options.hollow_per_process + 1;
+    expect_between("processes", options.base.real_planners + hollow_processes, 1, kMaxProcesses);
     expect_time("--start-limit-ms", options.start_limit, 1'000, 600'000);
     expect_time("--settle-ms", options.settle, 0, 600'000);
     expect_time("--window-ms", options.window, 1'000, 600'000);
--- a/bench/scale/wire_point.cpp
+++ b/bench/scale/wire_point.cpp
@@ -11,11 +11,11 @@
 namespace micaroad::scale::wire {
 namespace {
 
-constexpr Milliseconds kDiscoveryDown{3'000};
+constexpr Milliseconds kDiscoveryDowntime{3'000};
 constexpr int kChangesWhileDown = 20;
-constexpr Milliseconds kInFlight{3'000};  // until what was written has been read
+constexpr Milliseconds kInFlightTimeout{3'000};  // for written messages to be read
 
-// All that is counted and only grows.
+// All counters at one time. They only grow.
 struct Snapshot {
     TimePoint when;
     std::vector<TrafficByRole> traffic;
@@ -57,12 +57,12 @@
         const auto bytes = static_cast<double>(after[i].proportional_bytes);
         figures.share_mean += share / static_cast<double>(after.size());
         figures.bytes_mean += bytes / static_cast<double>(after.size());
-        figures.share_most = std::max(figures.share_most, share);
-        figures.bytes_most = std::max(figures.bytes_most, bytes);
+        figures.share_max = std::max(figures.share_max, share);
+        figures.bytes_max = std::max(figures.bytes_max, bytes);
     }
 }
 
-// Planners numbered from `first` on.
+// Consecutive planners, starting with the number `first`.
 struct Group {
     std::size_t first = 0;
     int planners = 0;
@@ -93,30 +93,31 @@
     return {std::move(figure), real, hollow, difference, difference <= bound};
 }
 
-void compare_rates(std::vector<Comparison>& comparisons, const std::string& who,
+void compare_rates(std::vector<Comparison>& comparisons, const std::string& group_name,
                    const TrafficRates& real, const TrafficRates& hollow, double bound) {
-    comparisons.push_back(compare(who + " bytes in", real.bytes_in, hollow.bytes_in, bound));
-    comparisons.push_back(compare(who + " bytes out", real.bytes_out, hollow.bytes_out, bound));
+    comparisons.push_back(compare(group_name + " bytes in", real.bytes_in, hollow.bytes_in, bound));
     comparisons.push_back(
-        compare(who + " messages in", real.messages_in, hollow.messages_in, bound));
+        compare(group_name + " bytes out", real.bytes_out, hollow.bytes_out, bound));
     comparisons.push_back(
-        compare(who + " messages out", real.messages_out, hollow.messages_out, bound));
+        compare(group_name + " messages in", real.messages_in, hollow.messages_in, bound));
+    comparisons.push_back(
+        compare(group_name + " messages out", real.messages_out, hollow.messages_out, bound));
 }
 
-class Player {
+class PointRun {
  public:
-    Player(const WireOptions& options, const std::string& varied, const WireWorld& sizes)
+    PointRun(const WireOptions& options, const std::string& varied, const WireWorld& sizes)
         : options_(options), deployment_(options, sizes) {
         point_.varied = varied;
         point_.world = sizes;
         point_.start_seconds = deployment_.start_seconds();
     }
 
-    PointResult play(const std::vector<WireEvent>& events) {
-        play_window();
+    PointResult run(const std::vector<WireEvent>& events) {
+        measure_window();
         check_counts("after the window");
         for (const WireEvent event : events) {
-            point_.events.push_back(play_event(event));
+            point_.events.push_back(run_event(event));
         }
         if (!events.empty()) {
             check_counts("after the events");
@@ -133,19 +134,19 @@
     }
 
  private:
-    void play_window() {
+    void measure_window() {
         deployment_.pause_changes(false);
         deployment_.run_for(options_.settle);
         deployment_.in_force().take();
-        const std::int64_t told = deployment_.told();
+        const std::int64_t announced = deployment_.announced();
         const Edge before = next_edge();
         deployment_.run_for(options_.window);
         const Edge after = next_edge();
         deployment_.pause_changes(true);
-        note_figures(before, after);
-        point_.changes = await_in_force(told);
+        record_figures(before, after);
+        point_.changes = wait_until_in_force(announced);
         add_check("each change in force at each proxy", point_.changes.not_in_force == 0,
-                  fmt::format("{} told, {} in force, {} not", point_.changes.told,
+                  fmt::format("{} told, {} in force, {} not", point_.changes.announced,
                               point_.changes.in_force.samples, point_.changes.not_in_force));
         if (point_.world.changes_per_second > 0) {
             add_check("some change was told and came in force", point_.changes.in_force.samples > 0,
@@ -153,8 +154,8 @@
         }
     }
 
-    // A hollow planner writes what real ones wrote in the last pace: for its proxies the window
-    // begins and ends that much later.
+    // One end of the measured window. A hollow planner repeats what real ones wrote in the previous
+    // pace interval, so the window of its proxies begins and ends later.
     struct Edge {
         Snapshot real, hollow;
     };
@@ -162,14 +163,14 @@
         Edge edge;
         deployment_.run_to_next_pace();
         edge.real = snapshot_of(deployment_);
-        deployment_.run_for(Deployment::kPaceEvery / 2);
+        deployment_.run_for(Deployment::kPaceInterval / 2);
         edge.hollow = snapshot_of(deployment_);
         return edge;
     }
 
     Group real_planners() const { return {0, point_.world.real_planners}; }
 
-    void note_figures(const Edge& before, const Edge& after) {
+    void record_figures(const Edge& before, const Edge& after) {
         const WireWorld& sizes = point_.world;
         point_.window_seconds = seconds_between(before.real, after.real);
         add_usage(point_.real, before.real.real, after.real.real, point_.window_seconds);
@@ -180,27 +181,28 @@
         add_traffic(point_.hollow, before.real, after.real, hollow, Role::discovery);
         add_traffic(point_.hollow, before.real, after.real, hollow, Role::collector);
         add_traffic(point_.hollow, before.hollow, after.hollow, hollow, Role::proxy);
-        note_stand_ins(before.real, after.real);
+        record_stand_ins(before.real, after.real);
         for (int planner = 0; planner < sizes.real_planners; ++planner) {
-            point_.mean_table += deployment_.proxies().mean_table(planner) / sizes.real_planners;
+            point_.mean_table_size +=
+                deployment_.proxies().mean_table_size(planner) / sizes.real_planners;
         }
         if (sizes.hollow_planners > 0) {
             compare_hollow();
         }
     }
 
-    void note_stand_ins(const Snapshot& before, const Snapshot& after) {
+    void record_stand_ins(const Snapshot& before, const Snapshot& after) {
         const int planners = point_.world.planners();
         const std::pair<Role, int> stand_ins[] = {{Role::discovery, planners},
                                                   {Role::collector, planners * point_.world.zones},
                                                   {Role::proxy, planners * point_.world.proxies}};
         for (const auto& [role, number] : stand_ins) {
             const auto at = static_cast<std::size_t>(role);
-            const std::chrono::duration<double> spent = after.roles[at] - before.roles[at];
-            point_.stand_ins.push_back({role, number, spent.count() / point_.window_seconds});
+            const std::chrono::duration<double> used = after.roles[at] - before.roles[at];
+            point_.stand_ins.push_back({role, number, used.count() / point_.window_seconds});
         }
-        const double spent = after.stand_ins.processor_seconds - before.stand_ins.processor_seconds;
-        point_.stand_ins_share = spent / point_.window_seconds;
+        const double used = after.stand_ins.processor_seconds - before.stand_ins.processor_seconds;
+        point_.stand_ins_share = used / point_.window_seconds;
         point_.stand_ins_bytes = after.stand_ins.proportional_bytes;
     }
 
@@ -210,39 +212,39 @@
         compare_rates(point_.comparisons, "all", point_.real.all, point_.hollow.all, bound);
         compare_rates(point_.comparisons, "proxies", point_.real.by_role[proxy],
                       point_.hollow.by_role[proxy], bound);
-        double most = 0;
+        double largest = 0;
         for (const Comparison& comparison : point_.comparisons) {
-            most = std::max(most, comparison.difference);
+            largest = std::max(largest, comparison.difference);
         }
-        add_check("a hollow planner's traffic is a real one's", most <= bound,
-                  fmt::format("largest difference {:.3f}, bound {:.3f}", most, bound));
+        add_check("a hollow planner's traffic is a real one's", largest <= bound,
+                  fmt::format("largest difference {:.3f}, bound {:.3f}", largest, bound));
     }
 
-    // Since `told` was counted.
-    ChangeFigures await_in_force(std::int64_t told) {
+    // Waits until all changes are in force. Counts those announced since the count was `announced`.
+    ChangeFigures wait_until_in_force(std::int64_t announced) {
         deployment_.run([this] { return deployment_.in_force().pending() == 0; },
                         options_.event_limit);
         ChangeFigures figures;
-        figures.told = deployment_.told() - told;
+        figures.announced = deployment_.announced() - announced;
         figures.not_in_force = deployment_.in_force().pending();
         const InForce::Result result = deployment_.in_force().take();
         figures.in_force = delays_of(result.milliseconds);
-        figures.not_holding = result.not_holding;
+        figures.not_in_use = result.not_in_use;
         figures.overtaken = result.overtaken;
         return figures;
     }
 
-    EventFigures play_event(WireEvent event) {
+    EventFigures run_event(WireEvent event) {
         EventFigures figures;
         figures.event = event;
-        const std::int64_t told = deployment_.told();
+        const std::int64_t announced = deployment_.announced();
         const Snapshot before = snapshot_of(deployment_);
         const std::vector<std::size_t> lost = begin(event);
         figures.servers = static_cast<std::int64_t>(lost.size());
         if (event == WireEvent::dial) {
-            await_first_messages(figures);
+            wait_for_first_messages(figures);
         }
-        figures.changes = await_in_force(told);
+        figures.changes = wait_until_in_force(announced);
         const Snapshot after = snapshot_of(deployment_);
         figures.seconds = seconds_between(before, after);
         PlannerFigures real;
@@ -253,7 +255,7 @@
         figures.passed = figures.changes.not_in_force == 0 && figures.first_messages_missing == 0;
         const bool back = event == WireEvent::rack || event == WireEvent::zone;
         if (back) {
-            bring_back(lost);
+            restore(lost);
         }
         return figures;
     }
@@ -262,13 +264,13 @@
         std::vector<std::size_t> lost;
         switch (event) {
             case WireEvent::burst:
-                lost = deployment_.world().replace_some(options_.burst);
+                lost = deployment_.world().replace(options_.burst);
                 break;
             case WireEvent::rack:
-                lost = deployment_.world().lose_rack();
+                lost = deployment_.world().remove_rack();
                 break;
             case WireEvent::zone:
-                lost = deployment_.world().lose_zone();
+                lost = deployment_.world().remove_zone();
                 break;
             case WireEvent::dial:
                 deployment_.proxies().redial(0);
@@ -280,12 +282,12 @@
         return lost;
     }
 
-    // Servers drain while discovery is down: planners are told when they have found it again.
+    // Servers drain while discovery is down. Planners learn of it when they have reconnected.
     std::vector<std::size_t> restart_discovery() {
-        deployment_.discovery().shut();
+        deployment_.discovery().stop();
         const int changes = std::min(kChangesWhileDown, point_.world.servers / 4);
-        const std::vector<std::size_t> lost = deployment_.world().replace_some(changes);
-        deployment_.run_for(kDiscoveryDown);
+        const std::vector<std::size_t> lost = deployment_.world().replace(changes);
+        deployment_.run_for(kDiscoveryDowntime);
         deployment_.discovery().open();
         const auto all_watch = [this] {
             return deployment_.discovery().watches() ==
@@ -295,17 +297,17 @@
         return lost;
     }
 
-    void await_first_messages(EventFigures& figures) {
-        const auto all_ordered = [this] {
-            return deployment_.proxies().ordered(0) == point_.world.proxies;
+    void wait_for_first_messages(EventFigures& figures) {
+        const auto all_have_first_message = [this] {
+            return deployment_.proxies().with_first_message(0) == point_.world.proxies;
         };
-        deployment_.run(all_ordered, options_.event_limit);
+        deployment_.run(all_have_first_message, options_.event_limit);
         figures.first_message = delays_of(deployment_.proxies().first_message_times(0));
         figures.first_messages_missing = point_.world.proxies - figures.first_message->samples;
     }
 
-    void bring_back(const std::vector<std::size_t>& servers) {
-        deployment_.world().bring_back(servers);
+    void restore(const std::vector<std::size_t>& servers) {
+        deployment_.world().restore(servers);
         deployment_.publish();
         deployment_.run_for(options_.settle);
     }
@@ -324,23 +326,23 @@
         }
     }
 
-    // What was written to hollow planners, and by them, may be on its way: it is waited for.
+    // Waits for messages in flight to and from the hollow planners before it compares the counts.
     void check_hollow(const std::string& when) {
-        deployment_.run([this] { return hollow_agrees(); }, kInFlight);
+        deployment_.run([this] { return hollow_status_matches(); }, kInFlightTimeout);
         const HollowStatus status = deployment_.hollow_status();
         add_check(
-            "hollow planners agree with the stand-ins, " + when, hollow_agrees(),
+            "hollow planners agree with the stand-ins, " + when, hollow_status_matches(),
             fmt::format(
                 "{} streams, {} messages written and {} read, {} servers of {}, version {} of {}",
                 status.streams, status.messages_written, messages_of_hollow(), status.listed,
                 listed(), status.version, deployment_.world().version()));
     }
 
-    bool hollow_agrees() {
+    bool hollow_status_matches() {
         const HollowStatus status = deployment_.hollow_status();
         return status.streams ==
                    std::int64_t{point_.world.hollow_planners} * point_.world.proxies &&
-               status.messages_written == messages_of_hollow() && status.nonces_open == 0 &&
+               status.messages_written == messages_of_hollow() && status.unanswered_nonces == 0 &&
                status.listed == listed() && status.version == deployment_.world().version();
     }
 
@@ -371,8 +373,8 @@
         }
     }
 
-    void add_check(std::string name, bool passed, std::string seen) {
-        point_.checks.push_back({std::move(name), passed, std::move(seen)});
+    void add_check(std::string name, bool passed, std::string detail) {
+        point_.checks.push_back({std::move(name), passed, std::move(detail)});
     }
 
     const WireOptions& options_;
@@ -382,9 +384,9 @@
 
 }  // namespace
 
-PointResult play_point(const WireOptions& options, const std::string& varied,
-                       const WireWorld& sizes, const std::vector<WireEvent>& events) {
-    return Player(options, varied, sizes).play(events);
+PointResult run_point(const WireOptions& options, const std::string& varied, const WireWorld& sizes,
+                      const std::vector<WireEvent>& events) {
+    return PointRun(options, varied, sizes).run(events);
 }
 
 }  // namespace micaroad::scale::wire
--- a/bench/scale/wire_process.cpp
+++ b/bench/scale/wire_process.cpp
@@ -20,7 +20,7 @@
 namespace micaroad::scale::wire {
 namespace {
 
-constexpr int kCantRun = 127;
+constexpr int kExitCantRun = 127;
 constexpr std::int64_t kKibibyte = 1'024;
 
 pid_t fork_or_throw() {
@@ -32,10 +32,10 @@
     if (id > 0) {
         return id;
     }
-    // Whatever becomes of the run, it leaves no process behind.
+    // The kernel kills the child when the run ends, even if the run crashes.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (getppid() != parent) {
-        _exit(kCantRun);
+        _exit(kExitCantRun);
     }
     return 0;
 }
@@ -52,7 +52,7 @@
     }
 }
 
-// The figure in KiB after `name` in a file of lines "name: figure kB".
+// The value in KiB of `name` in a file with lines "name: value kB"; 0 if there is no such line.
 std::int64_t kibibytes_in(const std::string& path, const std::string& name) {
     std::ifstream file(path);
     for (std::string line; std::getline(file, line);) {
@@ -72,9 +72,9 @@
     if (id > 0) {
         return ChildProcess(id);
     }
-    const int to = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
-    if (to < 0 || dup2(to, STDERR_FILENO) < 0) {
-        _exit(kCantRun);
+    const int log_fd = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
+    if (log_fd < 0 || dup2(log_fd, STDERR_FILENO) < 0) {
+        _exit(kExitCantRun);
     }
     close_all_but({});
     setenv("LB_CONFIG", start_file.c_str(), 1);
@@ -82,7 +82,7 @@
         unsetenv(variable);
     }
     execl(program.c_str(), program.c_str(), nullptr);
-    _exit(kCantRun);
+    _exit(kExitCantRun);
 }
 
 ChildProcess ChildProcess::fork_with(const std::vector<int>& kept,
@@ -92,7 +92,7 @@
         return ChildProcess(id);
     }
     close_all_but(kept);
-    int code = kCantRun;
+    int code = kExitCantRun;
     try {
         code = work();
     } catch (const std::exception& failed) {
@@ -119,9 +119,9 @@
         return;
     }
     kill(id_, SIGTERM);
-    const auto limit = std::chrono::steady_clock::now() + kEndLimit;
+    const auto limit = std::chrono::steady_clock::now() + kTerminateTimeout;
     while (running() && std::chrono::steady_clock::now() < limit) {
-        std::this_thread::sleep_for(kLookEvery);
+        std::this_thread::sleep_for(kPollInterval);
     }
     if (id_ == 0) {
         return;
@@ -130,16 +130,17 @@
     waitpid(id_, nullptr, 0);
 }
 
-// The clock of a process counts nanoseconds; its /proc/PID/stat would count ticks of 10 ms.
+// Reads the CPU clock of the process, which has a resolution of nanoseconds; /proc/PID/stat counts
+// ticks of 10 ms.
 std::optional<ProcessUsage> usage_of(pid_t id) {
     clockid_t clock{};
-    timespec spent{};
-    if (clock_getcpuclockid(id, &clock) != 0 || clock_gettime(clock, &spent) != 0) {
+    timespec used{};
+    if (clock_getcpuclockid(id, &clock) != 0 || clock_gettime(clock, &used) != 0) {
         return std::nullopt;
     }
     ProcessUsage usage;
     usage.processor_seconds =
-        static_cast<double>(spent.tv_sec) + static_cast<double>(spent.tv_nsec) / 1e9;
+        static_cast<double>(used.tv_sec) + static_cast<double>(used.tv_nsec) / 1e9;
     usage.proportional_bytes =
         kibibytes_in(fmt::format("/proc/{}/smaps_rollup", id), "Pss") * kKibibyte;
     return usage;
--- a/bench/scale/wire_process.hpp
+++ b/bench/scale/wire_process.hpp
@@ -1,4 +1,4 @@
-// Processes that the run starts and ends by their id, and what the kernel tells of them.
+// Starts and stops child processes, and reads resource use and limits from the kernel.
 #pragma once
 
 #include <sys/types.h>
@@ -13,16 +13,16 @@
 
 namespace micaroad::scale::wire {
 
-// Ended with the object: SIGTERM, then SIGKILL.
+// A child process. The destructor ends it by SIGTERM, and by SIGKILL if it does not exit in time.
 class ChildProcess {
  public:
-    // Runs `program` with LB_CONFIG naming `start_file` and its standard error in `log`. Throws
-    // std::system_error.
+    // Runs `program` with LB_CONFIG set to `start_file` and its standard error appended to `log`.
+    // Throws std::system_error.
     static ChildProcess run_planner(const std::string& program,
                                     const std::filesystem::path& start_file,
                                     const std::filesystem::path& log);
-    // Runs `work` in a copy of this process, which keeps of its files only the standard ones and
-    // `kept`.
+    // Runs `work` in a fork of this process. It keeps only the standard file descriptors and those
+    // in `kept` open.
     static ChildProcess fork_with(const std::vector<int>& kept, const std::function<int()>& work);
 
     ChildProcess(ChildProcess&& other) noexcept;
@@ -30,19 +30,19 @@
     ~ChildProcess();
 
     pid_t id() const { return id_; }
-    bool running();  // false once it has ended by itself
+    bool running();  // false once it has exited
 
  private:
-    static constexpr std::chrono::milliseconds kEndLimit{2'000}, kLookEvery{10};
+    static constexpr std::chrono::milliseconds kTerminateTimeout{2'000}, kPollInterval{10};
     explicit ChildProcess(pid_t id) : id_(id) {}
-    pid_t id_;  // 0: none
+    pid_t id_;  // 0: no process
 };
 
 struct ProcessUsage {
     double processor_seconds = 0;         // user and system
     std::int64_t proportional_bytes = 0;  // Pss
 };
-std::optional<ProcessUsage> usage_of(pid_t id);  // absent: it has ended
+std::optional<ProcessUsage> usage_of(pid_t id);  // absent if it has exited
 
 struct MachineMemory {
     std::int64_t total_bytes = 0, available_bytes = 0;
@@ -50,7 +50,7 @@
 MachineMemory machine_memory();
 std::string processor_name();
 int processors();
-// Raises the limit on open files as far as it goes. Returns what it is.
+// Raises the limit on open files to the hard limit. Returns the new limit.
 std::int64_t raise_file_limit();
 
 }  // namespace micaroad::scale::wire
--- a/bench/scale/wire_proxies.cpp
+++ b/bench/scale/wire_proxies.cpp
@@ -8,23 +8,23 @@
 namespace micaroad::scale::wire {
 namespace {
 
-constexpr Milliseconds kFirstRedial{100}, kLongestRedial{1'000};
-constexpr double kAnswerLagMs = 1.0;
-constexpr std::string_view kNonceWord = " nonce_out=";
-constexpr std::string_view kContinuedWord = " continued=1";
+constexpr Milliseconds kMinRedialDelay{100}, kMaxRedialDelay{1'000};
+constexpr double kAcknowledgementLagMs = 1.0;
+constexpr std::string_view kNonceField = " nonce_out=";
+constexpr std::string_view kContinuedField = " continued=1";
 
-// The part of a line that is read for a proxy whose table nobody follows.
-std::optional<PushPart> read_frame(std::string_view line) {
+// Parses only the fields needed for a proxy whose table is not tracked.
+std::optional<PushPart> parse_frame(std::string_view line) {
     if (!line.starts_with("push")) {
         return std::nullopt;
     }
     PushPart part;
-    part.continued = line.find(kContinuedWord) != std::string_view::npos;
-    const std::size_t nonce = line.find(kNonceWord);
+    part.continued = line.find(kContinuedField) != std::string_view::npos;
+    const std::size_t nonce = line.find(kNonceField);
     if (nonce == std::string_view::npos) {
         return part;
     }
-    const char* const begin = line.data() + nonce + kNonceWord.size();
+    const char* const begin = line.data() + nonce + kNonceField.size();
     int value = 0;
     if (std::from_chars(begin, line.data() + line.size(), value).ec != std::errc{}) {
         return std::nullopt;
@@ -37,14 +37,14 @@
 
 class ProxyFleet::Proxy : public ChannelOwner {
  public:
-    Proxy(ProxyFleet& fleet, const ProxyIdentity& identity, bool followed)
-        : fleet_(fleet), identity_(identity), followed_(followed) {}
+    Proxy(ProxyFleet& fleet, const ProxyIdentity& identity, bool tracked)
+        : fleet_(fleet), identity_(identity), tracked_(tracked) {}
 
     const ProxyIdentity& identity() const { return identity_; }
     bool joined() const { return channel_ != nullptr && channel_->open(); }
-    bool ordered() const { return joined() && first_message_ > dialled_; }
+    bool has_first_message() const { return joined() && first_message_time_ > dial_time_; }
     double first_message_ms() const {
-        return std::chrono::duration<double, std::milli>(first_message_ - dialled_).count();
+        return std::chrono::duration<double, std::milli>(first_message_time_ - dial_time_).count();
     }
     const ProxyTable& table() const { return table_; }
 
@@ -52,7 +52,7 @@
         drop(fleet_.loop_, channel_);
         parts_.clear();
         lines_.clear();
-        dialled_ = Clock::now();
+        dial_time_ = Clock::now();
         Descriptor socket =
             begin_connect(fleet_.planners_[static_cast<std::size_t>(identity_.planner)]);
         if (!socket.open()) {
@@ -66,21 +66,21 @@
         if (!joined()) {
             return;
         }
-        say(fleet_.world_.demand(identity_), fleet_.world_.sizes().methods);
+        send(fleet_.world_.demand(identity_), fleet_.world_.sizes().methods);
     }
 
  private:
     void connected() override {
-        wait_ = kFirstRedial;
-        say(fmt::format("hello sidecar={} az={} share={:.1f} standing={}\r\n", identity_.number,
-                        World::zone_name(identity_.zone), identity_.requests_per_second,
-                        ever_ordered_ ? 0 : 1),
-            1);
+        redial_delay_ = kMinRedialDelay;
+        send(fmt::format("hello sidecar={} az={} share={:.1f} standing={}\r\n", identity_.number,
+                         World::zone_name(identity_.zone), identity_.requests_per_second,
+                         ever_had_message_ ? 0 : 1),
+             1);
     }
 
     void received(std::string_view bytes) override {
         traffic().bytes_out += static_cast<std::int64_t>(bytes.size());
-        lines_.feed(bytes, [this](std::string_view line) { take(line); });
+        lines_.feed(bytes, [this](std::string_view line) { handle_line(line); });
     }
 
     void ended() override {
@@ -88,58 +88,58 @@
         dial_later();
     }
 
-    void take(std::string_view line) {
+    void handle_line(std::string_view line) {
         if (!joined()) {
-            return;  // the stream was reset by a line before
+            return;  // an earlier line reset the stream
         }
-        auto part = followed_ ? read_push(line, fleet_.world_) : read_frame(line);
+        auto part = tracked_ ? parse_push(line, fleet_.world_) : parse_frame(line);
         if (!part) {
             ++fleet_.unreadable_;
             channel_->close();
             return dial_later();
         }
-        const bool whole = !part->continued;
+        const bool complete = !part->continued;
         parts_.push_back(std::move(*part));
-        if (whole) {
+        if (complete) {
             apply();
         }
     }
 
     void apply() {
         const TimePoint now = Clock::now();
-        if (first_message_ <= dialled_) {
-            first_message_ = now;
+        if (first_message_time_ <= dial_time_) {
+            first_message_time_ = now;
         }
-        ever_ordered_ = true;
+        ever_had_message_ = true;
         ++traffic().messages_out;
         for (const PushPart& part : parts_) {
-            if (followed_) {
+            if (tracked_) {
                 table_.apply(part);
             }
             if (part.nonce) {
-                answer(*part.nonce);
+                acknowledge(*part.nonce);
             }
         }
         parts_.clear();
-        if (followed_) {
-            note_in_force(now);
+        if (tracked_) {
+            record_in_force(now);
         }
     }
 
-    void answer(int nonce) {
+    void acknowledge(int nonce) {
         ++traffic().nonces_out;
-        say(fmt::format("ack sidecar={} version={} lag_ms={:.1f}\r\n", identity_.number, nonce,
-                        kAnswerLagMs),
-            1);
+        send(fmt::format("ack sidecar={} version={} lag_ms={:.1f}\r\n", identity_.number, nonce,
+                         kAcknowledgementLagMs),
+             1);
     }
 
-    void note_in_force(TimePoint now) {
+    void record_in_force(TimePoint now) {
         const auto* awaited = fleet_.in_force_.awaited(identity_.number);
         if (awaited == nullptr) {
             return;
         }
         std::vector<std::size_t> closed;
-        for (const auto& [server, told] : *awaited) {
+        for (const auto& [server, announced] : *awaited) {
             if (!table_.in_use(server)) {
                 closed.push_back(server);
             }
@@ -149,19 +149,19 @@
         }
     }
 
-    void say(std::string text, int messages) {
+    void send(std::string text, int messages) {
         traffic().bytes_in += static_cast<std::int64_t>(text.size());
         traffic().messages_in += messages;
         channel_->send(std::move(text));
     }
 
     void dial_later() {
-        fleet_.loop_.at(Clock::now() + wait_, Role::proxy, [this] {
+        fleet_.loop_.at(Clock::now() + redial_delay_, Role::proxy, [this] {
             if (!joined()) {
                 dial();
             }
         });
-        wait_ = std::min(2 * wait_, kLongestRedial);
+        redial_delay_ = std::min(2 * redial_delay_, kMaxRedialDelay);
     }
 
     Traffic& traffic() {
@@ -170,14 +170,14 @@
 
     ProxyFleet& fleet_;
     const ProxyIdentity& identity_;
-    const bool followed_;
+    const bool tracked_;
     std::unique_ptr<Channel> channel_;
     LineSplitter lines_;
     std::vector<PushPart> parts_;
     ProxyTable table_;
-    TimePoint dialled_{}, first_message_{};
-    bool ever_ordered_ = false;
-    Milliseconds wait_ = kFirstRedial;
+    TimePoint dial_time_{}, first_message_time_{};
+    bool ever_had_message_ = false;
+    Milliseconds redial_delay_ = kMinRedialDelay;
 };
 
 ProxyFleet::ProxyFleet(Loop& loop, const World& world, const std::vector<LoopbackAddress>& planners,
@@ -187,19 +187,19 @@
         proxies_.push_back(
             std::make_unique<Proxy>(*this, identity, identity.planner < real_planners));
     }
-    loop_.every(world.sizes().report_every / kSlots, Role::proxy, [this] {
+    loop_.every(world.sizes().report_interval / kReportSlots, Role::proxy, [this] {
         report(next_slot_);
-        next_slot_ = (next_slot_ + 1) % kSlots;
+        next_slot_ = (next_slot_ + 1) % kReportSlots;
     });
 }
 
 ProxyFleet::~ProxyFleet() = default;
 
 template <class Task>
-void ProxyFleet::each_of(int planner, const Task& task) const {
-    const auto each = static_cast<std::size_t>(world_.sizes().proxies);
-    const std::size_t first = each * static_cast<std::size_t>(planner);
-    for (std::size_t i = first; i < first + each; ++i) {
+void ProxyFleet::for_each_proxy(int planner, const Task& task) const {
+    const auto per_planner = static_cast<std::size_t>(world_.sizes().proxies);
+    const std::size_t first = per_planner * static_cast<std::size_t>(planner);
+    for (std::size_t i = first; i < first + per_planner; ++i) {
         task(*proxies_[i]);
     }
 }
@@ -211,27 +211,27 @@
 }
 
 void ProxyFleet::redial(int planner) {
-    each_of(planner, [](Proxy& proxy) { proxy.dial(); });
+    for_each_proxy(planner, [](Proxy& proxy) { proxy.dial(); });
 }
 
 void ProxyFleet::report(int slot) {
-    for (std::size_t i = static_cast<std::size_t>(slot); i < proxies_.size(); i += kSlots) {
+    for (std::size_t i = static_cast<std::size_t>(slot); i < proxies_.size(); i += kReportSlots) {
         proxies_[i]->report();
     }
 }
 
-void ProxyFleet::told(int planner, const std::vector<std::size_t>& ended, TimePoint now) {
-    each_of(planner, [&](const Proxy& proxy) {
+void ProxyFleet::announced(int planner, const std::vector<std::size_t>& ended, TimePoint now) {
+    for_each_proxy(planner, [&](const Proxy& proxy) {
         for (const std::size_t server : ended) {
-            in_force_.told(proxy.identity().number, server, now, proxy.table().in_use(server));
+            in_force_.announced(proxy.identity().number, server, now, proxy.table().in_use(server));
         }
     });
 }
 
 std::vector<double> ProxyFleet::first_message_times(int planner) const {
     std::vector<double> times;
-    each_of(planner, [&times](const Proxy& proxy) {
-        if (proxy.ordered()) {
+    for_each_proxy(planner, [&times](const Proxy& proxy) {
+        if (proxy.has_first_message()) {
             times.push_back(proxy.first_message_ms());
         }
     });
@@ -241,20 +241,21 @@
 
 int ProxyFleet::joined(int planner) const {
     int number = 0;
-    each_of(planner, [&number](const Proxy& proxy) { number += proxy.joined() ? 1 : 0; });
+    for_each_proxy(planner, [&number](const Proxy& proxy) { number += proxy.joined() ? 1 : 0; });
     return number;
 }
 
-int ProxyFleet::ordered(int planner) const {
+int ProxyFleet::with_first_message(int planner) const {
     int number = 0;
-    each_of(planner, [&number](const Proxy& proxy) { number += proxy.ordered() ? 1 : 0; });
+    for_each_proxy(planner,
+                   [&number](const Proxy& proxy) { number += proxy.has_first_message() ? 1 : 0; });
     return number;
 }
 
-double ProxyFleet::mean_table(int planner) const {
+double ProxyFleet::mean_table_size(int planner) const {
     double sum = 0;
     int number = 0;
-    each_of(planner, [&](const Proxy& proxy) {
+    for_each_proxy(planner, [&](const Proxy& proxy) {
         sum += static_cast<double>(proxy.table().servers_in_use());
         ++number;
     });
--- a/bench/scale/wire_proxies.hpp
+++ b/bench/scale/wire_proxies.hpp
@@ -1,5 +1,5 @@
-// The stand-ins for proxies: each holds a stream to its planner, reports its demand, applies what
-// it is ordered and answers each nonce.
+// Stand-ins for proxies: each has a stream to its planner, reports its demand, applies the updates
+// that it receives and acknowledges each nonce.
 #pragma once
 
 #include <memory>
@@ -14,36 +14,37 @@
 
 class ProxyFleet {
  public:
-    // Planners below `real_planners` are real: what their proxies hold is followed. The other
-    // parameters have an entry for each planner and outlive this object.
+    // Planners numbered below `real_planners` are real: the tables of their proxies are tracked.
+    // `planners` and `traffic` have an entry for each planner. All referenced
+    // objects must outlive this one.
     ProxyFleet(Loop& loop, const World& world, const std::vector<LoopbackAddress>& planners,
                int real_planners, std::vector<TrafficByRole>& traffic, InForce& in_force);
     ~ProxyFleet();
 
     void dial_all();
-    // Ends all streams of a planner and dials them anew at once.
+    // Closes all streams of a planner and connects them again immediately.
     void redial(int planner);
-    // How long it took, from the last dialling of each proxy of the planner to its first message;
-    // sorted, milliseconds.
+    // Times from the last connection attempt of each proxy of the planner to its first message, in
+    // milliseconds, sorted.
     std::vector<double> first_message_times(int planner) const;
 
-    void told(int planner, const std::vector<std::size_t>& ended, TimePoint now);
+    void announced(int planner, const std::vector<std::size_t>& ended, TimePoint now);
 
-    int joined(int planner) const;                   // streams that stand
-    int ordered(int planner) const;                  // among them: those that have got a message
-    double mean_table(int planner) const;            // servers in use; real planners only
-    std::int64_t broken() const { return broken_; }  // streams that ended without our doing
+    int joined(int planner) const;                   // open streams
+    int with_first_message(int planner) const;       // of these, those that have received a message
+    double mean_table_size(int planner) const;       // servers in use per proxy; real planners only
+    std::int64_t broken() const { return broken_; }  // streams closed by the planner or an error
     std::int64_t unreadable() const {
         return unreadable_;
     }  // messages for which a stream was reset
 
  private:
     class Proxy;
-    static constexpr int kSlots = 20;  // reports are spread over the time between two of them
+    static constexpr int kReportSlots = 20;  // reports are spread over the report interval
 
     void report(int slot);
     template <class Task>
-    void each_of(int planner, const Task& task) const;
+    void for_each_proxy(int planner, const Task& task) const;
 
     Loop& loop_;
     const World& world_;
--- a/bench/scale/wire_proxy_table.cpp
+++ b/bench/scale/wire_proxy_table.cpp
@@ -6,7 +6,7 @@
 namespace micaroad::scale::wire {
 namespace {
 
-std::string_view cut(std::string_view& text, char separator) {
+std::string_view next_token(std::string_view& text, char separator) {
     const std::size_t end = std::min(text.find(separator), text.size());
     const std::string_view piece = text.substr(0, end);
     text.remove_prefix(std::min(end + 1, text.size()));
@@ -14,7 +14,7 @@
 }
 
 template <class Number>
-std::optional<Number> number_of(std::string_view text) {
+std::optional<Number> parse_number(std::string_view text) {
     Number number{};
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
     if (error != std::errc{} || end != text.data() + text.size()) {
@@ -25,13 +25,13 @@
 
 std::uint64_t all_methods(const World& world) {
     const int methods = world.sizes().methods;
-    return methods == kMostMethods ? ~std::uint64_t{0} : (std::uint64_t{1} << methods) - 1;
+    return methods == kMaxMethods ? ~std::uint64_t{0} : (std::uint64_t{1} << methods) - 1;
 }
 
-bool read_routes(std::string_view routes, const World& world, std::uint64_t& methods) {
+bool parse_routes(std::string_view routes, const World& world, std::uint64_t& methods) {
     methods = 0;
     while (!routes.empty()) {
-        const int method = world.method_of(cut(routes, '+'));
+        const int method = world.method_of(next_token(routes, '+'));
         if (method < 0) {
             return false;
         }
@@ -40,12 +40,12 @@
     return methods != 0;
 }
 
-bool read_endpoints(std::string_view list, const World& world,
-                    std::vector<PushPart::Endpoint>& endpoints) {
+bool parse_endpoints(std::string_view list, const World& world,
+                     std::vector<PushPart::Endpoint>& endpoints) {
     while (!list.empty()) {
-        std::string_view endpoint = cut(list, ',');
-        const std::ptrdiff_t server = world.find(cut(endpoint, ':'));
-        const auto weight = number_of<double>(endpoint);
+        std::string_view endpoint = next_token(list, ',');
+        const std::ptrdiff_t server = world.find(next_token(endpoint, ':'));
+        const auto weight = parse_number<double>(endpoint);
         if (server < 0 || !weight || !(*weight >= 0)) {
             return false;
         }
@@ -54,9 +54,9 @@
     return true;
 }
 
-bool read_servers(std::string_view list, const World& world, std::vector<std::size_t>& servers) {
+bool parse_servers(std::string_view list, const World& world, std::vector<std::size_t>& servers) {
     while (!list.empty()) {
-        const std::ptrdiff_t server = world.find(cut(list, ','));
+        const std::ptrdiff_t server = world.find(next_token(list, ','));
         if (server < 0) {
             return false;
         }
@@ -65,23 +65,24 @@
     return true;
 }
 
-bool not_negative(std::string_view value) {
-    const auto number = number_of<double>(value);
+bool is_non_negative(std::string_view value) {
+    const auto number = parse_number<double>(value);
     return number && *number >= 0;
 }
 
-bool read_word(std::string_view name, std::string_view value, const World& world, PushPart& part) {
+bool parse_field(std::string_view name, std::string_view value, const World& world,
+                 PushPart& part) {
     if (name == "routes") {
-        return read_routes(value, world, part.methods);
+        return parse_routes(value, world, part.methods);
     }
     if (name == "endpoints") {
-        return read_endpoints(value, world, part.endpoints);
+        return parse_endpoints(value, world, part.endpoints);
     }
     if (name == "eject") {
-        return read_servers(value, world, part.ejected);
+        return parse_servers(value, world, part.ejected);
     }
     if (name == "restore") {
-        return read_servers(value, world, part.restored);
+        return parse_servers(value, world, part.restored);
     }
     if (name == "full") {
         return part.full = value == "1", value == "0" || value == "1";
@@ -90,33 +91,33 @@
         return part.continued = value == "1", value == "0" || value == "1";
     }
     if (name == "nonce_out") {
-        return (part.nonce = number_of<int>(value)).has_value();
+        return (part.nonce = parse_number<int>(value)).has_value();
     }
     if (name == "admit" || name == "policy") {
-        return not_negative(value);
+        return is_non_negative(value);
     }
     return false;
 }
 
 }  // namespace
 
-std::optional<PushPart> read_push(std::string_view line, const World& world) {
-    if (cut(line, ' ') != "push") {
+std::optional<PushPart> parse_push(std::string_view line, const World& world) {
+    if (next_token(line, ' ') != "push") {
         return std::nullopt;
     }
     PushPart part;
     part.methods = all_methods(world);
     while (!line.empty()) {
-        std::string_view value = cut(line, ' ');
-        const std::string_view name = cut(value, '=');
-        if (!read_word(name, value, world, part)) {
+        std::string_view value = next_token(line, ' ');
+        const std::string_view name = next_token(value, '=');
+        if (!parse_field(name, value, world, part)) {
             return std::nullopt;
         }
     }
     return part;
 }
 
-void ProxyTable::reach(std::size_t server) {
+void ProxyTable::grow_to(std::size_t server) {
     if (server < methods_.size()) {
         return;
     }
@@ -131,16 +132,16 @@
         }
     }
     for (const auto& [server, in_use] : part.endpoints) {
-        reach(server);
+        grow_to(server);
         methods_[server] =
             in_use ? methods_[server] | part.methods : methods_[server] & ~part.methods;
     }
     for (const std::size_t server : part.ejected) {
-        reach(server);
+        grow_to(server);
         ejected_[server] = true;
     }
     for (const std::size_t server : part.restored) {
-        reach(server);
+        grow_to(server);
         ejected_[server] = false;
     }
 }
--- a/bench/scale/wire_proxy_table.hpp
+++ b/bench/scale/wire_proxy_table.hpp
@@ -1,4 +1,4 @@
-// What a proxy holds by the orders it was given, and the reader of those orders.
+// The table of a proxy as set by its planner's updates, and the parser of these updates.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +10,13 @@
 
 namespace micaroad::scale::wire {
 
-// One line `push`. Servers by their index.
+// One line `push`. Servers are identified by their index.
 struct PushPart {
     struct Endpoint {
         std::size_t server = 0;
-        bool in_use = false;  // its weight is above 0
+        bool in_use = false;  // its weight is greater than 0
     };
-    std::uint64_t methods = 0;  // a bit for each
+    std::uint64_t methods = 0;  // one bit per method
     bool full = false;
     bool continued = false;
     std::vector<Endpoint> endpoints;
@@ -24,20 +24,20 @@
     std::optional<int> nonce;
 };
 
-// Absent: a proxy would reset its stream for it.
-std::optional<PushPart> read_push(std::string_view line, const World& world);
+// Returns nullopt if the line is invalid, for which a proxy resets its stream.
+std::optional<PushPart> parse_push(std::string_view line, const World& world);
 
 class ProxyTable {
  public:
     void apply(const PushPart& part);
-    bool in_use(std::size_t server) const;  // by any method, and not ejected
+    bool in_use(std::size_t server) const;  // by at least one method, and not ejected
     std::size_t servers_in_use() const;
 
  private:
-    void reach(std::size_t server);
+    void grow_to(std::size_t server);
 
     std::vector<std::uint64_t>
-        methods_;  // by server: a bit for each method that has a line with it
+        methods_;  // per server: one bit for each method with an entry for it
     std::vector<bool> ejected_;
 };
 
--- a/bench/scale/wire_result.cpp
+++ b/bench/scale/wire_result.cpp
@@ -31,17 +31,17 @@
     return {{"planners", figures.planners},
             {"processes", figures.processes},
             {"processor_share_mean", figures.share_mean},
-            {"processor_share_most", figures.share_most},
+            {"processor_share_most", figures.share_max},
             {"pss_bytes_mean", figures.bytes_mean},
-            {"pss_bytes_most", figures.bytes_most},
+            {"pss_bytes_most", figures.bytes_max},
             {"traffic_per_planner", to_json(figures.all)},
             {"traffic_per_planner_by_role", by_role}};
 }
 
 json to_json(const ChangeFigures& changes) {
-    return {{"told", changes.told},
+    return {{"told", changes.announced},
             {"in_force", to_json(changes.in_force)},
-            {"not_holding", changes.not_holding},
+            {"not_holding", changes.not_in_use},
             {"overtaken", changes.overtaken},
             {"not_in_force", changes.not_in_force}};
 }
@@ -70,7 +70,7 @@
 }
 
 json to_json(const Check& check) {
-    return {{"name", check.name}, {"passed", check.passed}, {"seen", check.seen}};
+    return {{"name", check.name}, {"passed", check.passed}, {"seen", check.detail}};
 }
 
 template <class Items>
@@ -118,7 +118,7 @@
             {"zones", world.zones},
             {"methods", world.methods},
             {"changes_per_second", world.changes_per_second},
-            {"report_every_ms", world.report_every.count()},
+            {"report_every_ms", world.report_interval.count()},
             {"lines_per_proxy_and_second", world.lines_per_proxy}};
 }
 
@@ -137,7 +137,7 @@
             {"stand_ins", stand_ins},
             {"stand_ins_processor_share", point.stand_ins_share},
             {"stand_ins_pss_bytes", point.stand_ins_bytes},
-            {"servers_per_table_mean", point.mean_table},
+            {"servers_per_table_mean", point.mean_table_size},
             {"changes", to_json(point.changes)},
             {"events", list_of(point.events)},
             {"broken_streams", point.broken_streams},
@@ -148,8 +148,8 @@
             {"passed", point.passed()}};
 }
 
-json to_json(const LeftOut& left_out) {
-    return {{"varied", left_out.varied}, {"world", to_json(left_out.world)}, {"why", left_out.why}};
+json to_json(const SkippedSize& skipped) {
+    return {{"varied", skipped.varied}, {"world", to_json(skipped.world)}, {"why", skipped.reason}};
 }
 
 }  // namespace micaroad::scale::wire
--- a/bench/scale/wire_result.hpp
+++ b/bench/scale/wire_result.hpp
@@ -1,4 +1,4 @@
-// What a scale run on sockets has measured, and its JSON form.
+// Results of the socket part of the scale run, and their JSON form.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -11,32 +11,33 @@
 
 namespace micaroad::scale::wire {
 
-// Times from told to in force, in milliseconds.
+// Quantiles of delays, in milliseconds.
 struct Delays {
     std::int64_t samples = 0;
     double p50 = 0, p99 = 0, p100 = 0;
 };
 Delays delays_of(const std::vector<double>& sorted_milliseconds);
 
-// A second and planner.
+// Per second and planner.
 struct TrafficRates {
     double bytes_in = 0, bytes_out = 0, messages_in = 0, messages_out = 0;
     TrafficRates& operator+=(const TrafficRates& other);
 };
 TrafficRates rates_of(const Traffic& traffic, double seconds, int planners);
 
-// A group of planners: the real ones or the hollow ones. Shares are of one core, bytes
-// proportional.
+// Figures of all real or all hollow planners. Shares are fractions of one core; bytes are the
+// proportional set size.
 struct PlannerFigures {
     int planners = 0;
     int processes = 0;
-    double share_mean = 0, share_most = 0;       // of a process
-    double bytes_mean = 0, bytes_most = 0;       // of a process, at the end of the window
-    TrafficRates all;                            // in the mean of the group's planners
-    std::array<TrafficRates, kRoles> by_role{};  // at the other end; that of planners stays empty
+    double share_mean = 0, share_max = 0;  // of a process
+    double bytes_mean = 0, bytes_max = 0;  // of a process, at the end of the window
+    TrafficRates all;                      // mean over the planners
+    std::array<TrafficRates, kRoles>
+        by_role{};  // by the role of the peer; the planners' entry is unused
 };
 
-// All stand-ins of one role.
+// Figures of all stand-ins of one role.
 struct StandInFigures {
     Role role = Role::proxy;
     int number = 0;
@@ -44,49 +45,50 @@
 };
 
 struct ChangeFigures {
-    std::int64_t told = 0;  // server ends, once for each real planner
+    std::int64_t announced = 0;  // ended servers, counted once per real planner
     Delays in_force;
-    std::int64_t not_holding = 0, overtaken = 0;
-    std::int64_t not_in_force = 0;  // when the limit was reached
+    std::int64_t not_in_use = 0, overtaken = 0;
+    std::int64_t not_in_force = 0;  // still pending when the limit was reached
 };
 
 struct EventFigures {
     WireEvent event = WireEvent::burst;
-    std::int64_t servers = 0;  // that ended; none for dial
-    double seconds = 0;        // until all was in force, or the limit
+    std::int64_t servers = 0;  // servers that ended; 0 for dial
+    double seconds = 0;        // until all changes were in force, or until the limit
     ChangeFigures changes;
-    std::optional<Delays> first_message;  // dial: from dialling to a proxy's first message
+    std::optional<Delays> first_message;  // dial: from the connection attempt to the first message
     std::int64_t first_messages_missing = 0;
-    double planner_share_mean = 0;  // of one core, of the real planners' processes
+    double planner_share_mean = 0;  // fraction of one core, mean over the real planners' processes
     TrafficRates planner_traffic;
     bool passed = true;
 };
 
-// A hollow planner's rate beside a real one's. Within the bound if it differs by no more than that
-// part of the real one's.
+// Compares a rate of the hollow planners with that of the real ones. It is within the bound if the
+// relative difference is at most the bound.
 struct Comparison {
     std::string figure;
     double real = 0, hollow = 0;
-    double difference = 0;  // part of the real one's
+    double difference = 0;  // as a fraction of the real rate
     bool within = true;
 };
 
 struct Check {
     std::string name;
     bool passed = true;
-    std::string seen;
+    std::string detail;
 };
 
 struct PointResult {
-    std::string varied;  // what differs from the base; "base" for the base itself
+    std::string varied;  // parameter that differs from the base; "base" for the base itself
     WireWorld world;
     double start_seconds = 0, window_seconds = 0;
     PlannerFigures real, hollow;
     std::vector<StandInFigures> stand_ins;
-    double stand_ins_share =
-        0;  // of one core, of their process; times are in doubt where it is near 1
+    // Fraction of one core used by the process of the stand-ins. Near 1 the measured times are not
+    // reliable.
+    double stand_ins_share = 0;
     std::int64_t stand_ins_bytes = 0;
-    double mean_table = 0;  // servers that a proxy of a real planner uses
+    double mean_table_size = 0;  // servers in use per proxy of a real planner
     ChangeFigures changes;
     std::vector<EventFigures> events;
     std::int64_t broken_streams = 0, unreadable_messages = 0, dropped_reports = 0;
@@ -95,15 +97,15 @@
     bool passed() const;
 };
 
-// A size that was not played, or not to its end.
-struct LeftOut {
+// A size that was not run, or not completed.
+struct SkippedSize {
     std::string varied;
     WireWorld world;
-    std::string why;
+    std::string reason;
 };
 
 nlohmann::json to_json(const WireWorld& world);
 nlohmann::json to_json(const PointResult& point);
-nlohmann::json to_json(const LeftOut& left_out);
+nlohmann::json to_json(const SkippedSize& skipped);
 
 }  // namespace micaroad::scale::wire
--- a/bench/scale/wire_run.cpp
+++ b/bench/scale/wire_run.cpp
@@ -20,48 +20,49 @@
 using nlohmann::json;
 
 constexpr double kMebibyte = 1024.0 * 1024.0;
-// What a size is taken to need at most before it is played, in bytes.
-constexpr double kOfPlanner = 24 * kMebibyte, kOfPlannersServer = 4'096, kOfPlannersProxy = 65'536;
-constexpr double kOfTableLine = 512;  // a server in the table of a proxy, at its planner
-constexpr double kOfHollowServer = 512, kOfStream = 32'768, kOfFollowedLine = 16;
-constexpr int kFilesKept = 64;
+// Upper estimates of the memory that a size needs, in bytes.
+constexpr double kPlannerBytes = 24 * kMebibyte, kPlannerBytesPerServer = 4'096,
+                 kPlannerBytesPerProxy = 65'536;
+constexpr double kBytesPerTableEntry = 512;  // in the planner's copy of a proxy's table
+constexpr double kHollowBytesPerServer = 512, kBytesPerStream = 32'768, kBytesPerTrackedEntry = 16;
+constexpr int kReservedFiles = 64;
 
 double estimated_bytes(const WireWorld& world) {
     const double servers = world.servers, proxies = world.proxies;
-    const double real = kOfPlanner + servers * kOfPlannersServer + proxies * kOfPlannersProxy +
-                        proxies * servers * kOfTableLine;
-    const double hollow = servers * kOfHollowServer;
-    const double stand_ins = world.planners() * (proxies + world.zones + 1) * kOfStream +
-                             world.real_planners * proxies * servers * kOfFollowedLine;
+    const double real = kPlannerBytes + servers * kPlannerBytesPerServer +
+                        proxies * kPlannerBytesPerProxy + proxies * servers * kBytesPerTableEntry;
+    const double hollow = servers * kHollowBytesPerServer;
+    const double stand_ins = world.planners() * (proxies + world.zones + 1) * kBytesPerStream +
+                             world.real_planners * proxies * servers * kBytesPerTrackedEntry;
     return world.real_planners * real + world.hollow_planners * hollow + stand_ins;
 }
 
-// Why the size can't be played on this machine now; empty: it can.
-std::string obstacle_to(const WireWorld& world, std::int64_t files) {
+// The reason why the size can't be run on this machine now; empty if it can.
+std::string skip_reason(const WireWorld& world, std::int64_t max_files) {
     const MachineMemory memory = machine_memory();
-    const double needed = estimated_bytes(world);
-    const double room =
+    const double needed_bytes = estimated_bytes(world);
+    const double usable =
         std::min<double>(memory.total_bytes / 2.0, static_cast<double>(memory.available_bytes));
-    if (needed > room) {
+    if (needed_bytes > usable) {
         return fmt::format("it is taken to need {:.0f} MiB, and {:.0f} MiB may be used",
-                           needed / kMebibyte, room / kMebibyte);
+                           needed_bytes / kMebibyte, usable / kMebibyte);
     }
     const std::int64_t sockets =
-        std::int64_t{world.planners()} * (world.proxies + world.zones + 3) + kFilesKept;
-    if (sockets > files) {
-        return fmt::format("it needs {} open files, {} are allowed", sockets, files);
+        std::int64_t{world.planners()} * (world.proxies + world.zones + 3) + kReservedFiles;
+    if (sockets > max_files) {
+        return fmt::format("it needs {} open files, {} are allowed", sockets, max_files);
     }
     return {};
 }
 
-std::string text_of(const WireWorld& world) {
+std::string description_of(const WireWorld& world) {
     return fmt::format(
         "{} real and {} hollow planners, {} proxies each, {} servers, {} changes a second",
         world.real_planners, world.hollow_planners, world.proxies, world.servers,
         world.changes_per_second);
 }
 
-void say_point(const PointResult& point) {
+void print_point(const PointResult& point) {
     fmt::print(stderr,
                "  real planner: {:.1f}% of a core, {:.1f} MiB, {:.0f} B/s in, {:.0f} B/s out; in "
                "force after "
@@ -83,7 +84,7 @@
     }
     for (const Check& check : point.checks) {
         fmt::print(stderr, "  {}: {} ({})\n", check.passed ? "passed" : "FAILED", check.name,
-                   check.seen);
+                   check.detail);
     }
 }
 
@@ -97,14 +98,14 @@
 
 class Run {
  public:
-    explicit Run(const WireOptions& options) : options_(options), files_(raise_file_limit()) {}
+    explicit Run(const WireOptions& options) : options_(options), max_files_(raise_file_limit()) {}
 
-    bool play() {
+    bool run_all() {
         const std::vector<WireSize> sizes = sizes_of(options_);
         for (std::size_t i = 0; i < sizes.size(); ++i) {
             fmt::print(stderr, "{} of {}, {}: {}\n", i + 1, sizes.size(), sizes[i].varied,
-                       text_of(sizes[i].world));
-            play(sizes[i]);
+                       description_of(sizes[i].world));
+            run(sizes[i]);
         }
         return passed_;
     }
@@ -112,39 +113,39 @@
     json results() const {
         return {{"tool", "wire"},
                 {"machine", machine()},
-                {"text", options_.text},
+                {"text", options_.revision},
                 {"seed", options_.seed},
                 {"hollow_bound", options_.hollow_bound},
                 {"settle_ms", options_.settle.count()},
                 {"points", points_},
-                {"left_out", left_out_},
+                {"left_out", skipped_},
                 {"passed", passed_}};
     }
 
  private:
-    void play(const WireSize& size) {
-        if (const std::string why = obstacle_to(size.world, files_); !why.empty()) {
-            return leave_out(size, why);
+    void run(const WireSize& size) {
+        if (const std::string reason = skip_reason(size.world, max_files_); !reason.empty()) {
+            return skip(size, reason);
         }
         try {
-            const PointResult point = play_point(options_, size.varied, size.world, size.events);
-            say_point(point);
+            const PointResult point = run_point(options_, size.varied, size.world, size.events);
+            print_point(point);
             points_.push_back(to_json(point));
             passed_ = passed_ && point.passed();
         } catch (const std::runtime_error& failed) {
-            leave_out(size, failed.what());
+            skip(size, failed.what());
             passed_ = false;
         }
     }
 
-    void leave_out(const WireSize& size, const std::string& why) {
-        fmt::print(stderr, "  left out: {}\n", why);
-        left_out_.push_back(to_json(LeftOut{size.varied, size.world, why}));
+    void skip(const WireSize& size, const std::string& reason) {
+        fmt::print(stderr, "  left out: {}\n", reason);
+        skipped_.push_back(to_json(SkippedSize{size.varied, size.world, reason}));
     }
 
     const WireOptions& options_;
-    const std::int64_t files_;
-    json points_ = json::array(), left_out_ = json::array();
+    const std::int64_t max_files_;
+    json points_ = json::array(), skipped_ = json::array();
     bool passed_ = true;
 };
 
@@ -167,7 +168,7 @@
     check(options);
     signal(SIGPIPE, SIG_IGN);
     wire::Run run(options);
-    const bool passed = run.play();
+    const bool passed = run.run_all();
     wire::write(options.output, run.results());
     return passed ? 0 : kExitCheckFailed;
 }
--- a/bench/scale/wire_traffic.cpp
+++ b/bench/scale/wire_traffic.cpp
@@ -25,9 +25,9 @@
     return difference;
 }
 
-void InForce::told(int proxy, std::size_t server, TimePoint now, bool in_use) {
+void InForce::announced(int proxy, std::size_t server, TimePoint now, bool in_use) {
     if (!in_use) {
-        ++result_.not_holding;
+        ++result_.not_in_use;
         return;
     }
     if (awaited_[proxy].try_emplace(server, now).second) {
@@ -44,13 +44,13 @@
     if (found == servers->second.end()) {
         return;
     }
-    const std::chrono::duration<double, std::milli> took = now - found->second;
-    result_.milliseconds.push_back(took.count());
+    const std::chrono::duration<double, std::milli> delay = now - found->second;
+    result_.milliseconds.push_back(delay.count());
     servers->second.erase(found);
     --pending_;
 }
 
-void InForce::came_back(std::size_t server) {
+void InForce::server_returned(std::size_t server) {
     for (auto& [proxy, servers] : awaited_) {
         const auto erased = static_cast<std::int64_t>(servers.erase(server));
         pending_ -= erased;
--- a/bench/scale/wire_world.cpp
+++ b/bench/scale/wire_world.cpp
@@ -13,14 +13,14 @@
 
 using nlohmann::json;
 
-constexpr std::uint32_t kIdFactor = 2'654'435'761u;  // odd: each number has an id of its own
-constexpr double kLeastRate = 10, kMostRate = 30;    // requests a second of a proxy
-constexpr double kLeastAnswerMs = 200, kMostAnswerMs = 400;
-constexpr int kMemoryMb = 128;  // of a planner, as the start file tells it
+constexpr std::uint32_t kIdFactor = 2'654'435'761u;  // odd, so that ids are unique
+constexpr double kMinRate = 10, kMaxRate = 30;       // requests per second of a proxy
+constexpr double kMinResponseMs = 200, kMaxResponseMs = 400;
+constexpr int kPlannerMemoryMb = 128;  // memory limit of a planner in the start file
 constexpr int kSpareSockets = 64;
-constexpr double kLeastChannelRate = 1'600;  // lines a second
+constexpr double kMinChannelRate = 1'600;  // lines per second
 constexpr const char* kKind = "m1";
-// A port of the loopback address where nothing listens: these servers answer no probes.
+// A loopback port where nothing listens, so that the servers don't answer health checks.
 constexpr const char* kServerAddress = "127.0.0.1:9";
 
 std::int64_t unix_ms() {
@@ -29,7 +29,7 @@
     return std::chrono::duration_cast<std::chrono::milliseconds>(since).count();
 }
 
-json entry_of(const Server& server) {
+json endpoint_json(const Server& server) {
     return {{"id", server.id},
             {"addr", kServerAddress},
             {"zone", World::zone_name(server.zone)},
@@ -40,7 +40,7 @@
             {"started_ms", server.started_ms}};
 }
 
-json list_of(std::int64_t version, bool full, json entries) {
+json list_json(std::int64_t version, bool full, json entries) {
     return {{"version", version}, {"full", full}, {"servers", std::move(entries)}};
 }
 
@@ -73,8 +73,8 @@
     name.remove_prefix(kPrefix.size());
     int method = -1;
     const auto [end, error] = std::from_chars(name.data(), name.data() + name.size(), method);
-    const bool whole = error == std::errc{} && end == name.data() + name.size();
-    return whole && method < sizes_.methods ? method : -1;
+    const bool complete = error == std::errc{} && end == name.data() + name.size();
+    return complete && method < sizes_.methods ? method : -1;
 }
 
 World::World(const WireWorld& sizes, std::uint32_t seed) : sizes_(sizes), random_(seed) {
@@ -86,12 +86,12 @@
     }
     for (int number = 0; number < sizes_.proxies * sizes_.planners(); ++number) {
         const int planner = number / sizes_.proxies;
-        proxies_.push_back({number, planner, number % sizes_.zones, draw(kLeastRate, kMostRate)});
+        proxies_.push_back({number, planner, number % sizes_.zones, draw(kMinRate, kMaxRate)});
     }
 }
 
-double World::draw(double least, double most) {
-    return std::uniform_real_distribution<double>(least, most)(random_);
+double World::draw(double minimum, double maximum) {
+    return std::uniform_real_distribution<double>(minimum, maximum)(random_);
 }
 
 Server World::make_server(int zone, int rack, std::int64_t started_ms) {
@@ -122,7 +122,7 @@
         }
         Server& server = servers_[draining.server];
         if (server.state != ServerState::draining) {
-            return true;  // it was lost, or came back
+            return true;  // lost or restored meanwhile
         }
         server.state = ServerState::removed;
         changed.push_back(draining.server);
@@ -130,7 +130,7 @@
     });
 }
 
-std::vector<std::size_t> World::replace_some(int count) {
+std::vector<std::size_t> World::replace(int count) {
     std::vector<std::size_t> up;
     for (std::size_t i = 0; i < servers_.size(); ++i) {
         if (servers_[i].state == ServerState::up) {
@@ -151,10 +151,10 @@
     return drained;
 }
 
-std::vector<std::size_t> World::lose(const std::function<bool(const Server&)>& lost) {
+std::vector<std::size_t> World::remove_servers(const std::function<bool(const Server&)>& is_lost) {
     std::vector<std::size_t> gone;
     for (std::size_t i = 0; i < servers_.size(); ++i) {
-        if (servers_[i].state == ServerState::removed || !lost(servers_[i])) {
+        if (servers_[i].state == ServerState::removed || !is_lost(servers_[i])) {
             continue;
         }
         servers_[i].state = ServerState::removed;
@@ -164,17 +164,17 @@
     return gone;
 }
 
-std::vector<std::size_t> World::lose_rack() {
-    const int rack = servers_.back().rack;  // the last to come is up
-    return lose([rack](const Server& server) { return server.rack == rack; });
+std::vector<std::size_t> World::remove_rack() {
+    const int rack = servers_.back().rack;  // the newest server is up
+    return remove_servers([rack](const Server& server) { return server.rack == rack; });
 }
 
-std::vector<std::size_t> World::lose_zone() {
+std::vector<std::size_t> World::remove_zone() {
     const int zone = servers_.back().zone;
-    return lose([zone](const Server& server) { return server.zone == zone; });
+    return remove_servers([zone](const Server& server) { return server.zone == zone; });
 }
 
-void World::bring_back(const std::vector<std::size_t>& servers) {
+void World::restore(const std::vector<std::size_t>& servers) {
     for (const std::size_t i : servers) {
         servers_[i].state = ServerState::up;
         servers_[i].started_ms = unix_ms();
@@ -182,14 +182,14 @@
     publish({0, servers, {}, servers});
 }
 
-std::string World::whole_list() const {
+std::string World::complete_list() const {
     json entries = json::array();
     for (const Server& server : servers_) {
         if (server.state != ServerState::removed) {
-            entries.push_back(entry_of(server));
+            entries.push_back(endpoint_json(server));
         }
     }
-    return list_of(version_, true, std::move(entries)).dump();
+    return list_json(version_, true, std::move(entries)).dump();
 }
 
 std::string World::changes_since(std::int64_t version) const {
@@ -200,9 +200,9 @@
     }
     json entries = json::array();
     for (const std::size_t i : changed) {
-        entries.push_back(entry_of(servers_[i]));
+        entries.push_back(endpoint_json(servers_[i]));
     }
-    return list_of(version_, false, std::move(entries)).dump();
+    return list_json(version_, false, std::move(entries)).dump();
 }
 
 std::string World::start_file(int planner, const std::string& listen,
@@ -215,8 +215,8 @@
     for (int zone = 0; zone < sizes_.zones; ++zone) {
         zones.push_back(zone_name(zone));
     }
-    const double rate = std::max(kLeastChannelRate, sizes_.lines_per_proxy * sizes_.proxies);
-    const std::int64_t report_us = std::chrono::microseconds(sizes_.report_every).count();
+    const double rate = std::max(kMinChannelRate, sizes_.lines_per_proxy * sizes_.proxies);
+    const std::int64_t report_us = std::chrono::microseconds(sizes_.report_interval).count();
     const json family = {{"admission", "share"},
                          {"base_mode", 1},
                          {"channel_rate", rate},
@@ -238,24 +238,24 @@
                            {"family_info", family},
                            {"rules", rules}};
     const int sockets = sizes_.proxies * sizes_.planners() + 2 * sizes_.zones + kSpareSockets;
-    const json limits = {{"cores", 1.0}, {"memory_mb", kMemoryMb}, {"sockets", sockets}};
+    const json limits = {{"cores", 1.0}, {"memory_mb", kPlannerMemoryMb}, {"sockets", sockets}};
     const json file = {{"name", fmt::format("planner-{}", planner)},
                        {"listen", listen},
                        {"discovery", discovery},
                        {"seed", fmt::format("{:016x}", planner + 1)},
                        {"limits", limits},
-                       {"known", json::parse(whole_list())},
+                       {"known", json::parse(complete_list())},
                        {"settings", settings}};
     return file.dump();
 }
 
 std::string World::outcomes(int zone) {
-    const auto window = static_cast<double>(sizes_.report_every.count());
+    const auto window = static_cast<double>(sizes_.report_interval.count());
     double demand = 0;
     for (const ProxyIdentity& proxy : proxies_) {
         demand += proxy.requests_per_second;
     }
-    const double tries = std::max(1.0, demand * window / 1'000 / sizes_.servers);
+    const double attempts = std::max(1.0, demand * window / 1'000 / sizes_.servers);
     std::string lines;
     for (std::size_t i = static_cast<std::size_t>(zone); i < servers_.size();
          i += static_cast<std::size_t>(sizes_.zones)) {
@@ -264,20 +264,20 @@
         }
         fmt::format_to(std::back_inserter(lines),
                        "outcomes az={} host={} n={:.0f} bad=0 avg={:.1f} window={:.1f}\r\n",
-                       zone_name(zone), servers_[i].id, tries, draw(kLeastAnswerMs, kMostAnswerMs),
-                       window);
+                       zone_name(zone), servers_[i].id, attempts,
+                       draw(kMinResponseMs, kMaxResponseMs), window);
     }
     return lines;
 }
 
 std::string World::demand(const ProxyIdentity& proxy) const {
-    const auto window = static_cast<double>(sizes_.report_every.count());
-    const double each = proxy.requests_per_second * window / 1'000 / sizes_.methods;
+    const auto window = static_cast<double>(sizes_.report_interval.count());
+    const double requests = proxy.requests_per_second * window / 1'000 / sizes_.methods;
     std::string lines;
     for (int method = 0; method < sizes_.methods; ++method) {
         fmt::format_to(std::back_inserter(lines),
                        "demand sidecar={} kind={} n={:.0f} bad=0 window={:.1f}\r\n", proxy.number,
-                       method_name(method), each, window);
+                       method_name(method), requests, window);
     }
     return lines;
 }
--- a/bench/scale/wire_world.hpp
+++ b/bench/scale/wire_world.hpp
@@ -1,5 +1,5 @@
-// The deployment of one point, drawn by seed: servers and their changes as discovery tells them,
-// proxies, and the start file of each planner.
+// The deployment of one point, generated from a seed: servers, their changes as discovery announces
+// them, proxies, and the start file of each planner.
 #pragma once
 
 #include <cstdint>
@@ -16,27 +16,27 @@
 namespace micaroad::scale::wire {
 
 enum class ServerState { up, draining, removed };
-const char* name_of(ServerState state);  // as the wire has it
+const char* name_of(ServerState state);  // as in wire messages
 
 struct Server {
     std::string id;
     int zone = 0;
     int rack = 0;
     ServerState state = ServerState::up;
-    std::int64_t started_ms = 0;  // Unix time; 0: long ago
+    std::int64_t started_ms = 0;  // Unix time; 0: started long ago
 };
 
-// What discovery tells as one version. Servers by their index.
+// One version of discovery's list. Servers are identified by their index.
 struct Change {
     std::int64_t version = 0;
     std::vector<std::size_t> servers;
-    std::vector<std::size_t> ended;  // among them: those that take no requests from now on
-    std::vector<std::size_t> back;   // among them: those that had ended and are up again
+    std::vector<std::size_t> ended;  // of these, those that no longer take requests
+    std::vector<std::size_t> back;   // of these, those that had ended and are up again
 };
 
 struct ProxyIdentity {
-    int number = 0;   // over all planners
-    int planner = 0;  // that it joins
+    int number = 0;   // unique over all planners
+    int planner = 0;  // the planner that it joins
     int zone = 0;
     double requests_per_second = 1;
 };
@@ -50,40 +50,42 @@
     const std::vector<ProxyIdentity>& proxies() const { return proxies_; }
     std::int64_t version() const { return version_; }
     const std::vector<Change>& changes() const { return changes_; }
-    // Index of the server, or a negative number.
+    // Index of the server, or -1 if there is none with this id.
     std::ptrdiff_t find(std::string_view id) const;
 
-    // Each returns the servers that take no requests any more. One version each.
-    std::vector<std::size_t> replace_some(int count);  // that many drain, as many fresh ones come
-    std::vector<std::size_t> lose_rack();
-    std::vector<std::size_t> lose_zone();
-    void bring_back(const std::vector<std::size_t>& servers);  // cold
+    // Each call makes one new version. The first three return the servers that no longer take
+    // requests.
+    std::vector<std::size_t> replace(
+        int count);  // drains `count` servers and adds as many new ones
+    std::vector<std::size_t> remove_rack();
+    std::vector<std::size_t> remove_zone();
+    void restore(const std::vector<std::size_t>& servers);  // they start cold
 
-    // JSON objects of the wire. A change object names each server once, as it stands now.
-    std::string whole_list() const;
+    // Wire messages in JSON. A list of changes has each changed server once, in its current state.
+    std::string complete_list() const;
     std::string changes_since(std::int64_t version) const;
     std::string start_file(int planner, const std::string& listen,
                            const std::string& discovery) const;
-    // Lines of the collector of a zone: one on each server of which it is the reporter, CRLF
-    // included.
+    // The reports of a zone's collector: one line, with CRLF, for each server that the zone reports
+    // on.
     std::string outcomes(int zone);
     std::string demand(const ProxyIdentity& proxy) const;
 
     static std::string zone_name(int zone);
     static std::string method_name(int method);
-    // The method's number, or a negative number.
+    // The method's number, or -1 if there is no such method.
     int method_of(std::string_view name) const;
 
  private:
     static constexpr int kServersPerRack = 20;
-    static constexpr std::int64_t kDrainMilliseconds = 5'000;  // then a drained server is removed
+    static constexpr std::int64_t kDrainMilliseconds = 5'000;  // then a draining server is removed
 
     Server make_server(int zone, int rack, std::int64_t started_ms);
     void add(Server server);
-    std::vector<std::size_t> lose(const std::function<bool(const Server&)>& lost);
+    std::vector<std::size_t> remove_servers(const std::function<bool(const Server&)>& is_lost);
     void remove_drained(std::vector<std::size_t>& changed);
     void publish(Change change);
-    double draw(double least, double most);
+    double draw(double minimum, double maximum);
 
     struct Draining {
         std::size_t server = 0;
@@ -102,7 +104,7 @@
     std::unordered_map<std::string, std::size_t, TextHash, std::equal_to<>> index_;
     std::vector<ProxyIdentity> proxies_;
     std::vector<Draining> draining_;
-    std::vector<Change> changes_;  // in order of versions, all of them
+    std::vector<Change> changes_;  // all changes, in the order of their versions
     std::int64_t version_ = 1;
 };
 
--- a/tests/scale_wire_units_test.cpp
+++ b/tests/scale_wire_units_test.cpp
@@ -27,7 +27,7 @@
 }
 
 void apply(ProxyTable& table, const World& world, const std::string& line) {
-    const auto part = read_push(line, world);
+    const auto part = parse_push(line, world);
     REQUIRE(part);
     table.apply(*part);
 }
@@ -37,10 +37,10 @@
 TEST_CASE("scale: a proxy rejects invalid orders") {
     const World world(small_world(), 1);
     const std::string server = id_of(world, 0);
-    CHECK(read_push("push routes=method0+method1 full=1 endpoints=" + server +
-                        ":1.5 admit=0.9 policy=1 nonce_out=7",
-                    world));
-    CHECK(read_push("push", world));
+    CHECK(parse_push("push routes=method0+method1 full=1 endpoints=" + server +
+                         ":1.5 admit=0.9 policy=1 nonce_out=7",
+                     world));
+    CHECK(parse_push("push", world));
     const std::vector<std::string> invalid_lines = {"pull endpoints=" + server + ":1",
                                                     "push routes=method2 full=1",
                                                     "push routes=lookup",
@@ -55,7 +55,7 @@
                                                     "push colour=red"};
     for (const std::string& line : invalid_lines) {
         INFO(line);
-        CHECK_FALSE(read_push(line, world));
+        CHECK_FALSE(parse_push(line, world));
     }
 }
 
@@ -86,23 +86,23 @@
 
 TEST_CASE("scale: a change is counted once for each proxy that used the server") {
     InForce in_force;
-    const TimePoint told{};
-    in_force.told(0, 5, told, true);
-    in_force.told(1, 5, told, true);
-    in_force.told(2, 5, told, false);
-    in_force.told(0, 5, told + Milliseconds(3), true);  // repeated: the first time counts
+    const TimePoint announced{};
+    in_force.announced(0, 5, announced, true);
+    in_force.announced(1, 5, announced, true);
+    in_force.announced(2, 5, announced, false);
+    in_force.announced(0, 5, announced + Milliseconds(3), true);  // repeated: the first time counts
     CHECK(in_force.pending() == 2);
-    in_force.closed(0, 5, told + Milliseconds(10));
-    in_force.closed(0, 5, told + Milliseconds(20));
-    in_force.closed(3, 5, told + Milliseconds(20));
+    in_force.closed(0, 5, announced + Milliseconds(10));
+    in_force.closed(0, 5, announced + Milliseconds(20));
+    in_force.closed(3, 5, announced + Milliseconds(20));
     CHECK(in_force.pending() == 1);
     CHECK(in_force.awaited(0) == nullptr);
     REQUIRE(in_force.awaited(1) != nullptr);
-    in_force.came_back(5);
+    in_force.server_returned(5);
     CHECK(in_force.pending() == 0);
     const InForce::Result result = in_force.take();
     CHECK(result.milliseconds == std::vector<double>{10});
-    CHECK(result.not_holding == 1);
+    CHECK(result.not_in_use == 1);
     CHECK(result.overtaken == 1);
     CHECK(in_force.take().milliseconds.empty());
 }
@@ -122,21 +122,21 @@
 TEST_CASE(
     "scale: the same seed gives the same world, and a world lists its changes since a version") {
     World world(small_world(), 3), same(small_world(), 3);
-    CHECK(world.whole_list() == same.whole_list());
-    CHECK(world.replace_some(2) == same.replace_some(2));
+    CHECK(world.complete_list() == same.complete_list());
+    CHECK(world.replace(2) == same.replace(2));
     const auto changes = nlohmann::json::parse(world.changes_since(1));
     CHECK(changes.at("version") == 2);
     CHECK(changes.at("full") == false);
     CHECK(changes.at("servers").size() == 4);  // two drain, two are new
     CHECK(nlohmann::json::parse(world.changes_since(2)).at("servers").empty());
-    CHECK(nlohmann::json::parse(world.whole_list()).at("servers").size() == 14);
+    CHECK(nlohmann::json::parse(world.complete_list()).at("servers").size() == 14);
 
-    const auto zone = world.lose_zone();
-    CHECK(nlohmann::json::parse(world.whole_list()).at("servers").size() == 14 - zone.size());
+    const auto zone = world.remove_zone();
+    CHECK(nlohmann::json::parse(world.complete_list()).at("servers").size() == 14 - zone.size());
     CHECK(world.changes().back().ended == zone);
-    world.bring_back(zone);
+    world.restore(zone);
     CHECK(world.changes().back().back == zone);
-    CHECK(nlohmann::json::parse(world.whole_list()).at("servers").size() == 14);
+    CHECK(nlohmann::json::parse(world.complete_list()).at("servers").size() == 14);
 }
 
 TEST_CASE("scale: each server is reported by exactly one zone") {
@@ -151,14 +151,14 @@
 
 TEST_CASE(
     "scale: messages between the run and its hollow planners are written and read back unchanged") {
-    const auto pace = read_pace("pace 1.500000 30.250000 0.500000");
+    const auto pace = parse_pace("pace 1.500000 30.250000 0.500000");
     REQUIRE(pace);
     CHECK(line_of(*pace) == "pace 1.500000 30.250000 0.500000\n");
-    CHECK_FALSE(read_pace("pace 1 2"));
-    const auto status = read_status("status 1 2 3 4 5");
+    CHECK_FALSE(parse_pace("pace 1 2"));
+    const auto status = parse_status("status 1 2 3 4 5");
     REQUIRE(status);
     CHECK(line_of(*status) == "status 1 2 3 4 5\n");
-    CHECK_FALSE(read_status("pace 1 2 3"));
+    CHECK_FALSE(parse_status("pace 1 2 3"));
 }
 
 TEST_CASE("scale: each size differs from the base in one parameter") {
@@ -174,7 +174,7 @@
             (world.planners() != options.base.planners()) +
             (world.proxies != options.base.proxies) + (world.servers != options.base.servers) +
             (world.changes_per_second != options.base.changes_per_second) +
-            (world.report_every != options.base.report_every);
+            (world.report_interval != options.base.report_interval);
         CHECK(changed_parameters == (size.varied == "base" ? 0 : 1));
     }
 }
