--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -1,6 +1,7 @@
-// What a decision costs by the size of the fleet, with its updates: the core with update_builder,
-// module and push writer, no sockets. A planner is given all proxies at once, answers every mark,
-// hears of each server once a second, and each second one server drains and a fresh one comes.
+// Measures how the cost of a decision depends on the size of the fleet, with the updates that
+// follow from it: the core with its decision module, update_builder and push writer, without
+// sockets. All proxies join at once and acknowledge every nonce. There is a report on each server
+// once a second, and each second one server is removed and a new one is added.
 #include <benchmark/benchmark.h>
 #include <fcntl.h>
 #include <fmt/format.h>
@@ -18,7 +19,7 @@
 
 namespace {
 
-DeploymentSettings fleet_terms(int proxies) {
+DeploymentSettings fleet_settings(int proxies) {
     DeploymentSettings settings;
     settings.methods = {Method{Duration{15'000}, 3, false, {}, {}},
                         Method{Duration{15'000}, 9, false, {}, {}}};
@@ -34,13 +35,13 @@
     return settings;
 }
 
-struct Counting : Transport {
+struct CountingTransport : Transport {
     std::int64_t updates = 0;
-    std::map<StreamId, Nonce> marks;  // not answered yet
+    std::map<StreamId, Nonce> unanswered_nonces;  // not acknowledged yet
     void write(StreamId stream, std::string_view message) override {
         ++updates;
         if (const auto at = message.find("nonce_out="); at != std::string_view::npos) {
-            marks[stream] = Nonce{std::stoi(std::string(message.substr(at + 10)))};
+            unanswered_nonces[stream] = Nonce{std::stoi(std::string(message.substr(at + 10)))};
         }
     }
     void close(StreamId) override {}
@@ -63,26 +64,28 @@
     const int proxies = static_cast<int>(state.range(0)),
               servers = static_cast<int>(state.range(1));
     Log log(::open("/dev/null", O_WRONLY));
-    Counting transport;
-    Core core(fleet_terms(proxies), SymbolTable{{"lookup", "order"}, {"a", "b", "c"}, {"m1"}}, 7,
+    CountingTransport transport;
+    Core core(fleet_settings(proxies), SymbolTable{{"lookup", "order"}, {"a", "b", "c"}, {"m1"}}, 7,
               transport, log);
     TimePoint now{Duration{17'000'000'000'000}};
     std::vector<Inbox::Item> items;
-    const auto say = [&](CoreEvent arrival) { items.push_back({now, std::move(arrival)}); };
+    const auto add_event = [&](CoreEvent new_event) {
+        items.push_back({now, std::move(new_event)});
+    };
     protocol::EndpointListMessage list{1, {event::EndpointListUpdate::Form::complete, {}}, {}, {}};
     for (int s = 0; s < servers; ++s) {
         list.list.servers.push_back(server(s)), list.addresses[server(s).server] = "127.0.0.1:9";
     }
-    say(core_event::EndpointListReceived{list});
+    add_event(core_event::EndpointListReceived{list});
     for (int p = 0; p < proxies; ++p) {
-        say(core_event::StreamOpened{StreamId{static_cast<std::uint64_t>(p) + 1},
-                                     {{p}, {p % 3}, 1.0 + p % 5, true}});
+        add_event(core_event::StreamOpened{StreamId{static_cast<std::uint64_t>(p) + 1},
+                                           {{p}, {p % 3}, 1.0 + p % 5, true}});
     }
     int tick = 0, oldest = 0, newest = servers, version = 1;
     for (auto _ : state) {
         if (tick % 10 == 0) {
             for (int s = oldest; s < newest; ++s) {
-                say(core_event::ReportReceived{event::EndpointLoadReport{
+                add_event(core_event::ReportReceived{event::EndpointLoadReport{
                     server(s).server, {0}, 12, 0, Duration{3'000 + s % 900}, Duration{10'000}}});
             }
             protocol::EndpointListMessage changes{
@@ -91,11 +94,11 @@
             gone.phase = EndpointPhase::gone;
             changes.list.servers = {gone, server(newest++, now)};
             changes.addresses[changes.list.servers[1].server] = "127.0.0.1:9";
-            say(core_event::EndpointListReceived{changes});
+            add_event(core_event::EndpointListReceived{changes});
         }
-        for (const auto& [stream, mark] : std::exchange(transport.marks, {})) {
-            say(core_event::StreamAcknowledged{stream,
-                                               {{static_cast<int>(stream.value) - 1}, mark}});
+        for (const auto& [stream, nonce] : std::exchange(transport.unanswered_nonces, {})) {
+            add_event(core_event::StreamAcknowledged{
+                stream, {{static_cast<int>(stream.value) - 1}, nonce}});
         }
         core.process(items, now);
         items.clear(), now += Duration{1'000}, ++tick;
@@ -103,54 +106,56 @@
     state.counters["letters"] = benchmark::Counter(static_cast<double>(transport.updates));
 }
 
-// A fleet in services: a method for each, with a pool of its own kind of server. As above each
-// second one server drains and a fresh one of its kind comes; reports on every server each second
-// where `heard`.
+// A fleet divided into services: each has a method, and a pool with its own kind of server. Each
+// second one server is removed and a new one of the same kind is added. With `with_reports` there
+// is a report on every server each second.
 class ServiceFleet {
  public:
-    // `pace`: the channel's, lines a second; 0: four for each proxy.
-    ServiceFleet(int proxies, int servers, int services, bool heard, double pace)
+    // `line_rate`: of the channel, in lines per second; 0: four for each proxy.
+    ServiceFleet(int proxies, int servers, int services, bool with_reports, double line_rate)
         : servers_(servers),
           services_(services),
-          heard_(heard),
-          core_(terms(proxies, pace), names(), 7, transport_, log_) {
+          with_reports_(with_reports),
+          core_(service_settings(proxies, line_rate), names(), 7, transport_, log_) {
         protocol::EndpointListMessage list{
             1, {event::EndpointListUpdate::Form::complete, {}}, {}, {}};
         for (int s = 0; s < servers; ++s) {
-            list.list.servers.push_back(member(s));
+            list.list.servers.push_back(service_server(s));
             list.addresses[list.list.servers.back().server] = "127.0.0.1:9";
         }
-        say(core_event::EndpointListReceived{std::move(list)});
+        add_event(core_event::EndpointListReceived{std::move(list)});
         for (int p = 0; p < proxies; ++p) {
-            say(core_event::StreamOpened{StreamId{static_cast<std::uint64_t>(p) + 1},
-                                         {{p}, {p % 3}, 1.0 + p % 5, true}});
+            add_event(core_event::StreamOpened{StreamId{static_cast<std::uint64_t>(p) + 1},
+                                               {{p}, {p % 3}, 1.0 + p % 5, true}});
         }
         newest_ = servers;
     }
 
-    // One turn, a tenth of a second after the last; how long the core took, seconds.
+    // Runs one turn, 0.1 s of virtual time after the previous one. Returns the seconds that the
+    // core took.
     double turn() {
         if (tick_ % 10 == 0) {
-            second_passes();
+            add_events_of_second();
         }
-        for (const auto& [stream, mark] : std::exchange(transport_.marks, {})) {
-            say(core_event::StreamAcknowledged{stream,
-                                               {{static_cast<int>(stream.value) - 1}, mark}});
+        for (const auto& [stream, nonce] : std::exchange(transport_.unanswered_nonces, {})) {
+            add_event(core_event::StreamAcknowledged{
+                stream, {{static_cast<int>(stream.value) - 1}, nonce}});
         }
-        const auto begun = std::chrono::steady_clock::now();
+        const auto start_time = std::chrono::steady_clock::now();
         core_.process(items_, now_);
-        const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begun;
+        const std::chrono::duration<double> elapsed = std::chrono::steady_clock::now() - start_time;
         items_.clear(), now_ += Duration{1'000}, ++tick_;
-        return took.count();
+        return elapsed.count();
     }
-    bool changed_in_last() const { return (tick_ - 1) % 10 == 0; }
+    bool last_turn_had_change() const { return (tick_ - 1) % 10 == 0; }
     std::int64_t updates() const { return transport_.updates; }
 
  private:
-    DeploymentSettings terms(int proxies, double pace) const {
-        DeploymentSettings settings = fleet_terms(proxies);
-        if (pace > 0) {
-            settings.channel_lines_per_second = pace, settings.max_pending_lines = 4 * pace;
+    DeploymentSettings service_settings(int proxies, double line_rate) const {
+        DeploymentSettings settings = fleet_settings(proxies);
+        if (line_rate > 0) {
+            settings.channel_lines_per_second = line_rate,
+            settings.max_pending_lines = 4 * line_rate;
         }
         settings.methods.clear();
         for (int m = 0; m < services_; ++m) {
@@ -166,16 +171,16 @@
         }
         return names;
     }
-    void say(CoreEvent arrival) { items_.push_back({now_, std::move(arrival)}); }
-    ListedEndpoint member(int number, std::optional<TimePoint> start = std::nullopt) const {
+    void add_event(CoreEvent new_event) { items_.push_back({now_, std::move(new_event)}); }
+    ListedEndpoint service_server(int number, std::optional<TimePoint> start = std::nullopt) const {
         ListedEndpoint listed = server(number, start);
         listed.kind = {number % servers_ %
-                       services_};  // a fresh one takes the place of the one that drains
+                       services_};  // a new server has the kind of the one that it replaces
         return listed;
     }
-    void second_passes() {
-        for (int s = oldest_; heard_ && s < newest_; ++s) {
-            say(core_event::ReportReceived{event::EndpointLoadReport{
+    void add_events_of_second() {
+        for (int s = oldest_; with_reports_ && s < newest_; ++s) {
+            add_event(core_event::ReportReceived{event::EndpointLoadReport{
                 server(s).server, {0}, 12, 0, Duration{3'000 + s % 900}, Duration{10'000}}});
         }
         if (tick_ == 0) {
@@ -183,24 +188,24 @@
         }
         protocol::EndpointListMessage changes{
             ++version_, {event::EndpointListUpdate::Form::incremental, {}}, {}, {}};
-        auto gone = member(oldest_++);
+        auto gone = service_server(oldest_++);
         gone.phase = EndpointPhase::gone;
-        changes.list.servers = {gone, member(newest_++, now_)};
+        changes.list.servers = {gone, service_server(newest_++, now_)};
         changes.addresses[changes.list.servers[1].server] = "127.0.0.1:9";
-        say(core_event::EndpointListReceived{changes});
+        add_event(core_event::EndpointListReceived{changes});
     }
 
     const int servers_, services_;
-    const bool heard_;
+    const bool with_reports_;
     Log log_{::open("/dev/null", O_WRONLY)};
-    Counting transport_;
+    CountingTransport transport_;
     Core core_;
     TimePoint now_{Duration{17'000'000'000'000}};
     std::vector<Inbox::Item> items_;
     int tick_ = 0, oldest_ = 0, newest_ = 0, version_ = 1;
 };
 
-// Resident memory of this process, MB.
+// Resident memory of this process, in MB.
 double resident_mb() {
     std::ifstream status("/proc/self/status");
     for (std::string line; std::getline(status, line);) {
@@ -211,10 +216,11 @@
     return 0;
 }
 
-// By proxies, servers, services, whether they are heard, turns that pass before any is measured,
-// and the channel's pace. start_ms: the first turn, with the whole list and all streams;
-// longest_ms: of all later turns; core: part of one, by the later turns; change_us: the median of
-// the turns in which a server is replaced, most of which hold no step.
+// Arguments: proxies, servers, services, whether there are reports, turns before the measurement,
+// and the channel's line rate (0: the default). Counters: start_ms is the first turn, with the
+// complete list and all streams; longest_ms is the longest measured turn; core is the fraction of a
+// core that the measured turns use; change_us is the median of the turns in which a server is
+// replaced, most of which include no weight step.
 void services(benchmark::State& state) {
     const auto arg = [&state](int at) { return static_cast<int>(state.range(at)); };
     ServiceFleet fleet(arg(0), arg(1), arg(2), arg(3) != 0, arg(5));
@@ -224,25 +230,25 @@
     }
     double sum = 0, longest = 0;
     int turns = 0;
-    std::vector<double> in_changes;
+    std::vector<double> change_seconds;
     for (auto _ : state) {
-        const double took = fleet.turn();
-        state.SetIterationTime(took);
-        sum += took, longest = std::max(longest, took), ++turns;
-        if (fleet.changed_in_last()) {
-            in_changes.push_back(took);
+        const double elapsed = fleet.turn();
+        state.SetIterationTime(elapsed);
+        sum += elapsed, longest = std::max(longest, elapsed), ++turns;
+        if (fleet.last_turn_had_change()) {
+            change_seconds.push_back(elapsed);
         }
     }
-    std::sort(in_changes.begin(), in_changes.end());
+    std::sort(change_seconds.begin(), change_seconds.end());
     state.counters["start_ms"] = 1'000 * start;
     state.counters["longest_ms"] = 1'000 * longest;
     state.counters["core"] = sum / (0.1 * turns);
-    state.counters["change_us"] = 1e6 * in_changes.at(in_changes.size() / 2);
+    state.counters["change_us"] = 1e6 * change_seconds.at(change_seconds.size() / 2);
     state.counters["rss_mb"] = resident_mb();
     state.counters["letters"] = static_cast<double>(fleet.updates());
 }
 
-// 300 decisions: thirty seconds of a planner's life.
+// 300 decisions are 30 s of a planner's virtual time.
 BENCHMARK(fleet)
     ->Args({72, 24})
     ->Args({480, 200})
@@ -265,8 +271,8 @@
     ->UseManualTime()
     ->Unit(benchmark::kMicrosecond);
 
-// One server's change by the number of other pools, ten servers each, once all tables are told:
-// none is heard, so that no weight moves.
+// Cost of replacing one server by the number of other pools, with ten servers each, after all
+// tables have been sent. There are no reports, so that no weight changes.
 BENCHMARK(services)
     ->Name("change_among_pools")
     ->Args({16, 400, 40, 0, 500, 11'000})
--- a/bench/route_index_bench.cpp
+++ b/bench/route_index_bench.cpp
@@ -1,6 +1,7 @@
-// The route index against the plain list, at 10, 1,000 and 100,000 routes: tenants told apart by
-// the beginning of a path, by host, and by both with exceptions in between. Each RPC takes the next
-// of 1,024 drawn ones; the answers of both are compared first.
+// Compares the route index with a scan of the route list, for 10, 1,000 and 100,000 routes. The
+// routes distinguish tenants by path prefix, by host, and by combinations of host, path and method.
+// Each lookup uses the next of 1,024 random RPCs. Before the measurement the results of index and
+// scan are checked to be equal, for 64 of the RPCs if there are over 10,000 routes.
 #include <benchmark/benchmark.h>
 #include <fmt/format.h>
 
@@ -19,32 +20,32 @@
 };
 
 Drawn draw(int number) {
-    std::mt19937_64 chance(7);
+    std::mt19937_64 random(7);
     Drawn drawn;
     const auto path = [](int i) { return fmt::format("/v{}/tenant-{}/", i % 3, i); };
     const auto host = [](int i) { return fmt::format("t{}.example", i); };
     for (int i = 0; i < number; ++i) {
-        Match when;
+        Match match;
         switch (i % 4) {
             case 0:
-                when = {PathIs{{TextMatchKind::prefix, {path(i)}, false}}};
+                match = {PathIs{{TextMatchKind::prefix, {path(i)}, false}}};
                 break;
             case 1:
-                when = {HostIs{{TextMatchKind::exact, {host(i)}, false}}};
+                match = {HostIs{{TextMatchKind::exact, {host(i)}, false}}};
                 break;
             case 2:
-                when = {AllOf{{Match{HostIs{{TextMatchKind::suffix, {"." + host(i)}, false}}},
-                               Match{PathIs{{TextMatchKind::prefix, {"/api/"}, false}}}}}};
+                match = {AllOf{{Match{HostIs{{TextMatchKind::suffix, {"." + host(i)}, false}}},
+                                Match{PathIs{{TextMatchKind::prefix, {"/api/"}, false}}}}}};
                 break;
             default:
-                when = {AllOf{{Match{PathIs{{TextMatchKind::exact, {path(i)}, false}}},
-                               Match{Not{{Match{MethodIs{{"POST"}}}}}}}}};
+                match = {AllOf{{Match{PathIs{{TextMatchKind::exact, {path(i)}, false}}},
+                                Match{Not{{Match{MethodIs{{"POST"}}}}}}}}};
         }
-        drawn.routes.push_back({fmt::format("r{}", i), std::move(when), ToPool{"p"}});
+        drawn.routes.push_back({fmt::format("r{}", i), std::move(match), ToPool{"p"}});
     }
     drawn.routes.push_back({"rest", {PathIs{{TextMatchKind::prefix, {"/"}, false}}}, ToPool{"p"}});
     for (int i = 0; i < 1'024; ++i) {
-        const int n = static_cast<int>(chance() % static_cast<unsigned>(number));
+        const int n = static_cast<int>(random() % static_cast<unsigned>(number));
         Rpc rpc;
         rpc.path = n % 4 == 0 ? path(n) + "item/7" : n % 4 == 3 ? path(n) : "/api/item/7";
         rpc.host = n % 4 == 1 ? host(n) : n % 4 == 2 ? "www." + host(n) : "other.example";
