--- a/bench/scale/core_run.cpp
+++ b/bench/scale/core_run.cpp
@@ -126,12 +126,12 @@
         }
     }
     void record_withdrawal(StreamId stream, const std::string& server, double in_turn) {
-        const auto gone = withdrawals_.find(server);
-        if (gone == withdrawals_.end() || !gone->second.proxies.insert(stream).second) {
+        const auto found = withdrawals_.find(server);
+        if (found == withdrawals_.end() || !found->second.proxies.insert(stream).second) {
             return;
         }
         withdrawn_servers.insert(server);
-        const double elapsed_ms = static_cast<double>((now_ - gone->second.at).count()) / 10;
+        const double elapsed_ms = static_cast<double>((now_ - found->second.at).count()) / 10;
         delivery_ms.add(elapsed_ms + in_turn / kMillisecond);
     }
 
@@ -229,7 +229,7 @@
             add_change(world_.replace(std::min(kBurstServers, spec_.servers / 2), now_));
         }
         if (spec_.scenario == Scenario::zone_loss && due) {
-            add_change(world_.lose_zone(0));
+            add_change(world_.remove_zone(0));
         }
         if (spec_.scenario == Scenario::zone_loss && whole_second &&
             second == kZoneBackAfterSeconds) {
--- a/bench/scale/wire_deployment.hpp
+++ b/bench/scale/wire_deployment.hpp
@@ -72,7 +72,8 @@
     }
     std::vector<pid_t> real_processes() const;
     std::vector<pid_t> hollow_processes() const;
-    HollowStatus hollow_status() const;  // sum of the last status of each hollow process
+    // Combines the last status of all hollow processes: sums, and minima of servers and version.
+    HollowStatus hollow_status() const;
 
  private:
     class HollowControl;
@@ -104,8 +105,7 @@
     std::unique_ptr<ProxyFleet> proxies_;
     std::unique_ptr<CollectorFleet> collectors_;
     std::int64_t paces_sent_ = 0;
-    // From the real planners to their proxies.
-    Traffic traffic_at_last_pace_;
+    Traffic traffic_at_last_pace_;  // from the real planners to their proxies
     bool changes_paused_ = true;
     std::int64_t announced_ = 0;
     double start_seconds_ = 0;
--- a/bench/scale/wire_hollow.cpp
+++ b/bench/scale/wire_hollow.cpp
@@ -20,7 +20,7 @@
 constexpr Milliseconds kRedialDelay{100};
 constexpr int kNonceCount = 65'536;  // nonces are from 0 to kNonceCount - 1
 constexpr std::size_t kMaxUnreadBytes =
-    128 * 1024;  // more unread bytes: the stream gets no messages
+    128 * 1024;  // a stream with more unread bytes gets no messages
 constexpr std::size_t kMaxMessageBytes = 256 * 1024;     // bytes
 constexpr std::size_t kMaxListBytes = 16 * 1024 * 1024;  // as counted by EndpointListParser
 constexpr double kMaxCreditMessages = 10'000;  // messages that a planner may be behind its pace
--- a/bench/scale/world.cpp
+++ b/bench/scale/world.cpp
@@ -274,7 +274,7 @@
     return change;
 }
 
-World::Change World::lose_zone(int zone) {
+World::Change World::remove_zone(int zone) {
     Change change;
     std::vector<Server> changed;
     const auto first_lost =
--- a/bench/scale/world.hpp
+++ b/bench/scale/world.hpp
@@ -106,7 +106,7 @@
     Change replace(int number, TimePoint now);
     Change drain(int number);  // replace_draining() replaces the drained servers
     Change replace_draining(TimePoint now);
-    Change lose_zone(int zone);
+    Change remove_zone(int zone);
     Change restore_zone(TimePoint now);
 
  private:
