--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
-# What staff do most. START_FILE is what LB_CONFIG is to name, as README.md shows one.
+# Shortcuts for common tasks. START_FILE is the start file that LB_CONFIG names; README.md shows an example.
 START_FILE ?= docs/example-start.json
-# Optimized little: sanitized code takes the compiler long.
+# Low optimization, because sanitized code takes long to compile.
 SANITIZED := -DMICAROAD_TESTS=ON -DCMAKE_BUILD_TYPE=Debug -DCMAKE_CXX_FLAGS_DEBUG="-O1 -g1"
 
 .PHONY: all build test asan tsan lint format tidy bench scale fuzz sites run clean
@@ -26,15 +26,15 @@
 	cmake --build build/tsan -j4
 	ctest --test-dir build/tsan --output-on-failure
 
-# What CI checks without running the program; README.md names the packages.
+# The checks of CI that don't run the program. README.md lists the packages needed.
 lint:
 	.ci/lint
 
-# All C++ files into their form, by the version that lint checks with.
+# Formats all C++ files with the version of clang-format that lint checks with.
 format:
 	.ci/lint format
 
-# What a module lacks before .ci/finished-modules may name it: make tidy MODULE=src/net
+# Shows what a module must fix before it may be added to .ci/finished-modules: make tidy MODULE=src/net
 tidy:
 	.ci/lint tidy $(MODULE)
 
@@ -45,8 +45,8 @@
 	build/bench/micaroad_route_index_bench
 	build/bench/micaroad_fleet_bench
 
-# What a planner costs by the size of its world: results, table and plots in SCALE_OUT. Needs libbenchmark-dev to
-# configure, python3 and gnuplot-nox for the table and the plots.
+# Measures how the cost of a planner depends on the size of its world; writes results, table and plots to SCALE_OUT.
+# Needs libbenchmark-dev to configure, and python3 and gnuplot-nox for the table and the plots.
 SCALE_OUT ?= build/scale
 SCALE_SEED ?= 1
 scale:
@@ -57,7 +57,7 @@
 	    --out $(SCALE_OUT)/results.json
 	bench/scale/report.py $(SCALE_OUT)/results.json --out $(SCALE_OUT)
 
-# Needs clang-16 and libclang-rt-16-dev. FUZZ_FLAGS go to libFuzzer; finds land in found/.
+# Needs clang-16 and libclang-rt-16-dev. FUZZ_FLAGS are passed to libFuzzer, which writes its findings to found/.
 FUZZ_FLAGS ?= -max_total_time=300
 fuzz:
 	CC=clang-16 CXX=clang++-16 cmake -B build/fuzz -DCMAKE_BUILD_TYPE=RelWithDebInfo -DMICAROAD_FUZZ=ON \
@@ -66,7 +66,7 @@
 	mkdir -p found
 	build/fuzz/micaroad_import_fuzz -max_len=4096 -artifact_prefix=found/ $(FUZZ_FLAGS) found fuzz/corpus
 
-# What the operators' bench wants beside a site of our own: their files, which stay outside the repository.
+# Links the operators' site files, which are kept outside the repository, into deploy/sites for their bench.
 KIT_SITES ?= ../given/kit/sites
 sites:
 	for file in real.json wire.json unlock.txt; do ln -sf "$(abspath $(KIT_SITES))/$$file" deploy/sites/$$file; done
